--- a/bench-adapter/src/decode.rs
+++ b/bench-adapter/src/decode.rs
@@ -1,8 +1,8 @@
 //! Lines of the wire, field by field. What is malformed is named, never guessed.
 
 use petrelshore::interface::*;
-pub use petrelshore_platform_terms::Malformed;
-use petrelshore_platform_terms::load::{self, Field};
+pub use petrelshore_platform_protocol::Malformed;
+use petrelshore_platform_protocol::load::{self, Field};
 use std::str::FromStr;
 
 /// One line: a message's kind and its fields. A text field runs to the end of the line.
--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -2,9 +2,9 @@
 
 use crate::decode::{Line, Malformed};
 use petrelshore::interface::*;
-use petrelshore_conductor::intake::stable_id;
-use petrelshore_conductor::{Action, Conductor, Dispatch, NewSequence, Relay};
-use petrelshore_platform_terms::settings::{Names, settings};
+use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_platform_protocol::settings::{Names, settings};
 use std::collections::HashMap;
 use std::fmt::Write;
 
--- a/bench-adapter/src/main.rs
+++ b/bench-adapter/src/main.rs
@@ -14,7 +14,7 @@
     match run(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("petrelshore-drill: {message}");
+            eprintln!("petrelshore-bench-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/bench-adapter/tests/exchange.rs
+++ b/bench-adapter/tests/exchange.rs
@@ -11,7 +11,7 @@
     "REQ i=3 ticket=00000000000000aa type=ask budget=4000000000 promptTokens=100 maxTokens=10\n";
 
 fn drill(input: &str) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_petrelshore-drill"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_petrelshore-bench-adapter"));
     let pipes = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = pipes.spawn().expect("the adapter starts");
     // It may stop reading at the malformed line; what it says of it is looked at below.
--- a/capacity/benches/schedule.rs
+++ b/capacity/benches/schedule.rs
@@ -1,11 +1,11 @@
 //! What one request costs the conductor, from its taking to its end, before fleets of several sizes.
 //!
-//! Run with `cargo bench -p petrelshore-scale`. Figures are for one core and are told as ratios.
+//! Run with `cargo bench -p petrelshore-capacity`. Figures are for one core and are told as ratios.
 
 use divan::Bencher;
-use petrelshore_conductor::Chooser;
-use petrelshore_scale::inventory::{self, SECOND, Size};
-use petrelshore_scale::warm::{Load, WARM_UP, Warm};
+use petrelshore_capacity::inventory::{self, SECOND, Size};
+use petrelshore_capacity::warm::{Load, WARM_UP, Warm};
+use petrelshore_gateway_core::Chooser;
 
 fn main() {
     divan::main();
--- a/capacity/src/fleet/mod.rs
+++ b/capacity/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::limits;
 use crate::report::Printer;
-use petrelshore_conductor::Chooser;
+use petrelshore_gateway_core::Chooser;
 
 /// What happens in a play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/capacity/src/fleet/play.rs
+++ b/capacity/src/fleet/play.rs
@@ -13,8 +13,8 @@
     CellId, Condition, Deployment, ListScope, Listing, Nanos, PrefixId, Role, SeqId, ServerId, SessionId,
     Step, TypeId, ZoneId,
 };
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
--- a/capacity/src/main.rs
+++ b/capacity/src/main.rs
@@ -1,17 +1,17 @@
-//! The `petrelshore-scale` command.
+//! The `petrelshore-capacity` command.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use petrelshore_conductor::Chooser;
-use petrelshore_scale::fleet::{self, Scene, Setup};
-use petrelshore_scale::limits::{self, Refused};
-use petrelshore_scale::report::{Form, Printer};
-use petrelshore_scale::slopes::{self, Plan};
+use petrelshore_capacity::fleet::{self, Scene, Setup};
+use petrelshore_capacity::limits::{self, Refused};
+use petrelshore_capacity::report::{Form, Printer};
+use petrelshore_capacity::slopes::{self, Plan};
+use petrelshore_gateway_core::Chooser;
 use std::process::ExitCode;
 use std::time::Duration;
 
 /// Measures what gateways cost and how they behave at the size of the whole service. Nothing goes over a socket.
 #[derive(Parser)]
-#[command(name = "petrelshore-scale", version)]
+#[command(name = "petrelshore-capacity", version)]
 struct Arguments {
     /// Prints one JSON object a line instead of tables.
     #[arg(long, global = true)]
@@ -186,7 +186,7 @@
     match run(&Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("petrelshore-scale: {message}");
+            eprintln!("petrelshore-capacity: {message}");
             ExitCode::FAILURE
         }
     }
--- a/capacity/src/warm.rs
+++ b/capacity/src/warm.rs
@@ -2,8 +2,8 @@
 
 use crate::inventory::{self, MILLISECOND, SECOND, Size};
 use petrelshore::interface::*;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
 use std::hint::black_box;
 
 /// Requests before anything is measured.
--- a/capacity/tests/command.rs
+++ b/capacity/tests/command.rs
@@ -4,7 +4,10 @@
 use std::process::{Command, Output};
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_petrelshore-scale")).args(arguments).output().expect("the command runs")
+    Command::new(env!("CARGO_BIN_EXE_petrelshore-capacity"))
+        .args(arguments)
+        .output()
+        .expect("the command runs")
 }
 
 /// Rows of a run that has to end well.
--- a/chat-api/src/lib.rs
+++ b/chat-api/src/lib.rs
@@ -1,6 +1,6 @@
 //! The OpenAI-style chat API, by its public specification, over the gateway.
 //!
-//! [`serve`] takes connections; `request` turns a body into a call, which `petrelshore_front` checks and hands on;
+//! [`serve`] takes connections; `request` turns a body into a call, which `petrelshore_ingress` checks and hands on;
 //! `reply` words texts and final answers, whole or as events. Nothing is taken by the gateway before a request is
 //! whole and understood.
 
@@ -8,5 +8,5 @@
 mod request;
 mod serve;
 
-pub use petrelshore_front::entrance::{Entrance, Listening, bind};
+pub use petrelshore_ingress::entrance::{Entrance, Listening, bind};
 pub use serve::serve;
--- a/chat-api/src/request.rs
+++ b/chat-api/src/request.rs
@@ -1,8 +1,8 @@
 //! From the body of a chat request to a call. What is wrong is named by its field.
 
 use petrelshore::interface::Nanos;
-use petrelshore_conductor::Relay;
-use petrelshore_front::call::{Call, Fault, Head, SAMPLING, Wrong, shortened};
+use petrelshore_gateway_core::Relay;
+use petrelshore_ingress::call::{Call, Fault, Head, SAMPLING, Wrong, shortened};
 use serde_json::{Map, Value};
 
 /// A body that is understood.
--- a/chat-api/tests/requests.rs
+++ b/chat-api/tests/requests.rs
@@ -2,8 +2,8 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use petrelshore_chat as chat;
-use petrelshore_gateway::{Gateway, Spawner};
+use petrelshore_chat_api as chat;
+use petrelshore_chat_gateway::{Gateway, Spawner};
 use petrelshore_settings::read_text;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -8,7 +8,7 @@
 mod trial;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use petrelshore_rehearsal::load;
+use petrelshore_e2e::load;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
     /// How log lines are written, on standard error
     #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
     logs: LogForm,
-    /// What is logged, such as "info" or "petrelshore_gateway=debug"
+    /// What is logged, such as "info" or "petrelshore_chat_gateway=debug"
     #[arg(long, global = true, default_value = "info")]
     log_filter: String,
 }
--- a/cli/src/operator.rs
+++ b/cli/src/operator.rs
@@ -8,7 +8,7 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
-use petrelshore_gateway::Gateway;
+use petrelshore_chat_gateway::Gateway;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Helpers of the tests that run the gateway as a process.
 #![allow(dead_code)] // Each test file uses its own part.
 
-use petrelshore_stand_in::platform::{Agent, Manner, ModelServer, config, entry};
+use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
--- a/cli/tests/daemon.rs
+++ b/cli/tests/daemon.rs
@@ -1,10 +1,10 @@
 //! The command as a process: start, reload, stop, and what it says when it can't.
 
 use futures_lite::future;
-use petrelshore_rehearsal::client::{Question, Seen};
-use petrelshore_rehearsal::grpc_client;
+use petrelshore_e2e::client::{Question, Seen};
+use petrelshore_e2e::grpc_client;
+use petrelshore_emulator::record::FinalSeen;
 use petrelshore_soak::shim::{Fault, Faults, Library};
-use petrelshore_stand_in::record::FinalSeen;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use petrelshore_stand_in::platform::{Agent, Manner, ModelServer, entry};
+use petrelshore_emulator::platform::{Agent, Manner, ModelServer, entry};
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use petrelshore_stand_in::platform::{Agent, Manner, ModelServer, config, entry, events};
+use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry, events};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
--- a/cli/tests/size.rs
+++ b/cli/tests/size.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use petrelshore_stand_in::platform::entry;
+use petrelshore_emulator::platform::entry;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
--- a/cli/tests/system_calls.rs
+++ b/cli/tests/system_calls.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
+use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry};
 use petrelshore_soak::shim::{Fault, Faults, Library};
-use petrelshore_stand_in::platform::{Agent, Manner, ModelServer, config, entry};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
--- a/e2e/src/auditor.rs
+++ b/e2e/src/auditor.rs
@@ -3,7 +3,7 @@
 //! It knows no gateway's word: clients say what they asked and what came back, stand-ins say what arrived, ran, was
 //! held and let go. Times between processes on one machine differ by scheduling, so each bound has some slack.
 
-use petrelshore_stand_in::record::{Entry, FinalSeen, Nanos, Passed};
+use petrelshore_emulator::record::{Entry, FinalSeen, Nanos, Passed};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MILLISECOND: Nanos = 1_000_000;
--- a/e2e/src/client.rs
+++ b/e2e/src/client.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use petrelshore_stand_in::record::{FinalSeen, Nanos};
+use petrelshore_emulator::record::{FinalSeen, Nanos};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/e2e/src/load.rs
+++ b/e2e/src/load.rs
@@ -8,7 +8,7 @@
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use hdrhistogram::Histogram;
-use petrelshore_stand_in::record::FinalSeen;
+use petrelshore_emulator::record::FinalSeen;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -7,11 +7,11 @@
 use async_io::Timer;
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
-use petrelshore_gateway::Chooser;
+use petrelshore_chat_gateway::Chooser;
+use petrelshore_emulator::model::Build;
+use petrelshore_emulator::record::{Entry, FinalSeen, Nanos, Passed, Record};
+use petrelshore_emulator::server::usual_build;
 use petrelshore_settings::Settings;
-use petrelshore_stand_in::model::Build;
-use petrelshore_stand_in::record::{Entry, FinalSeen, Nanos, Passed, Record};
-use petrelshore_stand_in::server::usual_build;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -139,7 +139,7 @@
 
 /// The rules' figures, as the gateways' settings have them.
 pub fn figures(settings: &Settings) -> Figures {
-    use petrelshore_gateway::Effect as Kind;
+    use petrelshore_chat_gateway::Effect as Kind;
     let mut figures = Figures::new(settings.deployment.release_within, DRAIN_GRACE);
     for traffic in &settings.traffic {
         let effect = match traffic.effect {
@@ -303,7 +303,7 @@
         tried.in_time =
             answer == FinalSeen::Generated && first.is_some_and(|after| after <= kind.latency_slo);
         // A client may also come again after a broken connection where its work may run again.
-        let repeatable = matches!(traffic.effect, petrelshore_gateway::Effect::Repeatable);
+        let repeatable = matches!(traffic.effect, petrelshore_chat_gateway::Effect::Repeatable);
         let again = matches!(answer, FinalSeen::Rejected | FinalSeen::Refused)
             || (answer == FinalSeen::Nothing && (repeatable || seen.status == 0 && seen.took < SECOND / 100));
         if !again {
--- a/e2e/src/script.rs
+++ b/e2e/src/script.rs
@@ -1,8 +1,8 @@
 //! Scripts of rehearsals: typed files that name fleet, clients and timed faults.
 
 use crate::client::Front;
+use petrelshore_emulator::model::Fault;
 use petrelshore_settings::{Problem, evaluate};
-use petrelshore_stand_in::model::Fault;
 use serde::Deserialize;
 use std::path::Path;
 
--- a/e2e/tests/auditor.rs
+++ b/e2e/tests/auditor.rs
@@ -1,7 +1,7 @@
 //! The auditor against records in which one rule at a time is broken, and against the same without the break.
 
-use petrelshore_rehearsal::auditor::{Effect, Figures, judge, left_behind};
-use petrelshore_stand_in::record::{Entry, FinalSeen, Passed};
+use petrelshore_e2e::auditor::{Effect, Figures, judge, left_behind};
+use petrelshore_emulator::record::{Entry, FinalSeen, Passed};
 
 const MS: u64 = 1_000_000;
 const NONE: [u8; 0] = [];
--- a/e2e/tests/hard_cases.rs
+++ b/e2e/tests/hard_cases.rs
@@ -5,11 +5,11 @@
 
 use async_io::Timer;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use petrelshore_rehearsal::client::{Front, Question, Seen, chat_body, request};
-use petrelshore_rehearsal::fleet::{Running, Shape, settings_text};
-use petrelshore_rehearsal::grpc_client;
-use petrelshore_stand_in::model::{Build, Fault};
-use petrelshore_stand_in::record::{FinalSeen, Passed};
+use petrelshore_e2e::client::{Front, Question, Seen, chat_body, request};
+use petrelshore_e2e::fleet::{Running, Shape, settings_text};
+use petrelshore_e2e::grpc_client;
+use petrelshore_emulator::model::{Build, Fault};
+use petrelshore_emulator::record::{FinalSeen, Passed};
 use std::time::Duration;
 use world::{LONG, World, case, case_with, quick, small};
 
--- a/e2e/tests/rehearsals.rs
+++ b/e2e/tests/rehearsals.rs
@@ -2,10 +2,10 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use petrelshore_gateway::Chooser;
-use petrelshore_rehearsal::rehearse::{Outcome, rehearse};
-use petrelshore_rehearsal::script;
-use petrelshore_stand_in::record::Passed;
+use petrelshore_chat_gateway::Chooser;
+use petrelshore_e2e::rehearse::{Outcome, rehearse};
+use petrelshore_e2e::script;
+use petrelshore_emulator::record::Passed;
 use std::path::Path;
 use std::rc::Rc;
 
--- a/engine-client/tests/endings.rs
+++ b/engine-client/tests/endings.rs
@@ -3,9 +3,9 @@
 use async_executor::LocalExecutor;
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use petrelshore_conductor::desk::Piece;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_engine::{Client, Spawner, WriteRequest};
+use petrelshore_engine_client::{Client, Spawner, WriteRequest};
+use petrelshore_gateway_core::desk::Piece;
+use petrelshore_gateway_core::proof::Ending;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -5,8 +5,8 @@
 use common::*;
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::{Action, Conductor, NewSequence, Relay};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::{Action, Conductor, NewSequence, Relay};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Pairs of a reader and a writer, and prompt tokens that a reader reads a second.
--- a/gateway-core/tests/desk.rs
+++ b/gateway-core/tests/desk.rs
@@ -1,13 +1,13 @@
 //! The desk without sockets: keys, states, usage over a break, room.
 
 use petrelshore::interface::*;
-use petrelshore_conductor::desk::{
+use petrelshore_gateway_core::desk::{
     Desk, Final, Order, Piece, Refusal, Request, Sending, Taken, Usage, request_id,
 };
-use petrelshore_conductor::intake::{Message, weigh};
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::releases::Word;
-use petrelshore_conductor::{Chooser, Reason, Relay};
+use petrelshore_gateway_core::intake::{Message, weigh};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::releases::Word;
+use petrelshore_gateway_core::{Chooser, Reason, Relay};
 use std::rc::Rc;
 
 const MS: Nanos = 1_000_000;
--- a/gateway-core/tests/guards.rs
+++ b/gateway-core/tests/guards.rs
@@ -1,15 +1,15 @@
 //! Room, doors, connections, releases and replays: each decision by itself.
 
 use petrelshore::interface::ServerId;
-use petrelshore_conductor::connections::Connections;
-use petrelshore_conductor::doors::{Doors, Shut};
-use petrelshore_conductor::limits::{NoRoom, Room};
-use petrelshore_conductor::manners::{Bad, Due, Heard, Manners};
-use petrelshore_conductor::releases::{Release, Releases, State, Word};
-use petrelshore_conductor::replays::{Ended, Known, Replays};
-use petrelshore_conductor::windows::Windows;
-use petrelshore_conductor::withdrawals::Withdrawals;
-use petrelshore_conductor::{intake, pace};
+use petrelshore_gateway_core::connections::Connections;
+use petrelshore_gateway_core::doors::{Doors, Shut};
+use petrelshore_gateway_core::limits::{NoRoom, Room};
+use petrelshore_gateway_core::manners::{Bad, Due, Heard, Manners};
+use petrelshore_gateway_core::releases::{Release, Releases, State, Word};
+use petrelshore_gateway_core::replays::{Ended, Known, Replays};
+use petrelshore_gateway_core::windows::Windows;
+use petrelshore_gateway_core::withdrawals::Withdrawals;
+use petrelshore_gateway_core::{intake, pace};
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
--- a/gateway-core/tests/passed.rs
+++ b/gateway-core/tests/passed.rs
@@ -4,12 +4,12 @@
 
 use common::*;
 use petrelshore::interface::*;
-use petrelshore_conductor::connections::Connections;
-use petrelshore_conductor::passage::{Final, Order, Passage, Refusal};
-use petrelshore_conductor::permission::{Denial, Due};
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::releases::Release;
-use petrelshore_conductor::{Action, Conductor, Dispatch, NewSequence, Reason, Relay};
+use petrelshore_gateway_core::connections::Connections;
+use petrelshore_gateway_core::passage::{Final, Order, Passage, Refusal};
+use petrelshore_gateway_core::permission::{Denial, Due};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::releases::Release;
+use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Reason, Relay};
 use std::net::SocketAddr;
 
 fn entry(server: u64, kind: usize) -> Listing {
--- a/gateway-core/tests/rules.rs
+++ b/gateway-core/tests/rules.rs
@@ -2,8 +2,8 @@
 
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::{Action, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Relay};
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::BTreeMap;
 
--- a/grpc-api/src/health.rs
+++ b/grpc-api/src/health.rs
@@ -3,7 +3,7 @@
 use crate::SERVICE;
 use async_io::Timer;
 use futures_lite::future;
-use petrelshore_gateway::Gateway;
+use petrelshore_chat_gateway::Gateway;
 use std::time::Duration;
 use tonic::Status;
 use tonic_health::pb::HealthCheckResponse;
--- a/grpc-api/src/lib.rs
+++ b/grpc-api/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`serve`] takes connections, and holds each to its manners (`connection`, told by `watch` what came). A call's way
 //! is in `exchange`: its message whole (`message`), understood (`request`), taken, answered, worded (`status`).
-//! Everything that is decided stands in `petrelshore_conductor`; what is checked of a call, in `petrelshore_front`.
+//! Everything that is decided stands in `petrelshore_gateway_core`; what is checked of a call, in `petrelshore_ingress`.
 //!
 //! It stands on the `h2` crate itself: a stream whose client does not read must still be told its end, and one whose
 //! connection stands still must be ended by itself, which takes windows, resets and trailers in one's own hand.
@@ -23,7 +23,7 @@
 }
 
 pub use connection::serve;
-pub use petrelshore_front::entrance::{Entrance, Listening, bind};
+pub use petrelshore_ingress::entrance::{Entrance, Listening, bind};
 
 /// The chat service's full name.
 pub const SERVICE: &str = "petrelshore.chat.v1.ChatService";
--- a/grpc-api/src/message.rs
+++ b/grpc-api/src/message.rs
@@ -3,8 +3,8 @@
 use crate::status::Told;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use h2::RecvStream;
-use petrelshore_front::call::{Failed, Fault, Wrong};
-use petrelshore_front::entrance::Reading;
+use petrelshore_ingress::call::{Failed, Fault, Wrong};
+use petrelshore_ingress::entrance::Reading;
 use prost::Message;
 use tonic::Status;
 
--- a/grpc-api/src/request.rs
+++ b/grpc-api/src/request.rs
@@ -4,8 +4,8 @@
 use crate::v1;
 use http::HeaderMap;
 use petrelshore::interface::Nanos;
-use petrelshore_conductor::Relay;
-use petrelshore_front::call::{Call, Head, Wrong};
+use petrelshore_gateway_core::Relay;
+use petrelshore_ingress::call::{Call, Head, Wrong};
 use serde_json::{Map, Value};
 use tonic::Status;
 
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -4,9 +4,9 @@
 //! often UNAVAILABLE and RESOURCE_EXHAUSTED. Those two are given with RetryInfo only where nothing ran; everything
 //! else carries a pushback that forbids a retry, which clients obey whatever the code.
 
-use petrelshore_conductor::Reason;
-use petrelshore_conductor::answers::{Cause, Retry, Unanswered};
-use petrelshore_front::call::{Failed, Fault, Wrong};
+use petrelshore_gateway_core::Reason;
+use petrelshore_gateway_core::answers::{Cause, Retry, Unanswered};
+use petrelshore_ingress::call::{Failed, Fault, Wrong};
 use std::time::Duration;
 use tonic::metadata::{MetadataMap, MetadataValue};
 use tonic::{Code, Status};
--- a/grpc-api/src/status/tests.rs
+++ b/grpc-api/src/status/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use petrelshore_gateway::Refusal;
+use petrelshore_chat_gateway::Refusal;
 
 #[test]
 fn only_what_provably_did_not_run_may_be_sent_again() {
--- a/grpc-api/src/watch.rs
+++ b/grpc-api/src/watch.rs
@@ -6,9 +6,9 @@
 use event_listener::Event;
 use futures_lite::{AsyncRead, AsyncWrite};
 use petrelshore::interface::Nanos;
-use petrelshore_conductor::manners::{Heard, Manners};
-use petrelshore_conductor::windows::Windows;
-use petrelshore_gateway::Clock;
+use petrelshore_chat_gateway::Clock;
+use petrelshore_gateway_core::manners::{Heard, Manners};
+use petrelshore_gateway_core::windows::Windows;
 use std::cell::RefCell;
 use std::io::Result;
 use std::pin::Pin;
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -1,10 +1,10 @@
 //! From a decoded call to what the gateway is asked. What is wrong is named by its field.
 
 use petrelshore::interface::*;
-use petrelshore_conductor::Relay;
-use petrelshore_conductor::answers::Unanswered;
-use petrelshore_conductor::intake::{self, Message};
-use petrelshore_gateway::{Ask, Request};
+use petrelshore_chat_gateway::{Ask, Request};
+use petrelshore_gateway_core::Relay;
+use petrelshore_gateway_core::answers::Unanswered;
+use petrelshore_gateway_core::intake::{self, Message};
 use petrelshore_settings::Settings;
 use serde_json::{Map, Value};
 use std::rc::Rc;
--- a/ingress/src/entrance.rs
+++ b/ingress/src/entrance.rs
@@ -3,10 +3,10 @@
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
 use futures_lite::future;
-use petrelshore_conductor::doors::{Doors, Shut};
-use petrelshore_conductor::{intake, pace};
-use petrelshore_framing::system_calls::{Failure, accept_failure, listen_failure};
-use petrelshore_gateway::Gateway;
+use petrelshore_chat_gateway::Gateway;
+use petrelshore_gateway_core::doors::{Doors, Shut};
+use petrelshore_gateway_core::{intake, pace};
+use petrelshore_http1::system_calls::{Failure, accept_failure, listen_failure};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -3,10 +3,10 @@
 use crate::client::{PooledConnection, Shared, ending};
 use bytes::{Bytes, BytesMut};
 use petrelshore::interface::Report;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_framing::body::{Body, Framing};
-use petrelshore_framing::head::AnswerHead;
-use petrelshore_platform_terms::load;
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_http1::body::{Body, Framing};
+use petrelshore_http1::head::AnswerHead;
+use petrelshore_platform_protocol::load;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
--- a/platform-engine-client/tests/manners.rs
+++ b/platform-engine-client/tests/manners.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 use futures_lite::future;
 use petrelshore::interface::Outcome;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_gateway::Clock;
-use petrelshore_platform_engine::{Call, Client, Go};
-use petrelshore_platform_terms::load::{Field, Measure};
-use petrelshore_stand_in::platform::{Manner, ModelServer, events};
+use petrelshore_chat_gateway::Clock;
+use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_platform_engine_client::{Call, Client, Go};
+use petrelshore_platform_protocol::load::{Field, Measure};
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/platform-protocol/src/request.rs
+++ b/platform-protocol/src/request.rs
@@ -3,7 +3,7 @@
 use crate::Malformed;
 use crate::settings::Names;
 use petrelshore::interface::*;
-use petrelshore_conductor::{NewSequence, Relay, pace};
+use petrelshore_gateway_core::{NewSequence, Relay, pace};
 
 const MILLISECOND: Nanos = 1_000_000;
 /// No client waits longer than this.
--- a/platform-protocol/tests/customers.rs
+++ b/platform-protocol/tests/customers.rs
@@ -1,11 +1,11 @@
 //! Other customers: their names, and the order and number of their lists, decide nothing.
 
 use petrelshore::interface::*;
-use petrelshore_conductor::proof::Ending;
-use petrelshore_conductor::{Action, Conductor};
-use petrelshore_platform_terms::config::{Config, config};
-use petrelshore_platform_terms::list::listed;
-use petrelshore_platform_terms::request::sequence;
+use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::{Action, Conductor};
+use petrelshore_platform_protocol::config::{Config, config};
+use petrelshore_platform_protocol::list::listed;
+use petrelshore_platform_protocol::request::sequence;
 use serde_json::{Value, json};
 
 const MS: Nanos = 1_000_000;
@@ -149,7 +149,7 @@
     let plain = Customer { word: str::to_owned, order: |list| list };
     let good = plain.config();
     assert_eq!((good.longest_abandon, good.drain_grace), (10_000 * MS, 250 * MS));
-    let text = petrelshore_stand_in::platform::config(good.listen, good.discovery, "");
+    let text = petrelshore_emulator::platform::config(good.listen, good.discovery, "");
     for (field, place) in [
         ("\"hardLimit\":4000000000,", "lanes[0]: setting hardLimit"),
         ("\"drainGrace\":2000000000,", "rules.drainGrace"),
--- a/platform-protocol/tests/terms.rs
+++ b/platform-protocol/tests/terms.rs
@@ -1,14 +1,14 @@
 //! Lists, configurations and heads as the platform writes them, and what is malformed in them.
 
 use petrelshore::interface::*;
-use petrelshore_conductor::Relay;
-use petrelshore_conductor::intake::stable_id;
-use petrelshore_platform_terms::config::config;
-use petrelshore_platform_terms::list::listed;
-use petrelshore_platform_terms::load;
-use petrelshore_platform_terms::request::sequence;
-use petrelshore_platform_terms::settings::{Names, settings};
-use petrelshore_platform_terms::tenants::Tenants;
+use petrelshore_gateway_core::Relay;
+use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_platform_protocol::config::config;
+use petrelshore_platform_protocol::list::listed;
+use petrelshore_platform_protocol::load;
+use petrelshore_platform_protocol::request::sequence;
+use petrelshore_platform_protocol::settings::{Names, settings};
+use petrelshore_platform_protocol::tenants::Tenants;
 use serde_json::{Value, json};
 
 const S: Nanos = 1_000_000_000;
--- a/prefix-index/benches/index.rs
+++ b/prefix-index/benches/index.rs
@@ -2,8 +2,8 @@
 
 use divan::{Bencher, counter::ItemsCount};
 use petrelshore::interface::ServerId;
-use petrelshore_prefix::BlockHash;
-use petrelshore_prefix::index::Index;
+use petrelshore_prefix_index::BlockHash;
+use petrelshore_prefix_index::index::Index;
 
 /// Blocks of 16 tokens in a prompt of 32,000.
 const PROMPT: usize = 2_000;
--- a/prefix-index/tests/index.rs
+++ b/prefix-index/tests/index.rs
@@ -2,10 +2,10 @@
 
 use oorandom::Rand64;
 use petrelshore::interface::ServerId;
-use petrelshore_prefix::BlockHash;
-use petrelshore_prefix::feed::{Batch, CacheEvent, Feed, Step};
-use petrelshore_prefix::index::Index;
-use petrelshore_prefix::trust::Trust;
+use petrelshore_prefix_index::BlockHash;
+use petrelshore_prefix_index::feed::{Batch, CacheEvent, Feed, Step};
+use petrelshore_prefix_index::index::Index;
+use petrelshore_prefix_index::trust::Trust;
 use std::collections::{BTreeMap, BTreeSet};
 
 const S: u64 = 1_000_000_000;
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -5,7 +5,7 @@
 use nickel_lang_core::eval::cache::CacheImpl;
 use nickel_lang_core::program::{Program, ProgramBuilder};
 use petrelshore::interface::*;
-use petrelshore_conductor::terms::{self, About};
+use petrelshore_gateway_core::terms::{self, About};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -22,7 +22,7 @@
 /// The kill comes this long after the longest deadline.
 const KILL_AFTER: Duration = Duration::from_millis(700);
 const DEADLINE_LEAST: Duration = Duration::from_secs(3);
-const LOGGED: &str = "info,petrelshore_platform=debug,petrelshore_platform_front=debug";
+const LOGGED: &str = "info,petrelshore_platform_gateway=debug,petrelshore_platform_ingress=debug";
 
 /// One gateway, over all of its processes.
 pub struct Gateway {
