--- a/bench-adapter/src/decode.rs
+++ b/bench-adapter/src/decode.rs
@@ -83,8 +83,8 @@
         id.map(Some).ok_or_else(|| self.wrong(name, value))
     }
 
-    pub fn ticket(&self) -> Result<SeqId, Malformed> {
-        self.hex("ticket")?.map(SeqId).ok_or_else(|| format!("{}: field ticket is missing", self.kind))
+    pub fn ticket(&self) -> Result<SequenceId, Malformed> {
+        self.hex("ticket")?.map(SequenceId).ok_or_else(|| format!("{}: field ticket is missing", self.kind))
     }
 
     /// Where a name stands among those of the settings.
@@ -93,7 +93,7 @@
         known.iter().position(|k| k == value).ok_or_else(|| self.wrong(name, value))
     }
 
-    pub fn report(&self, fields: &[Field]) -> Result<Option<Report>, Malformed> {
+    pub fn report(&self, fields: &[Field]) -> Result<Option<LoadReport>, Malformed> {
         let Some(row) = self.text("healthInfo").filter(|_| !fields.is_empty()) else { return Ok(None) };
         load::row(row, fields).map(Some).ok_or_else(|| self.wrong("healthInfo", row))
     }
--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -23,7 +23,7 @@
         let options = serde_json::from_str(line.need("options")?);
         let options = options.map_err(|error| format!("CONFIGURE: field options: {error}"))?;
         let (deployment, names) = settings(&options).map_err(|wrong| format!("CONFIGURE: {wrong}"))?;
-        if deployment.discovery == Discovery::Asked {
+        if deployment.discovery == Discovery::Polled {
             let _ = writeln!(reply, "SUBSCRIBE i={number} want=1");
         }
         Ok(Instance {
@@ -45,7 +45,7 @@
         };
         let new = NewSequence {
             id: line.ticket()?,
-            traffic: TypeId(line.index("type", &self.names.types)?),
+            traffic: TrafficTypeId(line.index("type", &self.names.types)?),
             tenant,
             session: line.hex("sessionId")?.map(SessionId),
             prefix: line.hex("systemPrompt")?.filter(|id| *id != 0).map(PrefixId),
@@ -71,9 +71,9 @@
         reply: &mut String,
     ) -> Result<(), Malformed> {
         let scope = match line.need("kind")? {
-            "changes" => ListScope::Changes,
-            "all" => ListScope::Whole,
-            "remembered" => ListScope::Remembered,
+            "changes" => SnapshotKind::Delta,
+            "all" => SnapshotKind::Full,
+            "remembered" => SnapshotKind::Cached,
             "refused" => {
                 self.conductor.list_refused(now, &mut self.actions);
                 self.carry_out(reply);
@@ -81,28 +81,28 @@
             }
             other => return Err(format!("MEMBERS: field kind is malformed or out of range: '{other}'")),
         };
-        let entries = entries.iter().map(|entry| self.listing(entry)).collect::<Result<Vec<_>, _>>()?;
+        let entries = entries.iter().map(|entry| self.endpoint(entry)).collect::<Result<Vec<_>, _>>()?;
         self.conductor.listed(now, scope, &entries);
         Ok(())
     }
 
-    fn listing(&mut self, line: &Line) -> Result<Listing, Malformed> {
+    fn endpoint(&mut self, line: &Line) -> Result<Endpoint, Malformed> {
         let name = line.need("server")?;
         let server = ServerId(stable_id(name));
         if self.servers.entry(server).or_insert_with(|| name.to_owned()) != name {
             return Err(format!("SERVER: field server: '{name}' cannot be told from another name"));
         }
-        Ok(Listing {
+        Ok(Endpoint {
             server,
-            kind: KindId(line.index("flavor", &self.names.kinds)?),
+            kind: ServerKindId(line.index("flavor", &self.names.kinds)?),
             cell: CellId(line.parsed("pack")?.unwrap_or(0)),
             zone: ZoneId(line.index("regionPart", &self.names.zones)?),
             weight: line.number("weight")?.unwrap_or(1.0),
-            since: line.parsed("since")?.unwrap_or(0),
-            condition: match line.need("condition")? {
-                "Ready" => Condition::Ready,
-                "Terminating" => Condition::Draining,
-                "Gone" => Condition::Gone,
+            started_at: line.parsed("since")?.unwrap_or(0),
+            state: match line.need("condition")? {
+                "Ready" => EndpointState::Ready,
+                "Terminating" => EndpointState::Draining,
+                "Gone" => EndpointState::Gone,
                 other => {
                     return Err(format!("SERVER: field condition is malformed or out of range: '{other}'"));
                 }
@@ -118,16 +118,16 @@
 
     pub fn closed(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), Malformed> {
         let outcome = match (line.whole::<u32>("disposition")?, line.number("note")?.unwrap_or(0.0)) {
-            (0, _) => Outcome::Generated,
+            (0, _) => Outcome::Completed,
             (1, _) => Outcome::Error,
-            (2, 1.0) => Outcome::NoState,
-            (2, _) => Outcome::Full,
+            (2, 1.0) => Outcome::KvCacheMissing,
+            (2, _) => Outcome::AtCapacity,
             (3, _) => Outcome::TimedOut,
             (4, _) => Outcome::ConnectFailed,
             (5, _) => Outcome::Reset,
             (6, _) => Outcome::Cancelled,
             (7, _) => Outcome::NeverSent,
-            (202, kept) => Outcome::ReadDone { kept },
+            (202, kept) => Outcome::PrefillDone { cached_tokens: kept },
             (other, _) => {
                 return Err(format!("CLOSED_ATTEMPT: field disposition is out of range: '{other}'"));
             }
@@ -159,7 +159,7 @@
         if mark == LIST_MARK {
             let _ = writeln!(reply, "SUBSCRIBE i={} want=1", self.number);
         } else if let Ok(id) = u64::from_str_radix(mark, 16) {
-            self.conductor.ask_again(now, SeqId(id), &mut self.actions);
+            self.conductor.ask_again(now, SequenceId(id), &mut self.actions);
             self.carry_out(reply);
         }
         Ok(())
--- a/capacity/src/fleet/play.rs
+++ b/capacity/src/fleet/play.rs
@@ -10,8 +10,8 @@
 use crate::limits;
 use oorandom::Rand64;
 use petrelshore::interface::{
-    CellId, Condition, Deployment, ListScope, Listing, Nanos, PrefixId, Role, SeqId, ServerId, SessionId,
-    Step, TypeId, ZoneId,
+    CellId, Deployment, Endpoint, EndpointState, Nanos, PrefixId, Role, SequenceId, ServerId, SessionId,
+    SnapshotKind, Step, TrafficTypeId, ZoneId,
 };
 use petrelshore_gateway_core::proof::Ending;
 use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
@@ -42,7 +42,7 @@
     Arrival,
     Read { dispatch: Dispatch, gateway: usize, start: u64, kept: f64 },
     FirstToken { dispatch: Dispatch, gateway: usize, start: u64, token: Nanos },
-    Tokens { id: SeqId, gateway: usize },
+    Tokens { id: SequenceId, gateway: usize },
     StreamEnds { dispatch: Dispatch, gateway: usize, start: u64, tokens: f64 },
     Ends { dispatch: Dispatch, gateway: usize, ending: Ending },
     Due { gateway: usize },
@@ -105,7 +105,7 @@
     gateways: Vec<Gateway>,
     servers: Vec<ModelServer>,
     places: HashMap<ServerId, usize>,
-    open: HashMap<SeqId, Open>,
+    open: HashMap<SequenceId, Open>,
     next_id: u64,
     counts: Counts,
     slow_start: HashMap<usize, SlowStart>,
@@ -137,18 +137,18 @@
             let deployment = inventory::deployment(size, number % inventory::ZONES);
             let seed = setup.seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
             let mut conductor = Conductor::with(START, deployment, seed, setup.chooser);
-            conductor.listed(START, ListScope::Whole, &list);
+            conductor.listed(START, SnapshotKind::Full, &list);
             Gateway { conductor, due: Nanos::MAX, knows_lost: false }
         };
         let deployment = inventory::deployment(size, 0);
-        let servers = list.iter().map(|listing| ModelServer::new(listing.clone(), &deployment)).collect();
+        let servers = list.iter().map(|endpoint| ModelServer::new(endpoint.clone(), &deployment)).collect();
         let mut play = Play {
             random: Rand64::new(u128::from(setup.seed) + 1),
             traffic: Traffic::new(setup.seed, setup.rate, setup.gateways, setup.tenants),
             events: BinaryHeap::new(),
             numbers: 0,
             gateways: (0..setup.gateways).map(gateway).collect(),
-            places: list.iter().enumerate().map(|(place, listing)| (listing.server, place)).collect(),
+            places: list.iter().enumerate().map(|(place, endpoint)| (endpoint.server, place)).collect(),
             servers,
             open: HashMap::new(),
             next_id: 0,
@@ -224,7 +224,7 @@
         self.schedule(now + pause.max(1), Event::Arrival);
         let request = self.traffic.request();
         self.next_id += 1;
-        let id = SeqId(self.next_id);
+        let id = SequenceId(self.next_id);
         let counts = now >= self.at(WARM_UP) && now + DEADLINE < self.at(1.0);
         let prompt = request.prompt;
         if counts {
@@ -235,7 +235,7 @@
         self.open.insert(id, Open { request, arrived: now, read_at, begun: false, counts });
         let new = NewSequence {
             id,
-            traffic: TypeId(0),
+            traffic: TrafficTypeId(0),
             tenant: request.tenant,
             session: Some(SessionId(prompt.session)),
             prefix: Some(PrefixId(prompt.prefix)),
@@ -244,7 +244,7 @@
             max_out: 1_000.0,
             hint: None,
             resumed: false,
-            relay: Relay::Passed,
+            relay: Relay::Passthrough,
             abandon_at: now + DEADLINE,
             whole_by: None,
         };
@@ -271,7 +271,7 @@
         match action {
             Action::Send(dispatch) => self.send(now, gateway, dispatch),
             Action::Over { id, outcome, .. } => {
-                self.final_answer(now, id, outcome == petrelshore::interface::Outcome::Generated, false);
+                self.final_answer(now, id, outcome == petrelshore::interface::Outcome::Completed, false);
             }
             Action::Reject { id, .. } => self.final_answer(now, id, false, true),
             Action::Abort { id, .. } => self.final_answer(now, id, false, false),
@@ -283,7 +283,7 @@
     }
 
     /// The one final answer of a request: a second one, or a late one, breaks rule 1.
-    fn final_answer(&mut self, now: Nanos, id: SeqId, generated: bool, rejected: bool) {
+    fn final_answer(&mut self, now: Nanos, id: SequenceId, generated: bool, rejected: bool) {
         let Some(open) = self.open.remove(&id) else {
             self.counts.rules_broken += 1;
             return;
@@ -305,25 +305,25 @@
         };
         self.counts.attempts += u64::from(open.counts);
         let server = &mut self.servers[place];
-        if self.gateways[gateway].knows_lost && server.listing.zone == LOST {
+        if self.gateways[gateway].knows_lost && server.endpoint.zone == LOST {
             self.counts.rules_broken += 1;
         }
         if server.lost {
             let at = now + dispatch.connect_within.min(dispatch.limit);
             return self.schedule(at, Event::Ends { dispatch, gateway, ending: Ending::NotConnected });
         }
-        let reads = dispatch.step == Step::Read;
+        let reads = dispatch.step == Step::Prefill;
         let (prompt, answer) = (open.request.prompt, f64::from(open.request.answer));
         let tokens = prompt.tokens + answer;
         let outcome = if reads {
-            open.read_at = (server.listing.cell, server.listing.zone);
+            open.read_at = (server.endpoint.cell, server.endpoint.zone);
             server.read(now, &prompt)
         } else {
             server.write(now, tokens, open.read_at.0, open.read_at.1)
         };
         if open.counts && !reads {
             self.counts.decodes += 1;
-            self.counts.moved += u64::from(server.listing.cell != open.read_at.0);
+            self.counts.moved += u64::from(server.endpoint.cell != open.read_at.0);
         }
         if open.counts
             && let Outcome::Read { kept, .. } = outcome
@@ -355,11 +355,12 @@
             return;
         }
         let of_role = (0..self.setup.servers).filter(|number| inventory::prefills(*number)).count() as f64;
-        let servers = match self.role(&server.listing) {
-            Role::Reader => of_role,
+        let servers = match self.role(&server.endpoint) {
+            Role::Prefill => of_role,
             _ => self.setup.servers as f64 - of_role,
         };
-        let Deployment { cold_multiple, cold_window, .. } = self.deployment;
+        let Deployment { slow_start_overload_factor: cold_multiple, slow_start_window: cold_window, .. } =
+            self.deployment;
         let ordinary = self.setup.rate / servers.max(1.0) * seconds(cold_window);
         let allowed = cold_multiple * server.present(now) * ordinary;
         let calls = self.slow_start.entry(place).or_default();
@@ -367,8 +368,8 @@
         self.slow_start_worst = self.slow_start_worst.max(calls.worst());
     }
 
-    fn role(&self, listing: &Listing) -> Role {
-        self.deployment.kinds[listing.kind.0].role
+    fn role(&self, endpoint: &Endpoint) -> Role {
+        self.deployment.kinds[endpoint.kind.0].role
     }
 
     fn server_is(&self, id: ServerId, start: u64) -> bool {
@@ -400,7 +401,7 @@
         self.schedule(now + PROGRESS, Event::Tokens { id, gateway });
     }
 
-    fn tokens(&mut self, now: Nanos, gateway: usize, id: SeqId) {
+    fn tokens(&mut self, now: Nanos, gateway: usize, id: SequenceId) {
         if self.open.contains_key(&id) {
             self.gateways[gateway].conductor.progressed(now, id);
             self.schedule(now + PROGRESS, Event::Tokens { id, gateway });
@@ -409,7 +410,7 @@
 
     /// The model servers of a zone are lost, or back; each gateway is told some time later.
     fn zone(&mut self, now: Nanos, lost: bool) {
-        for (place, server) in self.servers.iter_mut().enumerate().filter(|(_, s)| s.listing.zone == LOST) {
+        for (place, server) in self.servers.iter_mut().enumerate().filter(|(_, s)| s.endpoint.zone == LOST) {
             if lost {
                 server.lost = true;
                 server.start += 1;
@@ -425,10 +426,11 @@
     }
 
     fn told(&mut self, now: Nanos, gateway: usize, lost: bool) {
-        let condition = if lost { Condition::Gone } else { Condition::Ready };
-        let of_zone = self.servers.iter().filter(|server| server.listing.zone == LOST);
-        let list: Vec<Listing> = of_zone.map(|s| Listing { condition, ..s.listing.clone() }).collect();
-        self.gateways[gateway].conductor.listed(now, ListScope::Changes, &list);
+        let condition = if lost { EndpointState::Gone } else { EndpointState::Ready };
+        let of_zone = self.servers.iter().filter(|server| server.endpoint.zone == LOST);
+        let list: Vec<Endpoint> =
+            of_zone.map(|s| Endpoint { state: condition, ..s.endpoint.clone() }).collect();
+        self.gateways[gateway].conductor.listed(now, SnapshotKind::Delta, &list);
         self.gateways[gateway].knows_lost = lost;
     }
 
@@ -443,10 +445,10 @@
     fn summary(&self, took: Duration) -> Summary {
         let Counts { requests, on_target, answered, refused, failed, .. } = self.counts;
         let part = |count: u64, of: u64| count as f64 / of.max(1) as f64;
-        let work = self.servers.iter().map(|server| (self.role(&server.listing), server.work));
+        let work = self.servers.iter().map(|server| (self.role(&server.endpoint), server.work));
         let by_role = work_by_role(work);
         let spread = |role: Role| Spread::of(by_role.get(&(role as usize)).cloned().unwrap_or_default());
-        let (prefill, decode) = (spread(Role::Reader), spread(Role::Writer));
+        let (prefill, decode) = (spread(Role::Prefill), spread(Role::Decode));
         let examined: u64 = self.gateways.iter().map(|gateway| gateway.conductor.examined()).sum();
         Summary {
             play: self.setup.scene.name().to_owned(),
--- a/capacity/src/fleet/servers.rs
+++ b/capacity/src/fleet/servers.rs
@@ -78,7 +78,7 @@
 }
 
 pub struct ModelServer {
-    pub listing: Listing,
+    pub endpoint: Endpoint,
     /// Another number for each start.
     pub start: u64,
     pub lost: bool,
@@ -94,14 +94,14 @@
 }
 
 impl ModelServer {
-    pub fn new(listing: Listing, deployment: &Deployment) -> Self {
+    pub fn new(endpoint: Endpoint, deployment: &Deployment) -> Self {
         ModelServer {
-            listing,
+            endpoint,
             start: 0,
             lost: false,
             cold_until: 0,
-            slow_start: deployment.cold_for,
-            cold_from: deployment.cold_from,
+            slow_start: deployment.slow_start_duration,
+            cold_from: deployment.slow_start_initial_share,
             busy_until: 0,
             cache: Cache::default(),
             streams: 0,
@@ -112,9 +112,9 @@
 
     /// Starts anew, cold and empty.
     pub fn restart(&mut self, now: Nanos) {
-        let listing = Listing { since: now, condition: Condition::Ready, ..self.listing.clone() };
+        let endpoint = Endpoint { started_at: now, state: EndpointState::Ready, ..self.endpoint.clone() };
         self.start += 1;
-        (self.listing, self.lost) = (listing, false);
+        (self.endpoint, self.lost) = (endpoint, false);
         self.cold_until = now + self.slow_start;
         (self.busy_until, self.cache) = (now, Cache::default());
         (self.streams, self.tokens) = (0, 0.0);
@@ -155,7 +155,7 @@
         self.streams += 1;
         self.tokens += tokens;
         self.work += 1.0;
-        let moves = match (self.listing.cell == cell, self.listing.zone == zone) {
+        let moves = match (self.endpoint.cell == cell, self.endpoint.zone == zone) {
             (true, _) => 0,
             (false, true) => MOVE_CELL,
             (false, false) => MOVE_ZONE,
@@ -171,9 +171,9 @@
     }
 
     /// The load that goes with an answer.
-    pub fn report(&self, now: Nanos) -> Report {
+    pub fn report(&self, now: Nanos) -> LoadReport {
         let queue = self.busy_until.saturating_sub(now) as f64 / 1e9 * PREFILL_RATE;
-        Report {
+        LoadReport {
             memory_share: Some(self.tokens / MEMORY_TOKENS),
             queued_prompt_tokens: Some(queue),
             in_flight: Some(self.streams as f64),
--- a/capacity/src/inventory.rs
+++ b/capacity/src/inventory.rs
@@ -29,33 +29,35 @@
 
 pub fn deployment(size: Size, zone: usize) -> Deployment {
     let traffic = TrafficType {
-        utility: 1.0,
+        priority_weight: 1.0,
         latency_slo: 1_500 * MILLISECOND,
         slo_per_prompt_token: 0,
-        token_pace: 38 * MILLISECOND,
-        effect: Effect::Repeatable,
+        token_interval: 38 * MILLISECOND,
+        idempotency: Idempotency::Idempotent,
         delivery: Delivery::Streamed,
     };
     Deployment {
         gateways: size.gateways,
         zone: ZoneId(zone),
         types: vec![traffic],
-        kinds: [Role::Reader, Role::Writer].map(|role| Kind { role, memory_tokens: MEMORY_TOKENS }).into(),
+        kinds: [Role::Prefill, Role::Decode]
+            .map(|role| ServerKind { role, memory_tokens: MEMORY_TOKENS })
+            .into(),
         tenants: vec![Tenant { per_second: size.tenant_rate }; size.tenants],
-        over_share_utility: 0.1,
+        over_quota_factor: 0.1,
         weights: Weights::Unused,
         discovery: Discovery::Pushed,
-        ask_within: SECOND,
+        max_poll_interval: SECOND,
         max_attempts: 4,
-        longest_retry_after: Some(SECOND),
-        writers_read: false,
-        release_within: 500 * MILLISECOND,
-        cold_for: size.slow_start,
-        cold_from: 0.3,
-        cold_multiple: 2.5,
-        cold_window: 2 * SECOND,
-        tick: 0,
-        start_stamps: StartStamps::OwnClock,
+        max_retry_after: Some(SECOND),
+        decode_servers_prefill: false,
+        release_timeout: 500 * MILLISECOND,
+        slow_start_duration: size.slow_start,
+        slow_start_initial_share: 0.3,
+        slow_start_overload_factor: 2.5,
+        slow_start_window: 2 * SECOND,
+        timer_resolution: 0,
+        start_time_clock: StartTimeClock::Local,
     }
 }
 
@@ -69,21 +71,21 @@
     (number * PREFILL.0) % PREFILL.1 < PREFILL.0
 }
 
-pub fn listing(number: u64, since: Nanos) -> Listing {
-    Listing {
+pub fn endpoint(number: u64, since: Nanos) -> Endpoint {
+    Endpoint {
         server: ServerId(number.wrapping_add(1).wrapping_mul(SPREAD)),
-        kind: KindId(usize::from(!prefills(number))),
+        kind: ServerKindId(usize::from(!prefills(number))),
         cell: CellId((number / CELL) as i64),
         zone: ZoneId(zone_of(number)),
         weight: 1.0,
-        since,
-        condition: Condition::Ready,
+        started_at: since,
+        state: EndpointState::Ready,
     }
 }
 
 /// A list of so many servers, of which this share started at `started` and the others long ago.
-pub fn fleet(servers: u64, slow_start: f64, started: Nanos) -> Vec<Listing> {
+pub fn fleet(servers: u64, slow_start: f64, started: Nanos) -> Vec<Endpoint> {
     let cold =
         |number: u64| ((number + 1) as f64 * slow_start).floor() > (number as f64 * slow_start).floor();
-    (0..servers).map(|number| listing(number, if cold(number) { started } else { 0 })).collect()
+    (0..servers).map(|number| endpoint(number, if cold(number) { started } else { 0 })).collect()
 }
--- a/capacity/src/slopes.rs
+++ b/capacity/src/slopes.rs
@@ -212,16 +212,16 @@
 }
 
 /// An entry as discovery sends it.
-fn entry(listing: &Listing) -> Value {
+fn entry(endpoint: &Endpoint) -> Value {
     json!({
-        "name": format!("s-{:016x}", listing.server.0),
+        "name": format!("s-{:016x}", endpoint.server.0),
         "address": "127.0.0.1:9000",
-        "zone": format!("zone-{}", listing.zone.0),
-        "type": if listing.kind.0 == 0 { "prefill" } else { "decode" },
-        "group": listing.cell.0,
+        "zone": format!("zone-{}", endpoint.zone.0),
+        "type": if endpoint.kind.0 == 0 { "prefill" } else { "decode" },
+        "group": endpoint.cell.0,
         "status": "active",
         "weight": 1.0,
-        "since_ms": listing.since / inventory::MILLISECOND,
+        "since_ms": endpoint.started_at / inventory::MILLISECOND,
     })
 }
 
@@ -239,9 +239,9 @@
         let list = serde_json::from_str(text).ok().and_then(|json| listed(&json, &names).ok());
         decode.push(from.elapsed());
         let Some(list) = list else { continue };
-        let listings: Vec<Listing> = list.entries.into_iter().map(|(listing, _)| listing).collect();
+        let endpoints: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
         let (now, from) = (warm.now(), Instant::now());
-        warm.conductor().listed(now, list.scope, &listings);
+        warm.conductor().listed(now, list.scope, &endpoints);
         apply.push(from.elapsed());
         let from = Instant::now();
         warm.request();
--- a/capacity/src/warm.rs
+++ b/capacity/src/warm.rs
@@ -34,10 +34,10 @@
 }
 
 impl Warm {
-    pub fn new(load: Load, list: &[Listing], chooser: Chooser) -> Self {
+    pub fn new(load: Load, list: &[Endpoint], chooser: Chooser) -> Self {
         let deployment = inventory::deployment(load.size, 0);
         let mut conductor = Conductor::with(SECOND, deployment, 7, chooser);
-        conductor.listed(SECOND, ListScope::Whole, list);
+        conductor.listed(SECOND, SnapshotKind::Full, list);
         Warm { conductor, load, now: 2 * SECOND, next: 0, sent: 0 }
     }
 
@@ -62,11 +62,11 @@
     pub fn request(&mut self) {
         let began = self.now;
         self.next += 1;
-        let id = SeqId(self.next);
+        let id = SequenceId(self.next);
         let tenants = self.load.size.tenants as u64;
         let new = NewSequence {
             id,
-            traffic: TypeId(0),
+            traffic: TrafficTypeId(0),
             tenant: (tenants > 0).then(|| TenantId((self.next % tenants) as usize)),
             session: Some(SessionId(self.next % self.load.sessions.max(1))),
             prefix: Some(PrefixId(1 + self.next % self.load.prefixes.max(1))),
@@ -93,7 +93,7 @@
     }
 
     /// A server answers an attempt, or its time runs out.
-    fn answer(&mut self, id: SeqId, dispatch: Dispatch, out: &mut Vec<Action>) {
+    fn answer(&mut self, id: SequenceId, dispatch: Dispatch, out: &mut Vec<Action>) {
         if self.silent(dispatch.server) {
             self.now += dispatch.limit;
             self.conductor.due(self.now, out);
@@ -101,9 +101,9 @@
         }
         self.now += STEP;
         let report =
-            Report { memory_share: Some(0.2), queued_prompt_tokens: Some(500.0), in_flight: Some(2.0) };
+            LoadReport { memory_share: Some(0.2), queued_prompt_tokens: Some(500.0), in_flight: Some(2.0) };
         self.conductor.reported(self.now, dispatch.server, report);
-        if dispatch.step == Step::Read {
+        if dispatch.step == Step::Prefill {
             let ending = Ending::ReadDone { kept: 400.0 };
             return self.conductor.ended(self.now, id, dispatch.attempt, ending, out);
         }
--- a/chat-api/src/request.rs
+++ b/chat-api/src/request.rs
@@ -79,7 +79,7 @@
         stop: stops(&fields)?,
         sampling: sampling(&fields)?,
         session,
-        relay: if stream { Relay::Streamed } else { Relay::Whole },
+        relay: if stream { Relay::Streamed } else { Relay::Buffered },
     };
     Ok(Chat { call, include_usage })
 }
--- a/chat-gateway/src/answer.rs
+++ b/chat-gateway/src/answer.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Inner;
 use async_channel::{Receiver, TryRecvError};
 use event_listener::Event;
-use petrelshore::interface::SeqId;
+use petrelshore::interface::SequenceId;
 use petrelshore_gateway_core::desk::{Final, Request};
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 
 /// An answer on its way. Dropping it before its end tells the gateway that the client has left.
 pub struct Answer {
-    pub(crate) id: SeqId,
+    pub(crate) id: SequenceId,
     pub(crate) gateway: Rc<Inner>,
     pub(crate) texts: Receiver<String>,
     pub(crate) ended: Rc<Event>,
@@ -34,7 +34,7 @@
 }
 
 impl Answer {
-    pub fn id(&self) -> SeqId {
+    pub fn id(&self) -> SequenceId {
         self.id
     }
 
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -74,7 +74,7 @@
     addresses: RefCell<BTreeMap<ServerId, SocketAddr>>,
     /// Where servers were reached that are listed no more, the last to leave at the end: they may run on.
     former: RefCell<VecDeque<(ServerId, SocketAddr)>>,
-    tickets: RefCell<HashMap<SeqId, Ticket>>,
+    tickets: RefCell<HashMap<SequenceId, Ticket>>,
     timers: Timers,
     /// A list that could not be kept is being stored again.
     storing: Cell<bool>,
@@ -308,7 +308,7 @@
         };
         let inner = self.clone();
         let task = self.spawner.spawn(async move {
-            if dispatch.step == Step::Read {
+            if dispatch.step == Step::Prefill {
                 inner.read(dispatch, request).await;
             } else {
                 inner.write(dispatch, request).await;
@@ -363,7 +363,7 @@
     }
 
     /// Hands a piece on. Where the client does not take it, the writer waits, and the desk is told so.
-    async fn relay(self: &Rc<Self>, id: SeqId, piece: Piece) -> bool {
+    async fn relay(self: &Rc<Self>, id: SequenceId, piece: Piece) -> bool {
         let text = match self.desk.borrow_mut().piece(id, piece) {
             Some(Some(text)) => text,
             Some(None) => return true,
@@ -396,7 +396,7 @@
     }
 
     /// An attempt that tells its own end runs on to the end of its task.
-    fn detach(&self, id: SeqId, attempt: usize) {
+    fn detach(&self, id: SequenceId, attempt: usize) {
         let mut tickets = self.tickets.borrow_mut();
         let out = tickets.get_mut(&id).and_then(|ticket| ticket.attempt.take_if(|(out, _)| *out == attempt));
         out.into_iter().for_each(|(_, task)| task.detach());
@@ -411,7 +411,7 @@
             change.into_iter().for_each(|change| self.listed(change));
         }
         if load.memory_share.is_some() || load.queued_prompt_tokens.is_some() {
-            let report = Report {
+            let report = LoadReport {
                 memory_share: load.memory_share,
                 queued_prompt_tokens: load.queued_prompt_tokens,
                 in_flight: None,
@@ -423,7 +423,7 @@
     fn listed(&self, change: Change) {
         let now = self.clock.now();
         self.desk.borrow_mut().listed(now, change.scope, &change.entries);
-        if change.scope != ListScope::Changes {
+        if change.scope != SnapshotKind::Delta {
             let membership = self.membership.borrow();
             let servers = &membership.list().servers;
             let listed: BTreeMap<_, _> = servers.iter().map(|s| (s.id(), s.address)).collect();
@@ -468,7 +468,7 @@
     }
 
     /// Breaks an attempt off by closing its connection.
-    fn cancel(self: &Rc<Self>, id: SeqId, attempt: usize) {
+    fn cancel(self: &Rc<Self>, id: SequenceId, attempt: usize) {
         let out = {
             let mut tickets = self.tickets.borrow_mut();
             tickets.get_mut(&id).and_then(|ticket| ticket.attempt.take_if(|(out, _)| *out == attempt))
@@ -500,7 +500,7 @@
     }
 
     /// The one final answer: the front reads it once it has read all texts before it.
-    fn answer(&self, id: SeqId, last: Final) {
+    fn answer(&self, id: SequenceId, last: Final) {
         debug!(seq = id.0, ?last, "final answer");
         if let Some(ticket) = self.tickets.borrow_mut().get_mut(&id) {
             ticket.last = Some(last);
@@ -510,19 +510,19 @@
         self.emptied.notify(usize::MAX);
     }
 
-    pub(crate) fn take_final(&self, id: SeqId) -> Option<Final> {
+    pub(crate) fn take_final(&self, id: SequenceId) -> Option<Final> {
         self.tickets.borrow_mut().get_mut(&id).and_then(|ticket| ticket.last.take())
     }
 
     /// The final answer, where it is there and is none that was generated.
-    pub(crate) fn given_up(&self, id: SeqId) -> Option<Final> {
+    pub(crate) fn given_up(&self, id: SequenceId) -> Option<Final> {
         let tickets = self.tickets.borrow();
         let last = tickets.get(&id).and_then(|ticket| ticket.last.clone());
         last.filter(|last| !matches!(last, Final::Generated { .. }))
     }
 
     /// The front has let go of its answer; `over` where it had read the end of it.
-    pub(crate) fn left(self: &Rc<Self>, id: SeqId, over: bool) {
+    pub(crate) fn left(self: &Rc<Self>, id: SequenceId, over: bool) {
         self.tell(|desk, now, out| desk.left(now, id, over, out));
         // Dropping the ticket breaks off whatever of it still runs.
         let ticket = self.tickets.borrow_mut().remove(&id);
--- a/chat-gateway/src/lib.rs
+++ b/chat-gateway/src/lib.rs
@@ -12,7 +12,7 @@
 pub use answer::{Answer, Ask, Next};
 pub use clock::Clock;
 pub use gateway::{Gateway, ReloadError};
-pub use petrelshore::interface::Effect;
+pub use petrelshore::interface::Idempotency;
 pub use petrelshore_engine_client::Spawner;
 pub use petrelshore_gateway_core::Chooser;
 pub use petrelshore_gateway_core::desk::{Final, Refusal, Request, Usage};
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -128,7 +128,7 @@
     }
     say("clients are done".to_owned());
     // Whatever should be let go has had its time.
-    Timer::after(Duration::from_nanos(2 * play.settings.deployment.release_within)).await;
+    Timer::after(Duration::from_nanos(2 * play.settings.deployment.release_timeout)).await;
     let left_in_gateways =
         play.gateways.borrow().iter().flatten().map(|running| running.gateway.held()).sum();
     let entries = record.entries();
@@ -139,13 +139,13 @@
 
 /// The rules' figures, as the gateways' settings have them.
 pub fn figures(settings: &Settings) -> Figures {
-    use petrelshore_chat_gateway::Effect as Kind;
-    let mut figures = Figures::new(settings.deployment.release_within, DRAIN_GRACE);
+    use petrelshore_chat_gateway::Idempotency as Kind;
+    let mut figures = Figures::new(settings.deployment.release_timeout, DRAIN_GRACE);
     for traffic in &settings.traffic {
         let effect = match traffic.effect {
-            Kind::Repeatable => Effect::Repeatable,
-            Kind::OnceOnly => Effect::OnceOnly,
-            Kind::Tokened { window, .. } => Effect::TokenedInCell(window),
+            Kind::Idempotent => Effect::Repeatable,
+            Kind::AtMostOnce => Effect::OnceOnly,
+            Kind::Keyed { window, .. } => Effect::TokenedInCell(window),
         };
         figures.effects.insert(traffic.name.clone(), effect);
     }
@@ -303,7 +303,7 @@
         tried.in_time =
             answer == FinalSeen::Generated && first.is_some_and(|after| after <= kind.latency_slo);
         // A client may also come again after a broken connection where its work may run again.
-        let repeatable = matches!(traffic.effect, petrelshore_chat_gateway::Effect::Repeatable);
+        let repeatable = matches!(traffic.effect, petrelshore_chat_gateway::Idempotency::Idempotent);
         let again = matches!(answer, FinalSeen::Rejected | FinalSeen::Refused)
             || (answer == FinalSeen::Nothing && (repeatable || seen.status == 0 && seen.took < SECOND / 100));
         if !again {
@@ -334,7 +334,8 @@
             continue;
         }
         let position = play.settings.traffic.iter().position(|traffic| traffic.name == tried.model);
-        let utility = position.map_or(0.0, |position| play.settings.deployment.types[position].utility);
+        let utility =
+            position.map_or(0.0, |position| play.settings.deployment.types[position].priority_weight);
         let (asked, served) = utilities.entry(tried.front).or_default();
         *asked += utility;
         *served += if tried.in_time { utility } else { 0.0 };
--- a/gateway-core/src/audit.rs
+++ b/gateway-core/src/audit.rs
@@ -35,33 +35,33 @@
 
 impl Audit {
     /// The last attempt of a sequence is about to be sent.
-    pub fn attempt(&mut self, now: Nanos, seq: &Sequence, effect: Effect) {
+    pub fn attempt(&mut self, now: Nanos, seq: &Sequence, effect: Idempotency) {
         let Some((last, earlier)) = seq.attempts.split_last() else { return };
-        let open = earlier.iter().any(|attempt| !matches!(attempt.status, Status::Closed(_)));
-        self.holds(!seq.ended, Breach::SentAfterEnd);
+        let open = earlier.iter().any(|attempt| !matches!(attempt.status, AttemptStatus::Finished(_)));
+        self.holds(!seq.completed, Breach::SentAfterEnd);
         self.holds(!open, Breach::SecondCopy);
         let may_repeat = match (first_that_ran(earlier), effect) {
-            (None, _) | (_, Effect::Repeatable) => true,
-            (Some(first), Effect::Tokened { window, .. }) => now < first.sent.saturating_add(window),
-            (Some(_), Effect::OnceOnly) => last.step == Step::Read,
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(first), Idempotency::Keyed { window, .. }) => now < first.sent_at.saturating_add(window),
+            (Some(_), Idempotency::AtMostOnce) => last.step == Step::Prefill,
         };
         self.holds(may_repeat, Breach::RepeatedEffect);
     }
 
     /// Its client is told that trying again is harmless.
-    pub fn rejection(&mut self, now: Nanos, seq: &Sequence, effect: Effect) {
+    pub fn rejection(&mut self, now: Nanos, seq: &Sequence, effect: Idempotency) {
         let harmless = match (maybe_ran(seq), effect) {
-            (None, _) | (_, Effect::Repeatable) => true,
-            (Some(first), Effect::Tokened { window, .. }) => now < first.sent.saturating_add(window),
-            (Some(_), Effect::OnceOnly) => false,
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(first), Idempotency::Keyed { window, .. }) => now < first.sent_at.saturating_add(window),
+            (Some(_), Idempotency::AtMostOnce) => false,
         };
         self.holds(harmless, Breach::FalseRejection);
     }
 
     /// A final answer is given before any token has come.
     pub fn final_answer(&mut self, now: Nanos, seq: &Sequence) {
-        let streamed = seq.attempts.iter().any(|attempt| attempt.status == Status::Streaming);
-        let in_time = now <= seq.abandon_at.saturating_add(ANSWER_SLACK);
+        let streamed = seq.attempts.iter().any(|attempt| attempt.status == AttemptStatus::Streaming);
+        let in_time = now <= seq.first_token_deadline.saturating_add(ANSWER_SLACK);
         self.holds(streamed || in_time, Breach::LateAnswer);
     }
 
--- a/gateway-core/src/conductor.rs
+++ b/gateway-core/src/conductor.rs
@@ -14,17 +14,17 @@
 pub enum Relay {
     /// The client sees each token: a stream that breaks has ended for it.
     Streamed,
-    /// The client has seen nothing before the end: a broken stream may be written again.
-    Whole,
+    /// The client has seen nothing before the end: a broken stream may be decoded again.
+    Buffered,
     /// The client gets one writer's own events, unchanged: a stream that breaks has ended for good.
-    Passed,
+    Passthrough,
 }
 
 /// A sequence as a front hands it over.
 #[derive(Clone, Debug)]
 pub struct NewSequence {
-    pub id: SeqId,
-    pub traffic: TypeId,
+    pub id: SequenceId,
+    pub traffic: TrafficTypeId,
     pub tenant: Option<TenantId>,
     pub session: Option<SessionId>,
     pub prefix: Option<PrefixId>,
@@ -43,7 +43,7 @@
 /// An attempt to be sent now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Dispatch {
-    pub id: SeqId,
+    pub id: SequenceId,
     /// Number of the attempt within its sequence, from zero.
     pub attempt: usize,
     pub server: ServerId,
@@ -92,35 +92,35 @@
     Send(Dispatch),
     /// Break an attempt off; of a read, let go of what it may leave behind.
     Cancel {
-        id: SeqId,
+        id: SequenceId,
         attempt: usize,
         server: ServerId,
         step: Step,
     },
     /// Let go of every state held for it that no attempt waits on.
     Release {
-        id: SeqId,
+        id: SequenceId,
     },
     /// Final: trying again is harmless.
     Reject {
-        id: SeqId,
+        id: SequenceId,
         retry_after: Option<Nanos>,
         reason: Reason,
     },
     /// Final: nothing is promised.
     Abort {
-        id: SeqId,
+        id: SequenceId,
         reason: Reason,
     },
     /// Final: the last attempt's outcome ended it.
     Over {
-        id: SeqId,
+        id: SequenceId,
         outcome: Outcome,
         reason: Option<Reason>,
     },
     /// Ask again at that time. Shells that run [`Conductor::due`] need not act.
     AskAt {
-        id: SeqId,
+        id: SequenceId,
         at: Nanos,
     },
     /// Ask for the list at that time.
@@ -162,8 +162,8 @@
 pub struct Conductor {
     scheduler: Policy,
     types: Vec<TrafficType>,
-    held: HashMap<SeqId, Held>,
-    timers: BTreeSet<(Nanos, SeqId)>,
+    held: HashMap<SequenceId, Held>,
+    timers: BTreeSet<(Nanos, SequenceId)>,
     draining: bool,
     counts: Counts,
     release_within: Nanos,
@@ -179,7 +179,7 @@
     pub fn with(now: Nanos, deployment: Deployment, seed: u64, chooser: Chooser) -> Self {
         Conductor {
             types: deployment.types.clone(),
-            release_within: deployment.release_within,
+            release_within: deployment.release_timeout,
             audit: Audit::default(),
             scheduler: Policy::new(now, deployment, seed, chooser),
             held: HashMap::new(),
@@ -197,7 +197,7 @@
             relay: new.relay,
             due: NEVER,
             ends_by: match new.relay {
-                Relay::Passed => pace::passed_ends_by(new.abandon_at, new.max_out),
+                Relay::Passthrough => pace::passed_ends_by(new.abandon_at, new.max_out),
                 _ => pace::ends_by(new.abandon_at, &self.types[new.traffic.0], new.max_out),
             }
             .min(new.whole_by.unwrap_or(NEVER)),
@@ -214,16 +214,16 @@
                 prefix: new.prefix,
                 prompt_tokens: new.prompt_tokens,
                 prefix_tokens: new.prefix_tokens,
-                max_out: new.max_out,
-                hint: new.hint,
+                max_output_tokens: new.max_out,
+                output_length_hint: new.hint,
                 resumed: new.resumed,
-                arrived: now,
-                abandon_at: new.abandon_at,
+                arrived_at: now,
+                first_token_deadline: new.abandon_at,
                 attempts: Vec::new(),
-                state: None,
-                held_since: None,
+                kv_cache: None,
+                cache_held_since: None,
                 admitted: false,
-                ended: false,
+                completed: false,
             },
         };
         self.held.insert(id, held);
@@ -236,17 +236,17 @@
 
     /// Its server has an attempt: its last byte went out on a connection that has just come up, or that still proves
     /// to lead there. Endings that are answers prove it by themselves.
-    pub fn reached(&mut self, id: SeqId, attempt: usize) {
+    pub fn reached(&mut self, id: SequenceId, attempt: usize) {
         let held = self.held.get_mut(&id);
         if let Some(attempt) = held.and_then(|held| held.seq.attempts.get_mut(attempt)) {
-            attempt.reached = true;
+            attempt.delivered = true;
         }
     }
 
     /// The first token of an attempt has come.
-    pub fn began(&mut self, now: Nanos, id: SeqId, attempt: usize) {
+    pub fn began(&mut self, now: Nanos, id: SequenceId, attempt: usize) {
         let Some(held) = self.held.get_mut(&id) else { return };
-        if held.seq.attempts.get(attempt).is_none_or(|a| a.status != Status::Out) {
+        if held.seq.attempts.get(attempt).is_none_or(|a| a.status != AttemptStatus::InFlight) {
             return;
         }
         self.scheduler.began(now, &mut held.seq, attempt);
@@ -256,7 +256,7 @@
     }
 
     /// A token of a running stream has come.
-    pub fn progressed(&mut self, now: Nanos, id: SeqId) {
+    pub fn progressed(&mut self, now: Nanos, id: SequenceId) {
         // The timer is moved when it comes due, not for each token.
         if let Some(held) = self.held.get_mut(&id) {
             held.heard = now;
@@ -265,7 +265,7 @@
     }
 
     /// The client has stopped taking its stream, or takes it again.
-    pub fn stalled(&mut self, now: Nanos, id: SeqId, stalled: bool) {
+    pub fn stalled(&mut self, now: Nanos, id: SequenceId, stalled: bool) {
         let Some(held) = self.held.get_mut(&id) else { return };
         held.heard = now;
         held.stalled_since = stalled.then_some(now);
@@ -273,33 +273,40 @@
     }
 
     /// An attempt has ended, as its socket showed. What the client has seen of it decides whether it goes on.
-    pub fn ended(&mut self, now: Nanos, id: SeqId, attempt: usize, ending: Ending, out: &mut Vec<Action>) {
+    pub fn ended(
+        &mut self,
+        now: Nanos,
+        id: SequenceId,
+        attempt: usize,
+        ending: Ending,
+        out: &mut Vec<Action>,
+    ) {
         let Some(held) = self.held.get(&id) else { return };
         let Some(status) = held.seq.attempts.get(attempt).map(|a| a.status) else { return };
-        let began = status == Status::Streaming;
+        let began = status == AttemptStatus::Streaming;
         if ending.answered() {
             self.reached(id, attempt);
         }
         let Some(held) = self.held.get(&id) else { return };
         let outcome = ending.outcome(began);
-        let broke = began && outcome != Outcome::Generated && held.relay != Relay::Whole;
-        let last = outcome == Outcome::Generated || (broke && !self.goes_on(now, id));
-        let reason = (outcome != Outcome::Generated).then_some(Reason::Broken);
+        let broke = began && outcome != Outcome::Completed && held.relay != Relay::Buffered;
+        let last = outcome == Outcome::Completed || (broke && !self.goes_on(now, id));
+        let reason = (outcome != Outcome::Completed).then_some(Reason::Broken);
         self.settle(now, id, attempt, outcome, last, reason, out);
     }
 
     /// Makes a stream that broke ready to go on after its last token; false where it ends here.
-    fn goes_on(&mut self, now: Nanos, id: SeqId) -> bool {
-        let goes = |held: &&mut Held| !held.seq.ended && held.relay != Relay::Passed;
+    fn goes_on(&mut self, now: Nanos, id: SequenceId) -> bool {
+        let goes = |held: &&mut Held| !held.seq.completed && held.relay != Relay::Passthrough;
         let Some(held) = self.held.get_mut(&id).filter(goes) else { return false };
         let done = f64::from(held.tokens);
-        let max_out = held.seq.max_out + f64::from(held.done);
+        let max_out = held.seq.max_output_tokens + f64::from(held.done);
         let broken = BrokenStream { went_on: held.went_on, tokens: done, max_out, ends_by: held.ends_by };
         let Some(until) = go_on(now, &self.types[held.seq.traffic.0], &broken) else { return false };
         // What the client has seen is part of the prompt now.
         held.seq.prompt_tokens += done - f64::from(held.done);
-        held.seq.max_out = max_out - done;
-        (held.seq.resumed, held.seq.abandon_at) = (true, until);
+        held.seq.max_output_tokens = max_out - done;
+        (held.seq.resumed, held.seq.first_token_deadline) = (true, until);
         (held.went_on, held.done) = (held.went_on + 1, held.tokens);
         true
     }
@@ -308,28 +315,28 @@
     pub fn closed(
         &mut self,
         now: Nanos,
-        id: SeqId,
+        id: SequenceId,
         attempt: usize,
         outcome: Outcome,
         last: bool,
         out: &mut Vec<Action>,
     ) {
-        let reason = (outcome != Outcome::Generated).then_some(Reason::Broken);
+        let reason = (outcome != Outcome::Completed).then_some(Reason::Broken);
         // Whoever knows an outcome knows that it was sent; those that prove the opposite say so.
         self.reached(id, attempt);
         self.settle(now, id, attempt, outcome, last, reason, out);
     }
 
     /// The client has left. What runs for it is broken off, what is held for it is let go.
-    pub fn withdrawn(&mut self, id: SeqId, out: &mut Vec<Action>) {
+    pub fn withdrawn(&mut self, id: SequenceId, out: &mut Vec<Action>) {
         let Some(held) = self.held.get_mut(&id) else { return };
-        if !held.seq.ended {
-            held.seq.ended = true;
+        if !held.seq.completed {
+            held.seq.completed = true;
             self.counts.withdrawn += 1;
         }
         if let Some(attempt) = held.seq.attempts.len().checked_sub(1) {
             let last = &held.seq.attempts[attempt];
-            if !matches!(last.status, Status::Closed(_)) {
+            if !matches!(last.status, AttemptStatus::Finished(_)) {
                 out.push(Action::Cancel { id, attempt, server: last.server, step: last.step });
             }
         }
@@ -339,7 +346,7 @@
     }
 
     /// The list of servers, or what has changed in it.
-    pub fn listed(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) {
+    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
         self.scheduler.listed(now, scope, entries);
     }
 
@@ -348,7 +355,7 @@
         out.push(Action::AskList { at: now + self.scheduler.refused() });
     }
 
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: Report) {
+    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         self.scheduler.reported(now, server, report);
     }
 
@@ -369,7 +376,7 @@
     }
 
     /// Asks again for a sequence that nothing could take, where a shell keeps that timer itself.
-    pub fn ask_again(&mut self, now: Nanos, id: SeqId, out: &mut Vec<Action>) {
+    pub fn ask_again(&mut self, now: Nanos, id: SequenceId, out: &mut Vec<Action>) {
         self.schedule(now, id, Reason::NoRoom, out);
     }
 
@@ -381,7 +388,7 @@
     /// Ends so many of the streams that run, for their clients to ask for the rest elsewhere, the newest first: they
     /// have the most left. Those that were moved before go last, as each move costs a read. What has not begun goes on.
     pub fn finish_streams(&mut self, now: Nanos, most: usize, out: &mut Vec<Action>) {
-        let mut running: Vec<(bool, Reverse<Nanos>, SeqId)> = self.running().collect();
+        let mut running: Vec<(bool, Reverse<Nanos>, SequenceId)> = self.running().collect();
         running.sort_unstable();
         for (.., id) in running.into_iter().take(most) {
             self.finish(now, id, Reason::Draining, out);
@@ -393,15 +400,19 @@
         self.running().count()
     }
 
-    fn running(&self) -> impl Iterator<Item = (bool, Reverse<Nanos>, SeqId)> {
-        let streams = |held: &&Held| held.seq.attempts.last().is_some_and(|a| a.status == Status::Streaming);
-        self.held.values().filter(streams).map(|Held { seq, .. }| (seq.resumed, Reverse(seq.arrived), seq.id))
+    fn running(&self) -> impl Iterator<Item = (bool, Reverse<Nanos>, SequenceId)> {
+        let streams =
+            |held: &&Held| held.seq.attempts.last().is_some_and(|a| a.status == AttemptStatus::Streaming);
+        self.held
+            .values()
+            .filter(streams)
+            .map(|Held { seq, .. }| (seq.resumed, Reverse(seq.arrived_at), seq.id))
     }
 
     /// The time to drain is over: whatever is in hand gets its final answer now.
     pub fn finish_all(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.draining = true;
-        let mut ids: Vec<SeqId> = self.held.keys().copied().collect();
+        let mut ids: Vec<SequenceId> = self.held.keys().copied().collect();
         ids.sort_unstable();
         for id in ids {
             self.finish(now, id, Reason::Draining, out);
@@ -409,7 +420,7 @@
     }
 
     /// Whether anything of a sequence is left: its answer owed, or an attempt out.
-    pub fn holds(&self, id: SeqId) -> bool {
+    pub fn holds(&self, id: SequenceId) -> bool {
         self.held.contains_key(&id)
     }
 
@@ -434,12 +445,12 @@
     }
 
     /// Carries out what the decisions answer for a sequence without an attempt out.
-    fn schedule(&mut self, now: Nanos, id: SeqId, why: Reason, out: &mut Vec<Action>) {
+    fn schedule(&mut self, now: Nanos, id: SequenceId, why: Reason, out: &mut Vec<Action>) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let send_by = self.scheduler.send_by(&held.seq).unwrap_or(NEVER);
-        let (held_since, effect) = (held.seq.held_since, self.types[held.seq.traffic.0].effect);
+        let (held_since, effect) = (held.seq.cache_held_since, self.types[held.seq.traffic.0].idempotency);
         let release = match self.scheduler.schedule(now, &mut held.seq) {
-            Schedule::Send(server) => {
+            Decision::Send(server) => {
                 self.audit.attempt(now, &held.seq, effect);
                 let limit = self.scheduler.wait(now, &held.seq).max(1);
                 self.counts.attempts += 1;
@@ -451,9 +462,9 @@
                 self.arm(id, now.saturating_add(limit));
                 return;
             }
-            Schedule::NotYet => {
-                let closed = |a: &Attempt| matches!(a.status, Status::Closed(_));
-                if !held.seq.ended && held.seq.attempts.iter().all(closed) {
+            Decision::Wait => {
+                let closed = |a: &Attempt| matches!(a.status, AttemptStatus::Finished(_));
+                if !held.seq.completed && held.seq.attempts.iter().all(closed) {
                     let at = now + self.scheduler.wait(now, &held.seq).max(1);
                     out.push(Action::AskAt { id, at });
                     self.arm(id, at);
@@ -461,12 +472,12 @@
                 return;
             }
             // Its client has seen part of the answer: that is no rejection, whatever may run again.
-            Schedule::Rejected { release, .. } if held.went_on > 0 => {
+            Decision::Reject { release, .. } if held.went_on > 0 => {
                 self.counts.aborted += 1;
                 out.push(Action::Abort { id, reason: Reason::Broken });
                 release
             }
-            Schedule::Rejected { retry_after, release } => {
+            Decision::Reject { retry_after, release } => {
                 self.counts.rejected += 1;
                 self.audit.rejection(now, &held.seq, effect);
                 self.audit.final_answer(now, &held.seq);
@@ -474,7 +485,7 @@
                 out.push(Action::Reject { id, retry_after, reason });
                 release
             }
-            Schedule::Aborted { release } => {
+            Decision::Abort { release } => {
                 self.counts.aborted += 1;
                 self.audit.final_answer(now, &held.seq);
                 let reason = given_up(now, &held.seq, why);
@@ -494,7 +505,7 @@
     fn settle(
         &mut self,
         now: Nanos,
-        id: SeqId,
+        id: SequenceId,
         attempt: usize,
         outcome: Outcome,
         last: bool,
@@ -502,14 +513,14 @@
         out: &mut Vec<Action>,
     ) {
         let Some(held) = self.held.get_mut(&id) else { return };
-        let answered = held.seq.ended;
+        let answered = held.seq.completed;
         match self.scheduler.settle(now, &mut held.seq, attempt, outcome, last) {
-            Settled::Schedule => self.schedule(now, id, Reason::Failed, out),
-            Settled::Wait => {}
-            Settled::Ended { release } => {
+            NextStep::Schedule => self.schedule(now, id, Reason::Failed, out),
+            NextStep::Wait => {}
+            NextStep::Complete { release } => {
                 if !answered {
                     match outcome {
-                        Outcome::Generated => self.counts.generated += 1,
+                        Outcome::Completed => self.counts.generated += 1,
                         _ => self.counts.aborted += 1,
                     }
                     out.push(Action::Over { id, outcome, reason });
@@ -524,16 +535,16 @@
     }
 
     /// A sequence's timer is due: its attempt's time is up, its stream is silent, or it is time to ask again.
-    fn timer(&mut self, now: Nanos, id: SeqId, out: &mut Vec<Action>) {
+    fn timer(&mut self, now: Nanos, id: SequenceId, out: &mut Vec<Action>) {
         let Some(held) = self.held.get(&id) else { return };
         let Some(attempt) = held.seq.attempts.len().checked_sub(1) else {
             return self.schedule(now, id, Reason::NoRoom, out);
         };
         let Attempt { server, step, status, .. } = held.seq.attempts[attempt];
         let reason = match status {
-            Status::Closed(_) => return self.schedule(now, id, Reason::Failed, out),
-            Status::Out => Reason::OutOfTime,
-            Status::Streaming => {
+            AttemptStatus::Finished(_) => return self.schedule(now, id, Reason::Failed, out),
+            AttemptStatus::InFlight => Reason::OutOfTime,
+            AttemptStatus::Streaming => {
                 if now < self.stream_until(held) {
                     return self.rearm(now, id);
                 }
@@ -546,26 +557,26 @@
         };
         self.counts.timed_out += 1;
         out.push(Action::Cancel { id, attempt, server, step });
-        let began = status == Status::Streaming;
+        let began = status == AttemptStatus::Streaming;
         // A stalled client is no word against its writer.
         let ending = if held.stalled_since.is_some() { Ending::Cancelled } else { Ending::TimedOut };
-        let streamed = held.relay != Relay::Whole;
+        let streamed = held.relay != Relay::Buffered;
         let late = now >= held.ends_by || reason == Reason::Stalled;
         let over = began && (late || (streamed && !self.goes_on(now, id)));
         self.settle(now, id, attempt, ending.outcome(began), over, over.then_some(reason), out);
     }
 
     /// Gives a sequence up at once: the decisions say whether trying again is harmless.
-    fn finish(&mut self, now: Nanos, id: SeqId, reason: Reason, out: &mut Vec<Action>) {
-        let Some(held) = self.held.get_mut(&id).filter(|held| !held.seq.ended) else { return };
-        held.seq.abandon_at = now;
-        let running = held.seq.attempts.iter().rposition(|a| !matches!(a.status, Status::Closed(_)));
+    fn finish(&mut self, now: Nanos, id: SequenceId, reason: Reason, out: &mut Vec<Action>) {
+        let Some(held) = self.held.get_mut(&id).filter(|held| !held.seq.completed) else { return };
+        held.seq.first_token_deadline = now;
+        let running = held.seq.attempts.iter().rposition(|a| !matches!(a.status, AttemptStatus::Finished(_)));
         let Some(attempt) = running else { return self.schedule(now, id, reason, out) };
         let Attempt { server, step, status, .. } = held.seq.attempts[attempt];
         out.push(Action::Cancel { id, attempt, server, step });
-        let last = status == Status::Streaming && held.relay != Relay::Whole;
+        let last = status == AttemptStatus::Streaming && held.relay != Relay::Buffered;
         match self.scheduler.settle(now, &mut held.seq, attempt, Outcome::Cancelled, last) {
-            Settled::Ended { .. } => {
+            NextStep::Complete { .. } => {
                 self.counts.aborted += 1;
                 out.push(Action::Over { id, outcome: Outcome::Cancelled, reason: Some(reason) });
                 out.push(Action::Release { id });
@@ -581,21 +592,21 @@
         let traffic = &self.types[held.seq.traffic.0];
         let pause = match held.stalled_since {
             Some(since) => since.saturating_add(pace::stalled_for()),
-            None if held.relay == Relay::Passed => held.heard.saturating_add(pace::passed_silent_for()),
+            None if held.relay == Relay::Passthrough => held.heard.saturating_add(pace::passed_silent_for()),
             None => held.heard.saturating_add(pace::silent_for(traffic)),
         };
         pause.min(held.ends_by)
     }
 
-    fn rearm(&mut self, now: Nanos, id: SeqId) {
+    fn rearm(&mut self, now: Nanos, id: SequenceId) {
         let Some(held) = self.held.get(&id) else { return };
-        if held.seq.attempts.last().is_some_and(|a| a.status == Status::Streaming) {
+        if held.seq.attempts.last().is_some_and(|a| a.status == AttemptStatus::Streaming) {
             let at = self.stream_until(held).max(now + 1);
             self.arm(id, at);
         }
     }
 
-    fn arm(&mut self, id: SeqId, at: Nanos) {
+    fn arm(&mut self, id: SequenceId, at: Nanos) {
         self.disarm(id);
         if let Some(held) = self.held.get_mut(&id) {
             held.due = at;
@@ -603,7 +614,7 @@
         }
     }
 
-    fn disarm(&mut self, id: SeqId) {
+    fn disarm(&mut self, id: SequenceId) {
         if let Some(held) = self.held.get_mut(&id) {
             self.timers.remove(&(held.due, id));
             held.due = NEVER;
@@ -611,9 +622,9 @@
     }
 
     /// An ended sequence is kept only while an attempt of it is out.
-    fn drop_if_over(&mut self, id: SeqId) {
-        let closed = |attempt: &Attempt| matches!(attempt.status, Status::Closed(_));
-        if self.held.get(&id).is_some_and(|held| held.seq.ended && held.seq.attempts.iter().all(closed)) {
+    fn drop_if_over(&mut self, id: SequenceId) {
+        let closed = |attempt: &Attempt| matches!(attempt.status, AttemptStatus::Finished(_));
+        if self.held.get(&id).is_some_and(|held| held.seq.completed && held.seq.attempts.iter().all(closed)) {
             self.disarm(id);
             self.held.remove(&id);
         }
@@ -630,23 +641,23 @@
     let seq = &held.seq;
     let attempt = seq.attempts.len().checked_sub(1)?;
     let step = seq.attempts[attempt].step;
-    let writes = matches!(step, Step::Write | Step::Move);
+    let writes = matches!(step, Step::Decode | Step::MigratedDecode);
     Some(Dispatch {
         id: seq.id,
         attempt,
         server,
         step,
-        reader: seq.state.map(|(reader, _)| reader).filter(|_| writes),
+        reader: seq.kv_cache.map(|held| held.server).filter(|_| writes),
         limit,
         done: held.done,
         connect_within,
         send_by: NEVER,
-        held: seq.held_since.is_some(),
-        fresh: step != Step::Read && types[seq.traffic.0].effect == Effect::OnceOnly,
+        held: seq.cache_held_since.is_some(),
+        fresh: step != Step::Prefill && types[seq.traffic.0].idempotency == Idempotency::AtMostOnce,
     })
 }
 
 /// A sequence that ran to its client's time is told so, whatever came before.
 fn given_up(now: Nanos, seq: &Sequence, why: Reason) -> Reason {
-    if why != Reason::Draining && now >= seq.abandon_at { Reason::OutOfTime } else { why }
+    if why != Reason::Draining && now >= seq.first_token_deadline { Reason::OutOfTime } else { why }
 }
--- a/gateway-core/src/continuation.rs
+++ b/gateway-core/src/continuation.rs
@@ -6,7 +6,7 @@
 //! the end.
 
 use crate::pace;
-use petrelshore::interface::{Effect, Nanos, TrafficType};
+use petrelshore::interface::{Idempotency, Nanos, TrafficType};
 
 /// A stream goes on so often. What breaks everywhere breaks again, and each time costs a read.
 const MOST: usize = 2;
@@ -27,7 +27,11 @@
 /// Until when the next token must come for the stream to go on; none where it ends here.
 pub fn go_on(now: Nanos, traffic: &TrafficType, broken: &BrokenStream) -> Option<Nanos> {
     let left = broken.max_out - broken.tokens;
-    if traffic.effect != Effect::Repeatable || broken.went_on >= MOST || left < FEW || now >= broken.ends_by {
+    if traffic.idempotency != Idempotency::Idempotent
+        || broken.went_on >= MOST
+        || left < FEW
+        || now >= broken.ends_by
+    {
         return None;
     }
     Some(now.saturating_add(pace::silent_for(traffic)).min(broken.ends_by))
--- a/gateway-core/src/desk.rs
+++ b/gateway-core/src/desk.rs
@@ -21,7 +21,7 @@
 /// A request as a front understood it. Nothing is taken before the desk says so.
 #[derive(Clone, Debug)]
 pub struct Request {
-    pub traffic: TypeId,
+    pub traffic: TrafficTypeId,
     pub tenant: Option<TenantId>,
     pub session: Option<SessionId>,
     pub weighed: Weighed,
@@ -85,10 +85,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Taken {
     /// It is in hand and owed a final answer.
-    Accepted(SeqId),
+    Accepted(SequenceId),
     /// It has run before, and ended so.
     Replayed {
-        id: SeqId,
+        id: SequenceId,
         text: Rc<str>,
         last: Final,
     },
@@ -110,14 +110,14 @@
     Send(Box<Sending<P>>),
     /// Break an attempt off by closing its connection, and tell of it as ended.
     Cancel {
-        id: SeqId,
+        id: SequenceId,
         attempt: usize,
     },
     /// Tell a reader to let go of a state, and tell the desk when it has answered.
     LetGo(Release),
     /// Final: nothing follows for this sequence.
     Answer {
-        id: SeqId,
+        id: SequenceId,
         last: Final,
     },
 }
@@ -163,14 +163,14 @@
 
 pub struct Desk<P> {
     conductor: Conductor,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     values: Vec<f64>,
     longest_retry_after: Option<Nanos>,
     room: Room,
     replays: Replays<Final>,
     releases: Releases,
     withdrawals: Withdrawals,
-    tickets: HashMap<SeqId, Ticket<P>>,
+    tickets: HashMap<SequenceId, Ticket<P>>,
     last_id: u64,
     draining: bool,
 }
@@ -179,12 +179,12 @@
     /// `most` is how many sequences may be in hand.
     pub fn new(now: Nanos, deployment: Deployment, seed: u64, most: usize, chooser: Chooser) -> Self {
         Desk {
-            effects: deployment.types.iter().map(|t| t.effect).collect(),
+            effects: deployment.types.iter().map(|t| t.idempotency).collect(),
             values: values(&deployment.types),
-            longest_retry_after: deployment.longest_retry_after,
+            longest_retry_after: deployment.max_retry_after,
             room: Room::new(now, most),
             replays: Replays::default(),
-            releases: Releases::new(deployment.release_within),
+            releases: Releases::new(deployment.release_timeout),
             withdrawals: Withdrawals::default(),
             conductor: Conductor::with(now, deployment, seed, chooser),
             tickets: HashMap::new(),
@@ -206,7 +206,7 @@
         if let Err(retry_after) = self.withdrawals.may_ask(now, (request.client, request.tenant)) {
             return Taken::Refused(Refusal::Withdrawing { retry_after });
         }
-        let id = SeqId(self.last_id.wrapping_add(1));
+        let id = SequenceId(self.last_id.wrapping_add(1));
         let key = key_of(&request);
         if let Some(key) = &key {
             let print = fingerprint(&request.model, &request.prompt, request.max_tokens);
@@ -232,7 +232,7 @@
             });
         }
         self.last_id = id.0;
-        let repeatable = self.effects[request.traffic.0] == Effect::Repeatable;
+        let repeatable = self.effects[request.traffic.0] == Idempotency::Idempotent;
         let may_go_on = repeatable && request.relay == Relay::Streamed;
         let new = NewSequence {
             id,
@@ -299,12 +299,12 @@
     }
 
     /// A further piece has come.
-    pub fn progressed(&mut self, now: Nanos, id: SeqId) {
+    pub fn progressed(&mut self, now: Nanos, id: SequenceId) {
         self.conductor.progressed(now, id);
     }
 
     /// Notes a piece; text is given back for the front. None where the sequence is over.
-    pub fn piece(&mut self, id: SeqId, piece: Piece) -> Option<Option<String>> {
+    pub fn piece(&mut self, id: SequenceId, piece: Piece) -> Option<Option<String>> {
         let ticket = self.tickets.get_mut(&id).filter(|ticket| !ticket.answered)?;
         match piece {
             Piece::Text(text) => {
@@ -320,7 +320,7 @@
     }
 
     /// The client has stopped taking its stream, or takes it again.
-    pub fn stalled(&mut self, now: Nanos, id: SeqId, stalled: bool) {
+    pub fn stalled(&mut self, now: Nanos, id: SequenceId, stalled: bool) {
         self.conductor.stalled(now, id, stalled);
     }
 
@@ -328,7 +328,7 @@
     pub fn ended(&mut self, now: Nanos, dispatch: &Dispatch, ending: Ending, out: &mut Vec<Order<P>>) {
         let Dispatch { id, attempt, server, step, .. } = *dispatch;
         let read = matches!(ending, Ending::ReadDone { .. });
-        if step == Step::Read && !read && !ending.proves_unrun() {
+        if step == Step::Prefill && !read && !ending.proves_unrun() {
             // Its answer is lost; the state may be there all the same.
             self.owe(now, Release { server, request: request_id(id, attempt) }, State::CutOff, out);
         }
@@ -341,7 +341,7 @@
     }
 
     /// An attempt was broken off, as ordered.
-    pub fn cancelled(&mut self, now: Nanos, id: SeqId, attempt: usize, out: &mut Vec<Order<P>>) {
+    pub fn cancelled(&mut self, now: Nanos, id: SequenceId, attempt: usize, out: &mut Vec<Order<P>>) {
         self.ask(now, out, |conductor, actions| {
             conductor.ended(now, id, attempt, Ending::Cancelled, actions)
         });
@@ -349,7 +349,7 @@
     }
 
     /// The front has let go of its answer; `over` where it had read the end of it.
-    pub fn left(&mut self, now: Nanos, id: SeqId, over: bool, out: &mut Vec<Order<P>>) {
+    pub fn left(&mut self, now: Nanos, id: SequenceId, over: bool, out: &mut Vec<Order<P>>) {
         if let Some(ticket) = self.tickets.get_mut(&id) {
             ticket.left = true;
             if !over && !ticket.began && !ticket.answered {
@@ -373,11 +373,11 @@
         self.releases.answer_within()
     }
 
-    pub fn listed(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) {
+    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
         self.conductor.listed(now, scope, entries);
     }
 
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: Report) {
+    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         self.conductor.reported(now, server, report);
     }
 
@@ -444,7 +444,7 @@
                 }
                 Action::Cancel { id, attempt, server, step } => {
                     out.push(Order::Cancel { id, attempt });
-                    if step == Step::Read {
+                    if step == Step::Prefill {
                         // It may have ended just then, and its state be left there.
                         self.owe(
                             now,
@@ -461,7 +461,7 @@
                 Action::Abort { id, reason } => self.answer(now, id, Final::Aborted { reason }, out),
                 Action::Over { id, outcome, reason } => {
                     let last = match outcome {
-                        Outcome::Generated => self.generated(id),
+                        Outcome::Completed => self.generated(id),
                         _ => Final::Aborted { reason: reason.unwrap_or(Reason::Broken) },
                     };
                     self.answer(now, id, last, out);
@@ -481,11 +481,11 @@
             Some(gathered) if dispatch.done > 0 => Rc::from(format!("{}{gathered}", request.prompt)),
             _ => request.prompt.clone(),
         };
-        let tokened = matches!(self.effects[request.traffic.0], Effect::Tokened { .. });
+        let tokened = matches!(self.effects[request.traffic.0], Idempotency::Keyed { .. });
         let own = || Rc::from(format!("{:016x}", dispatch.id.0));
         let mark = tokened.then(|| request.idempotency_key.clone().unwrap_or_else(own));
         ticket.done = dispatch.done;
-        ticket.may_have_run |= dispatch.step != Step::Read;
+        ticket.may_have_run |= dispatch.step != Step::Prefill;
         out.push(Order::Send(Box::new(Sending {
             request_id: request_id(dispatch.id, dispatch.attempt),
             max_tokens: ticket.request.max_tokens.saturating_sub(dispatch.done).max(1),
@@ -496,7 +496,7 @@
         })));
     }
 
-    fn generated(&self, id: SeqId) -> Final {
+    fn generated(&self, id: SequenceId) -> Final {
         let Some(ticket) = self.tickets.get(&id) else { return Final::Aborted { reason: Reason::Broken } };
         // A stream that went on after a break had its first part read as prompt.
         let done = u64::from(ticket.done);
@@ -508,12 +508,12 @@
     }
 
     /// The one final answer, and what a repeat with its key will be told.
-    fn answer(&mut self, now: Nanos, id: SeqId, last: Final, out: &mut Vec<Order<P>>) {
+    fn answer(&mut self, now: Nanos, id: SequenceId, last: Final, out: &mut Vec<Order<P>>) {
         let Some(ticket) = self.tickets.get_mut(&id).filter(|ticket| !ticket.answered) else { return };
         ticket.answered = true;
         if let (Some(key), Some(text)) = (key_of(&ticket.request), &ticket.gathered) {
             let window = match self.effects[ticket.request.traffic.0] {
-                Effect::Tokened { window, .. } => window,
+                Idempotency::Keyed { window, .. } => window,
                 _ => replays::WINDOW,
             };
             match &last {
@@ -526,7 +526,7 @@
     }
 
     /// Lets go of every state that readers hold for a sequence.
-    fn release(&mut self, now: Nanos, id: SeqId, out: &mut Vec<Order<P>>) {
+    fn release(&mut self, now: Nanos, id: SequenceId, out: &mut Vec<Order<P>>) {
         let states = self.tickets.get_mut(&id).map(|ticket| std::mem::take(&mut ticket.states));
         for (release, _) in states.into_iter().flatten() {
             self.owe(now, release, State::Held, out);
@@ -539,7 +539,7 @@
     }
 
     /// A ticket goes when its front has left and the conductor holds nothing of it.
-    fn forget_if_over(&mut self, now: Nanos, id: SeqId) {
+    fn forget_if_over(&mut self, now: Nanos, id: SequenceId) {
         let over = self.tickets.get(&id).is_some_and(|ticket| ticket.left) && !self.conductor.holds(id);
         let Some(ticket) = over.then(|| self.tickets.remove(&id)).flatten() else { return };
         self.room.leave(now, ticket.request.client);
@@ -562,6 +562,6 @@
 }
 
 /// Names an attempt at the model servers, over all gateways and runs.
-pub fn request_id(id: SeqId, attempt: usize) -> String {
+pub fn request_id(id: SequenceId, attempt: usize) -> String {
     format!("{:016x}-{attempt}", id.0)
 }
--- a/gateway-core/src/limits.rs
+++ b/gateway-core/src/limits.rs
@@ -25,8 +25,8 @@
 
 /// What each traffic type is worth against the highest.
 pub fn values(types: &[TrafficType]) -> Vec<f64> {
-    let highest = types.iter().map(|t| t.utility).fold(f64::MIN_POSITIVE, f64::max);
-    types.iter().map(|t| t.utility / highest).collect()
+    let highest = types.iter().map(|t| t.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+    types.iter().map(|t| t.priority_weight / highest).collect()
 }
 
 /// Room for sequences in hand, counted over all fronts of the gateway.
--- a/gateway-core/src/pace.rs
+++ b/gateway-core/src/pace.rs
@@ -42,7 +42,7 @@
 
 /// When a sequence is broken off although its stream runs. Guards against a writer that trickles for ever.
 pub fn ends_by(abandon_at: Nanos, traffic: &TrafficType, most_tokens: f64) -> Nanos {
-    let stream = (most_tokens.max(0.0) as u64).saturating_mul(traffic.token_pace).saturating_mul(WHOLE);
+    let stream = (most_tokens.max(0.0) as u64).saturating_mul(traffic.token_interval).saturating_mul(WHOLE);
     abandon_at.saturating_add(stream.max(WHOLE_LEAST))
 }
 
@@ -58,7 +58,7 @@
 
 /// The longest pause of a running stream before its writer counts as lost.
 pub fn silent_for(traffic: &TrafficType) -> Nanos {
-    traffic.token_pace.saturating_mul(SILENT_TOKENS).max(SILENT_LEAST)
+    traffic.token_interval.saturating_mul(SILENT_TOKENS).max(SILENT_LEAST)
 }
 
 /// The longest time for which a client may take nothing of its stream.
--- a/gateway-core/src/passage.rs
+++ b/gateway-core/src/passage.rs
@@ -44,19 +44,19 @@
     /// before these orders are carried out.
     Send { dispatch: Dispatch, to: Option<SocketAddr>, message: Option<M> },
     /// Break an attempt off by closing its connection.
-    BreakOff { id: SeqId, attempt: usize },
+    BreakOff { id: SequenceId, attempt: usize },
     /// Tell a reader to let go of a state, and tell what came of it.
     LetGo(Release),
     /// Final: events that are on their way come before it, nothing after.
-    Answer { id: SeqId, last: Final },
+    Answer { id: SequenceId, last: Final },
     /// Nothing is left of a sequence.
-    Over { id: SeqId },
+    Over { id: SequenceId },
 }
 
 /// Where a model server is reached.
 struct Reached {
     address: SocketAddr,
-    condition: Condition,
+    condition: EndpointState,
     since: Nanos,
     /// When it last answered anything.
     heard: Nanos,
@@ -80,7 +80,7 @@
     values: Vec<f64>,
     longest_retry_after: Option<Nanos>,
     servers: BTreeMap<ServerId, Reached>,
-    tickets: HashMap<SeqId, Ticket<M>>,
+    tickets: HashMap<SequenceId, Ticket<M>>,
 }
 
 impl<M: Clone> Passage<M> {
@@ -88,11 +88,11 @@
     pub fn new(now: Nanos, deployment: Deployment, seed: u64, most: usize) -> Self {
         Passage {
             gateways: deployment.gateways,
-            releases: Releases::new(deployment.release_within),
+            releases: Releases::new(deployment.release_timeout),
             arrivals: Arrivals::default(),
             room: Room::new(now, most),
             values: values(&deployment.types),
-            longest_retry_after: deployment.longest_retry_after,
+            longest_retry_after: deployment.max_retry_after,
             conductor: Conductor::new(now, deployment, seed),
             servers: BTreeMap::new(),
             tickets: HashMap::new(),
@@ -164,28 +164,28 @@
     }
 
     /// The list of servers, or what has changed in it.
-    pub fn listed(&mut self, now: Nanos, scope: ListScope, entries: &[(Listing, SocketAddr)]) {
+    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[(Endpoint, SocketAddr)]) {
         let before = match scope {
-            ListScope::Changes => BTreeMap::new(),
+            SnapshotKind::Delta => BTreeMap::new(),
             _ => std::mem::take(&mut self.servers),
         };
-        for (Listing { server, condition, since, .. }, address) in entries {
+        for (Endpoint { server, state: condition, started_at: since, .. }, address) in entries {
             let known = self.servers.get(server).or_else(|| before.get(server));
             let heard = known.map_or(0, |known| known.heard);
             let reached = Reached { address: *address, condition: *condition, since: *since, heard };
             self.servers.insert(*server, reached);
         }
-        self.servers.retain(|_, reached| reached.condition != Condition::Gone);
-        let listings: Vec<Listing> = entries.iter().map(|(listing, _)| listing.clone()).collect();
-        self.conductor.listed(now, scope, &listings);
+        self.servers.retain(|_, reached| reached.condition != EndpointState::Gone);
+        let endpoints: Vec<Endpoint> = entries.iter().map(|(endpoint, _)| endpoint.clone()).collect();
+        self.conductor.listed(now, scope, &endpoints);
     }
 
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: Report) {
+    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         self.conductor.reported(now, server, report);
     }
 
     /// Its server has an attempt, as far as its socket proves.
-    pub fn reached(&mut self, id: SeqId, attempt: usize) {
+    pub fn reached(&mut self, id: SequenceId, attempt: usize) {
         self.conductor.reached(id, attempt);
     }
 
@@ -203,12 +203,12 @@
     }
 
     /// Further events have come.
-    pub fn progressed(&mut self, now: Nanos, id: SeqId) {
+    pub fn progressed(&mut self, now: Nanos, id: SequenceId) {
         self.conductor.progressed(now, id);
     }
 
     /// The client has stopped taking its stream, or takes it again.
-    pub fn stalled(&mut self, now: Nanos, id: SeqId, stalled: bool) {
+    pub fn stalled(&mut self, now: Nanos, id: SequenceId, stalled: bool) {
         self.conductor.stalled(now, id, stalled);
     }
 
@@ -221,7 +221,7 @@
         if let Some(ticket) = self.tickets.get_mut(&id) {
             ticket.out.take_if(|out| *out == attempt);
             match (step, ending) {
-                (Step::Read, ending) => ticket.leases.read_ended(server, ending),
+                (Step::Prefill, ending) => ticket.leases.read_ended(server, ending),
                 (_, Ending::StateMissing) => ticket.leases.state_gone(reader),
                 _ => {}
             }
@@ -231,7 +231,7 @@
     }
 
     /// The client has left before its answer's end.
-    pub fn withdrawn(&mut self, now: Nanos, id: SeqId, out: &mut Vec<Order<M>>) {
+    pub fn withdrawn(&mut self, now: Nanos, id: SequenceId, out: &mut Vec<Order<M>>) {
         self.ask(now, out, |conductor, actions| conductor.withdrawn(id, actions));
         self.settle(now, id, out);
     }
@@ -276,7 +276,7 @@
 
     /// The servers by way of which a reader that can't be had is told.
     pub fn by_way_of(&self, release: &Release) -> Vec<(ServerId, SocketAddr)> {
-        let ready = self.servers.iter().filter(|(_, reached)| reached.condition == Condition::Ready);
+        let ready = self.servers.iter().filter(|(_, reached)| reached.condition == EndpointState::Ready);
         let ready: Vec<_> = ready.map(|(id, reached)| (reached.heard, *id)).collect();
         let others = self.releases.by_way_of(release, &ready).into_iter();
         others.filter_map(|id| Some((id, self.address(id)?))).collect()
@@ -352,7 +352,7 @@
                 Action::Cancel { id, attempt, server, step } => {
                     if let Some(ticket) = self.tickets.get_mut(&id) {
                         ticket.out.take_if(|out| *out == attempt);
-                        if step == Step::Read {
+                        if step == Step::Prefill {
                             ticket.leases.read_ended(server, Ending::Cancelled);
                         }
                     }
@@ -374,7 +374,7 @@
                 }
                 Action::Over { id, outcome, reason } => {
                     let last = match outcome {
-                        Outcome::Generated => Final::Generated,
+                        Outcome::Completed => Final::Generated,
                         _ => Final::Aborted { reason: reason.unwrap_or(Reason::Broken) },
                     };
                     self.answer(id, last, out);
@@ -398,7 +398,7 @@
     }
 
     /// The one final answer.
-    fn answer(&mut self, id: SeqId, last: Final, out: &mut Vec<Order<M>>) {
+    fn answer(&mut self, id: SequenceId, last: Final, out: &mut Vec<Order<M>>) {
         if let Some(ticket) = self.tickets.get_mut(&id).filter(|ticket| !ticket.answered) {
             ticket.answered = true;
             out.push(Order::Answer { id, last });
@@ -406,7 +406,7 @@
     }
 
     /// Lets go of what no attempt will take, and of the ticket once nothing is left of its sequence.
-    fn settle(&mut self, now: Nanos, id: SeqId, out: &mut Vec<Order<M>>) {
+    fn settle(&mut self, now: Nanos, id: SequenceId, out: &mut Vec<Order<M>>) {
         let over = !self.conductor.holds(id);
         let Some(ticket) = self.tickets.get_mut(&id) else { return };
         let left = match ticket.out {
@@ -422,7 +422,7 @@
         }
     }
 
-    fn let_go(&mut self, now: Nanos, id: SeqId, left: Vec<(ServerId, State)>, out: &mut Vec<Order<M>>) {
+    fn let_go(&mut self, now: Nanos, id: SequenceId, left: Vec<(ServerId, State)>, out: &mut Vec<Order<M>>) {
         for (server, state) in left {
             let release = Release { server, request: request(id) };
             self.releases.owe(now, &release, state);
@@ -432,6 +432,6 @@
 }
 
 /// A request's name on the platform's wire.
-fn request(id: SeqId) -> String {
+fn request(id: SequenceId) -> String {
     format!("{:016x}", id.0)
 }
--- a/gateway-core/src/permission.rs
+++ b/gateway-core/src/permission.rs
@@ -5,7 +5,7 @@
 //! of it. So whoever is about to write asks here, on every path.
 
 use crate::Dispatch;
-use petrelshore::interface::{Condition, Nanos};
+use petrelshore::interface::{EndpointState, Nanos};
 use std::net::SocketAddr;
 
 /// Why an attempt may not begin.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ListedNow {
     pub address: SocketAddr,
-    pub condition: Condition,
+    pub condition: EndpointState,
     pub start: Nanos,
 }
 
@@ -57,8 +57,8 @@
     if !current {
         return Err(Denial::Superseded);
     }
-    let server = listed.filter(|listed| listed.condition != Condition::Gone).ok_or(Denial::Gone)?;
-    if server.condition != Condition::Ready {
+    let server = listed.filter(|listed| listed.condition != EndpointState::Gone).ok_or(Denial::Gone)?;
+    if server.condition != EndpointState::Ready {
         return Err(Denial::Draining);
     }
     if server.address != due.to {
--- a/gateway-core/src/policy.rs
+++ b/gateway-core/src/policy.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    pub fn listed(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) {
+    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
         match self {
             Policy::Decisions(scheduler) => scheduler.listed(now, scope, entries),
             Policy::Baseline(baseline) => baseline.listed(scope, entries),
@@ -50,24 +50,24 @@
     pub fn refused(&mut self) -> Nanos {
         match self {
             Policy::Decisions(scheduler) => scheduler.refused(),
-            Policy::Baseline(baseline) => baseline.deployment.ask_within / 2,
+            Policy::Baseline(baseline) => baseline.deployment.max_poll_interval / 2,
         }
     }
 
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: Report) {
+    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         if let Policy::Decisions(scheduler) = self {
             scheduler.reported(now, server, report);
         }
     }
 
-    pub fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Schedule {
+    pub fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Decision {
         match self {
             Policy::Decisions(scheduler) => scheduler.schedule(now, seq),
             Policy::Baseline(baseline) => baseline.schedule(now, seq),
         }
     }
 
-    pub fn settle(&mut self, now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> Settled {
+    pub fn settle(&mut self, now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
         match self {
             Policy::Decisions(scheduler) => scheduler.settle(now, seq, n, got, last),
             Policy::Baseline(_) => Baseline::settle(now, seq, n, got, last),
@@ -101,7 +101,8 @@
             Policy::Decisions(scheduler) => scheduler.began(now, seq, n),
             Policy::Baseline(_) => {
                 if let Some(attempt) = seq.attempts.get_mut(n) {
-                    (attempt.status, seq.state, seq.held_since) = (Status::Streaming, None, None);
+                    (attempt.status, seq.kv_cache, seq.cache_held_since) =
+                        (AttemptStatus::Streaming, None, None);
                 }
             }
         }
@@ -115,7 +116,7 @@
 pub struct Baseline {
     deployment: Deployment,
     chance: Rand64,
-    servers: BTreeMap<ServerId, Listing>,
+    servers: BTreeMap<ServerId, Endpoint>,
 }
 
 impl Baseline {
@@ -123,36 +124,38 @@
         Baseline { deployment, chance: Rand64::new(seed.into()), servers: BTreeMap::new() }
     }
 
-    fn listed(&mut self, scope: ListScope, entries: &[Listing]) {
-        if scope != ListScope::Changes {
+    fn listed(&mut self, scope: SnapshotKind, entries: &[Endpoint]) {
+        if scope != SnapshotKind::Delta {
             self.servers.clear();
         }
         self.servers.extend(entries.iter().map(|entry| (entry.server, entry.clone())));
     }
 
-    fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Schedule {
-        if seq.ended || seq.attempts.iter().any(|a| !matches!(a.status, Status::Closed(_))) {
-            return Schedule::NotYet;
+    fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Decision {
+        if seq.completed || seq.attempts.iter().any(|a| !matches!(a.status, AttemptStatus::Finished(_))) {
+            return Decision::Wait;
         }
-        let effect = self.deployment.types[seq.traffic.0].effect;
+        let effect = self.deployment.types[seq.traffic.0].idempotency;
         let spent = seq.attempts.len() >= self.deployment.max_attempts;
-        let may_repeat = effect == Effect::Repeatable || !may_have_run(seq);
-        if now + RECHECK >= seq.abandon_at || spent || !may_repeat {
+        let may_repeat = effect == Idempotency::Idempotent || !may_have_run(seq);
+        if now + RECHECK >= seq.first_token_deadline || spent || !may_repeat {
             return Self::give_up(seq, may_repeat);
         }
-        let state = seq.state.filter(|(reader, since)| {
-            let listed = self.servers.get(reader);
-            listed.is_some_and(|l| l.condition != Condition::Gone && l.since <= *since)
+        let kv_cache = seq.kv_cache.filter(|held| {
+            let endpoint = self.servers.get(&held.server);
+            endpoint.is_some_and(|e| e.state != EndpointState::Gone && e.started_at <= held.since)
         });
-        let picked = match state {
-            Some((reader, _)) => self.any(|role| role != Role::Reader).map(|writer| {
-                let cell = |id| self.servers.get(&id).map(|l| l.cell);
-                (writer, if cell(writer) == cell(reader) { Step::Write } else { Step::Move })
-            }),
+        let picked = match kv_cache {
+            Some(KvCacheLocation { server: reader, .. }) => {
+                self.any(|role| role != Role::Prefill).map(|writer| {
+                    let cell = |id| self.servers.get(&id).map(|l| l.cell);
+                    (writer, if cell(writer) == cell(reader) { Step::Decode } else { Step::MigratedDecode })
+                })
+            }
             None if seq.attempts.len() + 2 > self.deployment.max_attempts => None,
-            None => self.any(|role| role != Role::Writer).map(|server| {
-                let reads = self.role(&self.servers[&server]) == Role::Reader;
-                (server, if reads { Step::Read } else { Step::Whole })
+            None => self.any(|role| role != Role::Decode).map(|server| {
+                let reads = self.role(&self.servers[&server]) == Role::Prefill;
+                (server, if reads { Step::Prefill } else { Step::Combined })
             }),
         };
         let pinned = self.held_until(seq).is_some_and(|until| now + RECHECK >= until);
@@ -162,71 +165,73 @@
                 seq.admitted = true;
                 seq.attempts.push(Attempt {
                     server,
-                    sent: now,
+                    sent_at: now,
                     step,
-                    status: Status::Out,
-                    reached: false,
-                    tokens,
-                    credit: 0.0,
+                    status: AttemptStatus::InFlight,
+                    delivered: false,
+                    load_tokens: tokens,
+                    expected_cached_tokens: 0.0,
                 });
-                Schedule::Send(server)
+                Decision::Send(server)
             }
-            None if !pinned => Schedule::NotYet,
+            None if !pinned => Decision::Wait,
             None => Self::give_up(seq, true),
         }
     }
 
     fn held_until(&self, seq: &Sequence) -> Option<Nanos> {
-        seq.held_since.map(|since| since.saturating_add(self.deployment.release_within / 2))
+        seq.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
     }
 
-    fn give_up(seq: &mut Sequence, harmless: bool) -> Schedule {
+    fn give_up(seq: &mut Sequence, harmless: bool) -> Decision {
         let release = !seq.attempts.is_empty();
-        (seq.ended, seq.state, seq.held_since) = (true, None, None);
+        (seq.completed, seq.kv_cache, seq.cache_held_since) = (true, None, None);
         match harmless {
-            true => Schedule::Rejected { retry_after: None, release },
-            false => Schedule::Aborted { release },
+            true => Decision::Reject { retry_after: None, release },
+            false => Decision::Abort { release },
         }
     }
 
-    fn settle(now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> Settled {
-        let Some(attempt) = seq.attempts.get_mut(n).filter(|a| !matches!(a.status, Status::Closed(_))) else {
-            return Settled::Wait;
+    fn settle(now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
+        let Some(attempt) =
+            seq.attempts.get_mut(n).filter(|a| !matches!(a.status, AttemptStatus::Finished(_)))
+        else {
+            return NextStep::Wait;
         };
-        attempt.status = Status::Closed(got);
+        attempt.status = AttemptStatus::Finished(got);
         let (server, attempt) = (attempt.server, attempt.clone());
-        if last || seq.ended {
-            seq.ended = true;
-            return Settled::Ended { release: got != Outcome::Generated };
+        if last || seq.completed {
+            seq.completed = true;
+            return NextStep::Complete { release: got != Outcome::Completed };
         }
         match got {
-            Outcome::ReadDone { .. } => seq.state = Some((server, now)),
-            Outcome::NoState => seq.state = None,
+            Outcome::PrefillDone { .. } => seq.kv_cache = Some(KvCacheLocation { server, since: now }),
+            Outcome::KvCacheMissing => seq.kv_cache = None,
             _ => {}
         }
-        seq.held_since = held_since(now, seq, &attempt, got);
-        Settled::Schedule
+        seq.cache_held_since = held_since(now, seq, &attempt, got);
+        NextStep::Schedule
     }
 
     fn wait(&self, now: Nanos, seq: &Sequence) -> Nanos {
-        let left = seq.abandon_at.saturating_sub(now);
-        match seq.attempts.last().filter(|a| a.status == Status::Out) {
+        let left = seq.first_token_deadline.saturating_sub(now);
+        match seq.attempts.last().filter(|a| a.status == AttemptStatus::InFlight) {
             None => RECHECK.min(left),
-            Some(attempt) if attempt.step != Step::Read && !self.repeatable(seq) => left,
+            Some(attempt) if attempt.step != Step::Prefill && !self.repeatable(seq) => left,
             Some(_) => left / 2,
         }
     }
 
     fn repeatable(&self, seq: &Sequence) -> bool {
-        self.deployment.types[seq.traffic.0].effect == Effect::Repeatable
+        self.deployment.types[seq.traffic.0].idempotency == Idempotency::Idempotent
     }
 
-    fn role(&self, listing: &Listing) -> Role {
-        self.deployment.kinds[listing.kind.0].role
+    fn role(&self, endpoint: &Endpoint) -> Role {
+        self.deployment.kinds[endpoint.kind.0].role
     }
 
     fn any(&mut self, does: impl Fn(Role) -> bool) -> Option<ServerId> {
-        let open = self.servers.values().filter(|l| l.condition == Condition::Ready && does(self.role(l)));
+        let open = self.servers.values().filter(|l| l.state == EndpointState::Ready && does(self.role(l)));
         let open: Vec<ServerId> = open.map(|l| l.server).collect();
         if open.is_empty() {
             return None;
@@ -238,6 +243,8 @@
 
 fn may_have_run(seq: &Sequence) -> bool {
     use Outcome::*;
-    let proven = |a: &Attempt| matches!(a.status, Status::Closed(Full | NoState | ConnectFailed | NeverSent));
-    seq.attempts.iter().any(|attempt| attempt.step != Step::Read && !proven(attempt))
+    let proven = |a: &Attempt| {
+        matches!(a.status, AttemptStatus::Finished(AtCapacity | KvCacheMissing | ConnectFailed | NeverSent))
+    };
+    seq.attempts.iter().any(|attempt| attempt.step != Step::Prefill && !proven(attempt))
 }
--- a/gateway-core/src/proof.rs
+++ b/gateway-core/src/proof.rs
@@ -41,12 +41,12 @@
             return Outcome::Error; // what has answered has run, whatever it says later
         }
         match self {
-            Ending::Generated => Outcome::Generated,
-            Ending::ReadDone { kept } => Outcome::ReadDone { kept },
+            Ending::Generated => Outcome::Completed,
+            Ending::ReadDone { kept } => Outcome::PrefillDone { cached_tokens: kept },
             Ending::NotConnected => Outcome::ConnectFailed,
             Ending::HandedBack | Ending::NotSent => Outcome::NeverSent,
-            Ending::RefusedFull => Outcome::Full,
-            Ending::StateMissing => Outcome::NoState,
+            Ending::RefusedFull => Outcome::AtCapacity,
+            Ending::StateMissing => Outcome::KvCacheMissing,
             Ending::Refused { .. } | Ending::Malformed => Outcome::Error,
             Ending::Reset => Outcome::Reset,
             Ending::TimedOut => Outcome::TimedOut,
--- a/gateway-core/src/terms.rs
+++ b/gateway-core/src/terms.rs
@@ -1,7 +1,7 @@
 //! Whether settings can keep the rules at all. Checked before anything starts, each finding with the rule it breaks.
 
 use crate::pace;
-use petrelshore::interface::{Deployment, Effect, Nanos, Role, Scope, TypeId};
+use petrelshore::interface::{Deployment, Idempotency, KeyScope, Nanos, Role, TrafficTypeId};
 use std::fmt;
 
 /// A state needs two looks of the conductor, and an answer of its reader, to be let go in time.
@@ -20,16 +20,16 @@
 pub enum About {
     /// A client's time is too short for any answer.
     AbandonTooShort {
-        traffic: TypeId,
+        traffic: TrafficTypeId,
         least: Nanos,
     },
     /// Every answer in time would be late.
     AbandonBeforeSlo {
-        traffic: TypeId,
+        traffic: TrafficTypeId,
     },
     /// The group forgets a mark while an attempt with it may still be sent.
     WindowTooShort {
-        traffic: TypeId,
+        traffic: TrafficTypeId,
         needed: Nanos,
     },
     NothingReads,
@@ -86,17 +86,17 @@
     let mut found = Vec::new();
     let mut say = |rule, about| found.push(Finding { rule, about });
     for (index, (traffic, abandon)) in deployment.types.iter().zip(abandon_times).enumerate() {
-        let (id, abandon) = (TypeId(index), *abandon);
+        let (id, abandon) = (TrafficTypeId(index), *abandon);
         if abandon < ABANDON_LEAST {
             say(Some(1), About::AbandonTooShort { traffic: id, least: ABANDON_LEAST });
         } else if abandon <= traffic.latency_slo {
             say(None, About::AbandonBeforeSlo { traffic: id });
         }
-        if let Effect::Tokened { window, scope } = traffic.effect {
+        if let Idempotency::Keyed { window, scope } = traffic.idempotency {
             // Repeats by the gateway end at its own give-up time; a client's own come later, to any server.
             let needed = match scope {
-                Scope::All => abandon.saturating_mul(2),
-                Scope::Zone | Scope::Cell => pace::give_up_at(0, abandon),
+                KeyScope::Fleet => abandon.saturating_mul(2),
+                KeyScope::Zone | KeyScope::Cell => pace::give_up_at(0, abandon),
             };
             if window < needed {
                 say(Some(2), About::WindowTooShort { traffic: id, needed });
@@ -104,21 +104,21 @@
         }
     }
     let roles = |wanted: &[Role]| deployment.kinds.iter().any(|kind| wanted.contains(&kind.role));
-    if !roles(&[Role::Reader, Role::Mixed]) && !deployment.writers_read {
+    if !roles(&[Role::Prefill, Role::Combined]) && !deployment.decode_servers_prefill {
         say(None, About::NothingReads);
     }
-    if !roles(&[Role::Writer, Role::Mixed]) {
+    if !roles(&[Role::Decode, Role::Combined]) {
         say(None, About::NothingWrites);
     }
-    let whole = roles(&[Role::Mixed]) || (deployment.writers_read && roles(&[Role::Writer]));
+    let whole = roles(&[Role::Combined]) || (deployment.decode_servers_prefill && roles(&[Role::Decode]));
     let least = if whole { 1 } else { 2 };
     if deployment.max_attempts < least {
         say(None, About::TooFewAttempts { least });
     }
-    if deployment.release_within < RELEASE_LEAST {
+    if deployment.release_timeout < RELEASE_LEAST {
         say(Some(5), About::ReleaseTooShort { least: RELEASE_LEAST });
     }
-    let (multiple, from) = (deployment.cold_multiple, deployment.cold_from);
+    let (multiple, from) = (deployment.slow_start_overload_factor, deployment.slow_start_initial_share);
     if multiple * from <= 0.0 || multiple < 1.0 {
         say(Some(4), About::ColdPart { multiple, from });
     }
--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -18,18 +18,18 @@
 const MEAN: f64 = 2_754.0;
 
 fn two_types(gateways: usize) -> Deployment {
-    let kind = |role| Kind { role, memory_tokens: 200_000.0 };
+    let kind = |role| ServerKind { role, memory_tokens: 200_000.0 };
     let traffic = |utility, latency_slo| TrafficType {
-        utility,
+        priority_weight: utility,
         latency_slo,
         slo_per_prompt_token: 40_000,
-        token_pace: 60 * MS,
+        token_interval: 60 * MS,
         ..deployment().types[0].clone()
     };
     Deployment {
         gateways,
         types: vec![traffic(2.0, 1_200 * MS), traffic(3.0, 2_500 * MS)],
-        kinds: vec![kind(Role::Reader), kind(Role::Writer)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
         ..deployment()
     }
 }
@@ -39,9 +39,9 @@
     /// The next turn of a session.
     Turn(u64),
     /// A read that its reader has done, or a first token.
-    Read(usize, SeqId, usize),
-    Began(usize, SeqId, usize),
-    Whole(usize, SeqId, usize),
+    Read(usize, SequenceId, usize),
+    Began(usize, SequenceId, usize),
+    Whole(usize, SequenceId, usize),
     /// A gateway's own timer.
     Due(usize),
 }
@@ -61,7 +61,7 @@
     /// Until when each reader is busy with what it was sent.
     busy: BTreeMap<ServerId, Nanos>,
     asked: Vec<Asked>,
-    by_id: BTreeMap<SeqId, usize>,
+    by_id: BTreeMap<SequenceId, usize>,
 }
 
 impl World {
@@ -74,7 +74,7 @@
         for action in actions {
             let Action::Send(dispatch) = action else { continue };
             let (id, attempt) = (dispatch.id, dispatch.attempt);
-            if dispatch.step == Step::Read {
+            if dispatch.step == Step::Prefill {
                 let prompt = self.asked[self.by_id[&id]].prompt;
                 let busy = self.busy.entry(dispatch.server).or_insert(0);
                 *busy = (*busy).max(now) + (prompt / SPEED * 1e9) as Nanos;
@@ -92,19 +92,19 @@
 
 /// Plays `seconds` at so many times what the readers can do; what was asked after the first fifth of them.
 fn play(gateways: usize, load: f64, seconds: u64, seed: u64) -> Vec<Asked> {
-    let entry = |n: u64| Listing {
+    let entry = |n: u64| Endpoint {
         server: ServerId(n + 1),
-        kind: KindId((n % 2) as usize),
+        kind: ServerKindId((n % 2) as usize),
         cell: CellId((n / 4) as i64),
         zone: ZoneId(0),
         weight: 1.0,
-        since: 0,
-        condition: Condition::Ready,
+        started_at: 0,
+        state: EndpointState::Ready,
     };
-    let fleet: Vec<Listing> = (0..2 * PAIRS).map(entry).collect();
+    let fleet: Vec<Endpoint> = (0..2 * PAIRS).map(entry).collect();
     let start = |n: usize| {
         let mut conductor = Conductor::new(START, two_types(gateways), seed + n as u64);
-        conductor.listed(START, ListScope::Whole, &fleet);
+        conductor.listed(START, SnapshotKind::Full, &fleet);
         conductor
     };
     let mut world = World {
@@ -139,13 +139,13 @@
                 *prompt += TOKENS * (SPREAD * normal).exp();
                 *turns += 1;
                 let (prompt, traffic) = (*prompt, (session % 2) as usize);
-                let id = SeqId(world.asked.len() as u64 + 1);
+                let id = SequenceId(world.asked.len() as u64 + 1);
                 world.by_id.insert(id, world.asked.len());
                 world.asked.push(Asked { session, traffic, prompt, answered: false });
                 let gateway = chance.rand_range(0..gateways as u64) as usize;
                 let new = NewSequence {
                     id,
-                    traffic: TypeId(traffic),
+                    traffic: TrafficTypeId(traffic),
                     tenant: None,
                     session: Some(SessionId(session)),
                     prefix: None,
@@ -154,7 +154,7 @@
                     max_out: 400.0,
                     hint: None,
                     resumed: false,
-                    relay: Relay::Passed,
+                    relay: Relay::Passthrough,
                     abandon_at: now + [6, 10][traffic] * S,
                     whole_by: None,
                 };
@@ -172,7 +172,7 @@
             }
             Event::Whole(gateway, id, attempt) => {
                 world.gateways[gateway].ended(now, id, attempt, Ending::Generated, &mut out);
-                if out.iter().any(|action| matches!(action, Action::Over { outcome: Outcome::Generated, .. }))
+                if out.iter().any(|action| matches!(action, Action::Over { outcome: Outcome::Completed, .. }))
                 {
                     let asked = world.by_id[&id];
                     world.asked[asked].answered = true;
--- a/gateway-core/tests/common/mod.rs
+++ b/gateway-core/tests/common/mod.rs
@@ -8,33 +8,33 @@
 pub const START: Nanos = 1_000 * S;
 
 pub fn deployment() -> Deployment {
-    let kind = |role| Kind { role, memory_tokens: 100_000.0 };
+    let kind = |role| ServerKind { role, memory_tokens: 100_000.0 };
     Deployment {
         gateways: 1,
         zone: ZoneId(0),
         types: vec![TrafficType {
-            utility: 1.0,
+            priority_weight: 1.0,
             latency_slo: S,
             slo_per_prompt_token: 0,
-            token_pace: 20 * MS,
-            effect: Effect::Repeatable,
+            token_interval: 20 * MS,
+            idempotency: Idempotency::Idempotent,
             delivery: Delivery::Streamed,
         }],
-        kinds: vec![kind(Role::Reader), kind(Role::Writer)],
+        kinds: vec![kind(Role::Prefill), kind(Role::Decode)],
         tenants: vec![],
-        over_share_utility: 0.1,
+        over_quota_factor: 0.1,
         weights: Weights::Unused,
         discovery: Discovery::Pushed,
-        ask_within: S,
+        max_poll_interval: S,
         max_attempts: 4,
-        longest_retry_after: None,
-        writers_read: false,
-        release_within: 500 * MS,
-        cold_for: 10 * S,
-        cold_from: 0.3,
-        cold_multiple: 2.5,
-        cold_window: S,
-        tick: 0,
-        start_stamps: StartStamps::OwnClock,
+        max_retry_after: None,
+        decode_servers_prefill: false,
+        release_timeout: 500 * MS,
+        slow_start_duration: 10 * S,
+        slow_start_initial_share: 0.3,
+        slow_start_overload_factor: 2.5,
+        slow_start_window: S,
+        timer_resolution: 0,
+        start_time_clock: StartTimeClock::Local,
     }
 }
--- a/gateway-core/tests/desk.rs
+++ b/gateway-core/tests/desk.rs
@@ -14,52 +14,52 @@
 
 fn desk(most: usize) -> Desk<u8> {
     let traffic = TrafficType {
-        utility: 1.0,
+        priority_weight: 1.0,
         latency_slo: 1_000 * MS,
         slo_per_prompt_token: 0,
-        token_pace: 50 * MS,
-        effect: Effect::Repeatable,
+        token_interval: 50 * MS,
+        idempotency: Idempotency::Idempotent,
         delivery: Delivery::Streamed,
     };
-    let once = TrafficType { effect: Effect::OnceOnly, ..traffic.clone() };
+    let once = TrafficType { idempotency: Idempotency::AtMostOnce, ..traffic.clone() };
     let deployment = Deployment {
         gateways: 1,
         zone: ZoneId(0),
         types: vec![traffic, once],
-        kinds: [Role::Reader, Role::Writer].map(|role| Kind { role, memory_tokens: 10_000.0 }).into(),
+        kinds: [Role::Prefill, Role::Decode].map(|role| ServerKind { role, memory_tokens: 10_000.0 }).into(),
         tenants: vec![],
-        over_share_utility: 0.1,
+        over_quota_factor: 0.1,
         weights: Weights::Unused,
         discovery: Discovery::Pushed,
-        ask_within: 1_000 * MS,
+        max_poll_interval: 1_000 * MS,
         max_attempts: 6,
-        longest_retry_after: Some(1_000 * MS),
-        writers_read: false,
-        release_within: 500 * MS,
-        cold_for: 0,
-        cold_from: 1.0,
-        cold_multiple: 2.0,
-        cold_window: MS,
-        tick: 0,
-        start_stamps: StartStamps::OwnClock,
+        max_retry_after: Some(1_000 * MS),
+        decode_servers_prefill: false,
+        release_timeout: 500 * MS,
+        slow_start_duration: 0,
+        slow_start_initial_share: 1.0,
+        slow_start_overload_factor: 2.0,
+        slow_start_window: MS,
+        timer_resolution: 0,
+        start_time_clock: StartTimeClock::Local,
     };
-    let listing = |number: u64| Listing {
+    let endpoint = |number: u64| Endpoint {
         server: ServerId(number),
-        kind: KindId((number / 2) as usize),
+        kind: ServerKindId((number / 2) as usize),
         cell: CellId(0),
         zone: ZoneId(0),
         weight: 1.0,
-        since: 0,
-        condition: Condition::Ready,
+        started_at: 0,
+        state: EndpointState::Ready,
     };
     let mut desk = Desk::new(0, deployment, 5, most, Chooser::Decisions);
-    desk.listed(0, ListScope::Whole, &(0..4).map(listing).collect::<Vec<_>>());
+    desk.listed(0, SnapshotKind::Full, &(0..4).map(endpoint).collect::<Vec<_>>());
     desk
 }
 
 fn request(traffic: usize, key: Option<&str>) -> Request {
     Request {
-        traffic: TypeId(traffic),
+        traffic: TrafficTypeId(traffic),
         tenant: None,
         session: None,
         weighed: weigh(&[Message { role: "user", text: "why" }]),
@@ -84,7 +84,7 @@
 }
 
 /// Takes a request and has its prompt read; what is sent to the writer.
-fn read(desk: &mut Desk<u8>, request: Request) -> (SeqId, Sending<u8>) {
+fn read(desk: &mut Desk<u8>, request: Request) -> (SequenceId, Sending<u8>) {
     let mut out = Vec::new();
     let Taken::Accepted(id) = desk.take(0, request, &mut out) else { panic!("not taken") };
     let reads = sending(&out).clone();
@@ -105,7 +105,7 @@
     let mut out = Vec::new();
     desk.ended(4 * MS, &first.dispatch, Ending::Reset, &mut out);
     let again = sending(&out).clone();
-    assert_eq!((again.dispatch.step, &*again.prompt, again.max_tokens), (Step::Read, "whya b ", 8));
+    assert_eq!((again.dispatch.step, &*again.prompt, again.max_tokens), (Step::Prefill, "whya b ", 8));
     out.clear();
     desk.read_done(5 * MS, &again.dispatch, 0.0, 8, &mut out);
     let writes = sending(&out).clone();
@@ -128,7 +128,7 @@
     // Its writer breaks before it has fetched the state.
     desk.ended(2 * MS, &first.dispatch, Ending::Reset, &mut out);
     let again = sending(&out).clone();
-    assert_eq!(again.dispatch.step, Step::Read);
+    assert_eq!(again.dispatch.step, Step::Prefill);
     out.clear();
     desk.read_done(3 * MS, &again.dispatch, 0.0, 8, &mut out);
     let writes = sending(&out).clone();
--- a/gateway-core/tests/passed.rs
+++ b/gateway-core/tests/passed.rs
@@ -12,21 +12,21 @@
 use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Reason, Relay};
 use std::net::SocketAddr;
 
-fn entry(server: u64, kind: usize) -> Listing {
-    Listing {
+fn entry(server: u64, kind: usize) -> Endpoint {
+    Endpoint {
         server: ServerId(server),
-        kind: KindId(kind),
+        kind: ServerKindId(kind),
         cell: CellId(0),
         zone: ZoneId(0),
         weight: 1.0,
-        since: 0,
-        condition: Condition::Ready,
+        started_at: 0,
+        state: EndpointState::Ready,
     }
 }
 
 fn conductor() -> Conductor {
     let mut conductor = Conductor::new(START, deployment(), 7);
-    conductor.listed(START, ListScope::Whole, &[entry(1, 0), entry(2, 1)]);
+    conductor.listed(START, SnapshotKind::Full, &[entry(1, 0), entry(2, 1)]);
     conductor
 }
 
@@ -38,14 +38,14 @@
 fn passage(most: usize) -> Passage<&'static str> {
     let mut passage = Passage::new(START, deployment(), 7, most);
     let entries = [(entry(1, 0), at(1)), (entry(2, 0), at(2)), (entry(3, 1), at(3))];
-    passage.listed(START, ListScope::Whole, &entries);
+    passage.listed(START, SnapshotKind::Full, &entries);
     passage
 }
 
 /// Takes a sequence; where its prompt is read.
-fn taken(passage: &mut Passage<&'static str>, id: SeqId) -> Dispatch {
+fn taken(passage: &mut Passage<&'static str>, id: SequenceId) -> Dispatch {
     let mut out = Vec::new();
-    passage.take(START, sequence(id, Relay::Passed), "hello", &mut out).unwrap();
+    passage.take(START, sequence(id, Relay::Passthrough), "hello", &mut out).unwrap();
     sent(&out)
 }
 
@@ -67,7 +67,7 @@
 
 #[test]
 fn an_attempt_may_not_begin_once_its_client_left_its_answer_is_given_or_its_time_is_over() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
     let to = at(read.server.0 as u16);
     let ready = due(&passage, &read, to);
@@ -93,8 +93,8 @@
 }
 
 /// A sequence whose first event has come.
-fn streaming(conductor: &mut Conductor, relay: Relay) -> SeqId {
-    let (id, mut out) = (SeqId(5), Vec::new());
+fn streaming(conductor: &mut Conductor, relay: Relay) -> SequenceId {
+    let (id, mut out) = (SequenceId(5), Vec::new());
     conductor.take(START, sequence(id, relay), &mut out);
     conductor.ended(START + 10 * MS, id, 0, Ending::ReadDone { kept: 0.0 }, &mut out);
     assert!(matches!(out[..], [Action::Send(_), Action::Send(_)]), "{out:?}");
@@ -102,10 +102,10 @@
     id
 }
 
-fn sequence(id: SeqId, relay: Relay) -> NewSequence {
+fn sequence(id: SequenceId, relay: Relay) -> NewSequence {
     NewSequence {
         id,
-        traffic: TypeId(0),
+        traffic: TrafficTypeId(0),
         tenant: None,
         session: None,
         prefix: None,
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_passed_stream_that_breaks_has_ended_for_good_where_another_would_go_on() {
-    for (relay, goes_on) in [(Relay::Passed, false), (Relay::Streamed, true)] {
+    for (relay, goes_on) in [(Relay::Passthrough, false), (Relay::Streamed, true)] {
         let (mut conductor, mut out) = (conductor(), Vec::new());
         let id = streaming(&mut conductor, relay);
         conductor.progressed(START + 30 * MS, id);
@@ -138,7 +138,7 @@
 #[test]
 fn a_passed_stream_may_pause_for_as_long_as_one_that_still_comes_and_a_dead_one_ends_within_five_seconds() {
     let (mut conductor, mut out) = (conductor(), Vec::new());
-    let id = streaming(&mut conductor, Relay::Passed);
+    let id = streaming(&mut conductor, Relay::Passthrough);
     // Slow, and far past what its type's pace allows for the whole.
     let mut now = START;
     for _ in 0..20 {
@@ -159,7 +159,7 @@
 #[test]
 fn told_to_end_all_a_passed_stream_ends_and_one_without_an_event_is_rejected() {
     let (mut conductor, mut out) = (conductor(), Vec::new());
-    let id = streaming(&mut conductor, Relay::Passed);
+    let id = streaming(&mut conductor, Relay::Passthrough);
     conductor.finish_all(START + S, &mut out);
     let over = Action::Over { id, outcome: Outcome::Cancelled, reason: Some(Reason::Draining) };
     assert_eq!((out.contains(&over), conductor.in_hand()), (true, 0));
@@ -168,9 +168,9 @@
 #[test]
 fn streams_that_are_moved_leave_what_has_not_begun_in_hand() {
     let (mut conductor, mut out) = (conductor(), Vec::new());
-    let id = streaming(&mut conductor, Relay::Passed);
-    let waits = SeqId(6);
-    conductor.take(START + 30 * MS, sequence(waits, Relay::Passed), &mut out);
+    let id = streaming(&mut conductor, Relay::Passthrough);
+    let waits = SequenceId(6);
+    conductor.take(START + 30 * MS, sequence(waits, Relay::Passthrough), &mut out);
     out.clear();
     conductor.finish_streams(START + S, conductor.streams(), &mut out);
     let over = Action::Over { id, outcome: Outcome::Cancelled, reason: Some(Reason::Draining) };
@@ -182,10 +182,11 @@
     let (mut conductor, mut out) = (conductor(), Vec::new());
     for (id, after, resumed) in [(1, 0, false), (2, S, false), (3, 2 * S, true)] {
         let now = START + after;
-        let new = NewSequence { resumed, abandon_at: now + 5 * S, ..sequence(SeqId(id), Relay::Passed) };
+        let new =
+            NewSequence { resumed, abandon_at: now + 5 * S, ..sequence(SequenceId(id), Relay::Passthrough) };
         conductor.take(now, new, &mut out);
-        conductor.ended(now + MS, SeqId(id), 0, Ending::ReadDone { kept: 0.0 }, &mut out);
-        conductor.began(now + 2 * MS, SeqId(id), 1);
+        conductor.ended(now + MS, SequenceId(id), 0, Ending::ReadDone { kept: 0.0 }, &mut out);
+        conductor.began(now + 2 * MS, SequenceId(id), 1);
     }
     let moved = [1, 1, 1].map(|most| {
         out.clear();
@@ -209,16 +210,20 @@
 
 #[test]
 fn a_state_whose_writer_broke_is_let_go_with_the_first_event_of_the_next() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let first = taken(&mut passage, id);
     passage.ended(START + MS, &first, Ending::ReadDone { kept: 0.0 }, &mut out);
     let broken = sent(&out);
     // Its reader drains, so that the prompt is read anew at the other one.
-    let drains = Listing { condition: Condition::Draining, ..entry(first.server.0, 0) };
-    passage.listed(START + MS, ListScope::Changes, &[(drains, at(first.server.0 as u16))]);
+    let drains = Endpoint { state: EndpointState::Draining, ..entry(first.server.0, 0) };
+    passage.listed(START + MS, SnapshotKind::Delta, &[(drains, at(first.server.0 as u16))]);
     passage.ended(START + 2 * MS, &broken, Ending::Reset, &mut out);
     let again = sent(&out);
-    assert_eq!((again.step, let_go(&out)), (Step::Read, vec![]), "a word now might overtake the read anew");
+    assert_eq!(
+        (again.step, let_go(&out)),
+        (Step::Prefill, vec![]),
+        "a word now might overtake the read anew"
+    );
     assert_ne!(again.server, first.server);
     passage.ended(START + 3 * MS, &again, Ending::ReadDone { kept: 0.0 }, &mut out);
     let writes = sent(&out);
@@ -236,13 +241,13 @@
 fn with_writers() -> Passage<&'static str> {
     let mut passage = passage(9);
     let entries: Vec<_> = (1..10).map(|n| (entry(n, usize::from(n > 1)), at(n as u16))).collect();
-    passage.listed(START, ListScope::Whole, &entries);
+    passage.listed(START, SnapshotKind::Full, &entries);
     passage
 }
 
 #[test]
 fn connections_that_never_come_up_do_not_stop_the_time_of_a_state_that_waits() {
-    let (mut passage, mut out, id) = (with_writers(), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (with_writers(), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
     let held = START + 100 * MS;
     passage.ended(held, &read, Ending::ReadDone { kept: 0.0 }, &mut out);
@@ -261,7 +266,7 @@
 #[test]
 fn a_write_that_its_server_never_proved_to_have_does_not_stop_the_time_and_one_that_it_had_does() {
     for reached in [false, true] {
-        let (mut passage, mut out, id) = (with_writers(), Vec::new(), SeqId(5));
+        let (mut passage, mut out, id) = (with_writers(), Vec::new(), SequenceId(5));
         let read = taken(&mut passage, id);
         passage.ended(START + 100 * MS, &read, Ending::ReadDone { kept: 0.0 }, &mut out);
         let write = sent(&out);
@@ -279,24 +284,25 @@
 #[test]
 fn what_an_older_read_left_has_its_time_after_the_newest_state_is_gone() {
     let six = Deployment { max_attempts: 6, ..deployment() };
-    let (mut passage, mut out, id) = (Passage::new(START, six, 7, 9), Vec::new(), SeqId(5));
-    let both = |n: u64, condition| (Listing { condition, ..entry(n, usize::from(n > 2)) }, at(n as u16));
-    let entries: Vec<_> = (1..5).map(|n| both(n, Condition::Ready)).collect();
-    passage.listed(START, ListScope::Whole, &entries);
+    let (mut passage, mut out, id) = (Passage::new(START, six, 7, 9), Vec::new(), SequenceId(5));
+    let both =
+        |n: u64, condition| (Endpoint { state: condition, ..entry(n, usize::from(n > 2)) }, at(n as u16));
+    let entries: Vec<_> = (1..5).map(|n| both(n, EndpointState::Ready)).collect();
+    passage.listed(START, SnapshotKind::Full, &entries);
     let first = taken(&mut passage, id);
     passage.ended(START + MS, &first, Ending::ReadDone { kept: 0.0 }, &mut out);
     let broken = sent(&out);
-    passage.listed(START + MS, ListScope::Changes, &[both(first.server.0, Condition::Draining)]);
+    passage.listed(START + MS, SnapshotKind::Delta, &[both(first.server.0, EndpointState::Draining)]);
     passage.reached(id, broken.attempt);
     passage.ended(START + 2 * MS, &broken, Ending::Reset, &mut out);
     let again = sent(&out);
-    assert!(again.step == Step::Read && again.server != first.server && again.held);
+    assert!(again.step == Step::Prefill && again.server != first.server && again.held);
     passage.reached(id, again.attempt);
     passage.ended(START + 3 * MS, &again, Ending::ReadDone { kept: 0.0 }, &mut out);
     let writes = sent(&out);
     // Nobody is left to be asked once the newest state is gone.
-    let gone: Vec<_> = (1..5).map(|n| both(n, Condition::Gone)).collect();
-    passage.listed(START + 4 * MS, ListScope::Changes, &gone);
+    let gone: Vec<_> = (1..5).map(|n| both(n, EndpointState::Gone)).collect();
+    passage.listed(START + 4 * MS, SnapshotKind::Delta, &gone);
     out.clear();
     passage.ended(START + 5 * MS, &writes, Ending::StateMissing, &mut out);
     assert_eq!(passage.in_hand(), 1, "it waits for a server");
@@ -311,20 +317,20 @@
 
 #[test]
 fn nothing_is_said_for_a_sequence_that_reads_anew_and_a_second_state_is_let_go_at_once() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
-    let gone = |n: u64| (Listing { condition: Condition::Gone, ..entry(n, 0) }, at(n as u16));
-    passage.listed(START, ListScope::Changes, &[gone(1), gone(2)]);
+    let gone = |n: u64| (Endpoint { state: EndpointState::Gone, ..entry(n, 0) }, at(n as u16));
+    passage.listed(START, SnapshotKind::Delta, &[gone(1), gone(2)]);
     passage.reached(id, read.attempt);
     passage.ended(START + MS, &read, Ending::Reset, &mut out);
     assert_eq!(let_go(&out).len(), 1, "nothing is out, and it may hold something");
     out.clear();
-    passage.listed(START + 2 * MS, ListScope::Changes, &[(entry(1, 0), at(1)), (entry(2, 0), at(2))]);
+    passage.listed(START + 2 * MS, SnapshotKind::Delta, &[(entry(1, 0), at(1)), (entry(2, 0), at(2))]);
     passage.due(START + 50 * MS, &mut out);
     let again = sent(&out);
     assert_eq!(
         (again.step, passage.releases_owed()),
-        (Step::Read, 0),
+        (Step::Prefill, 0),
         "the word would take the second state"
     );
     passage.reached(id, again.attempt);
@@ -344,12 +350,14 @@
 #[test]
 fn what_is_owed_takes_places_of_sequences_beyond_those_kept_for_it() {
     let (mut passage, mut out) = (passage(20), Vec::new());
-    let ids: Vec<SeqId> = (1..=19).map(SeqId).collect();
+    let ids: Vec<SequenceId> = (1..=19).map(SequenceId).collect();
     let reads: Vec<Dispatch> = ids.iter().map(|id| taken(&mut passage, *id)).collect();
     reads.iter().for_each(|read| passage.withdrawn(START + MS, read.id, &mut out));
     assert_eq!((passage.in_hand(), passage.releases_owed()), (0, 19));
     let takes = |passage: &mut Passage<&'static str>, id| {
-        passage.take(START + MS, sequence(SeqId(id), Relay::Passed), "hello", &mut Vec::new()).is_ok()
+        passage
+            .take(START + MS, sequence(SequenceId(id), Relay::Passthrough), "hello", &mut Vec::new())
+            .is_ok()
     };
     let taken = (100..120).filter(|id| takes(&mut passage, *id)).count();
     assert_eq!(taken, 20 - (19 - 8), "eight are kept, eleven more take the place of sequences");
@@ -381,15 +389,16 @@
     let mut chance = oorandom::Rand64::new(seed.into());
     let mut draw = |below: u64| chance.rand_range(0..below);
     let mut passage = with_writers();
-    let both = |n: u64, condition| (Listing { condition, ..entry(n, usize::from(n > 3)) }, at(n as u16));
-    let entries: Vec<_> = (1..10).map(|n| both(n, Condition::Ready)).collect();
-    passage.listed(START, ListScope::Whole, &entries);
+    let both =
+        |n: u64, condition| (Endpoint { state: condition, ..entry(n, usize::from(n > 3)) }, at(n as u16));
+    let entries: Vec<_> = (1..10).map(|n| both(n, EndpointState::Ready)).collect();
+    passage.listed(START, SnapshotKind::Full, &entries);
     let (mut now, mut out) = (START, Vec::new());
-    let mut seen: std::collections::BTreeMap<SeqId, Seen> = Default::default();
+    let mut seen: std::collections::BTreeMap<SequenceId, Seen> = Default::default();
     for step in 0..400 {
         if step % 16 == 0 {
-            let id = SeqId(step);
-            let new = NewSequence { abandon_at: now + 5 * S, ..sequence(id, Relay::Passed) };
+            let id = SequenceId(step);
+            let new = NewSequence { abandon_at: now + 5 * S, ..sequence(id, Relay::Passthrough) };
             passage.take(now, new, "hello", &mut out).map_err(|refusal| format!("{refusal:?}"))?;
         }
         loop {
@@ -405,7 +414,7 @@
                         seen.out.take_if(|(out, ..)| out.attempt == attempt);
                     }
                     Order::LetGo(release) => {
-                        let id = SeqId(u64::from_str_radix(&release.request, 16).unwrap());
+                        let id = SequenceId(u64::from_str_radix(&release.request, 16).unwrap());
                         // A word lets go of all that is held for its request, whoever is told.
                         seen.entry(id).or_default().held.clear();
                         passage.told(
@@ -422,8 +431,9 @@
                 seen.look(now)?;
             }
             // Connections that are not up in their time are given up.
-            let late = |(_, s): &(&SeqId, &Seen)| s.out.is_some_and(|(_, has, until)| !has && now >= until);
-            let late: Vec<SeqId> = seen.iter().filter(late).map(|(id, _)| *id).collect();
+            let late =
+                |(_, s): &(&SequenceId, &Seen)| s.out.is_some_and(|(_, has, until)| !has && now >= until);
+            let late: Vec<SequenceId> = seen.iter().filter(late).map(|(id, _)| *id).collect();
             for id in &late {
                 let (dispatch, ..) = seen.get_mut(id).and_then(|seen| seen.out.take()).unwrap();
                 passage.ended(now, &dispatch, Ending::NotConnected, &mut out);
@@ -442,17 +452,18 @@
             }
         }
         if draw(12) == 0 {
-            let condition = [Condition::Ready, Condition::Draining, Condition::Gone][draw(3) as usize];
-            passage.listed(now, ListScope::Changes, &[both(1 + draw(9), condition)]);
+            let condition =
+                [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone][draw(3) as usize];
+            passage.listed(now, SnapshotKind::Delta, &[both(1 + draw(9), condition)]);
         }
-        let ids: Vec<SeqId> = seen.keys().copied().collect();
+        let ids: Vec<SequenceId> = seen.keys().copied().collect();
         let id = ids[draw(ids.len() as u64) as usize];
         if draw(25) == 0 {
             passage.withdrawn(now, id, &mut out);
             continue;
         }
         let Some((dispatch, has, until)) = seen[&id].out else { continue };
-        let reads = dispatch.step == Step::Read;
+        let reads = dispatch.step == Step::Prefill;
         let seen = seen.get_mut(&id).unwrap();
         if !has {
             if draw(2) == 0 {
@@ -508,23 +519,24 @@
 fn a_thousand_servers_and_gateways_are_listed_replaced_and_changed() {
     let many = Deployment { gateways: 1_024, ..deployment() };
     let (mut passage, mut out) = (Passage::new(START, many, 7, 9), Vec::new());
-    let both = |n: u64, condition| (Listing { condition, ..entry(n, (n % 2) as usize) }, at(1 + n as u16));
+    let both =
+        |n: u64, condition| (Endpoint { state: condition, ..entry(n, (n % 2) as usize) }, at(1 + n as u16));
     let listed = |passage: &Passage<&str>| {
         let addresses = passage.addresses();
         (0..4_000).filter(|n| addresses.contains(&at(1 + n))).count()
     };
-    let first: Vec<_> = (0..1_024).map(|n| both(n, Condition::Ready)).collect();
-    passage.listed(START, ListScope::Remembered, &first);
-    passage.take(START, sequence(SeqId(5), Relay::Passed), "hello", &mut out).unwrap();
+    let first: Vec<_> = (0..1_024).map(|n| both(n, EndpointState::Ready)).collect();
+    passage.listed(START, SnapshotKind::Cached, &first);
+    passage.take(START, sequence(SequenceId(5), Relay::Passthrough), "hello", &mut out).unwrap();
     let Some(Order::Send { dispatch: read, .. }) = out.pop() else { panic!("nothing is sent") };
-    assert_eq!((listed(&passage), read.step), (1_024, Step::Read));
+    assert_eq!((listed(&passage), read.step), (1_024, Step::Prefill));
     // A whole new list takes the place of the old one, and half of that is replaced.
-    let next: Vec<_> = (1_024..2_048).map(|n| both(n, Condition::Ready)).collect();
-    passage.listed(START, ListScope::Whole, &next);
+    let next: Vec<_> = (1_024..2_048).map(|n| both(n, EndpointState::Ready)).collect();
+    passage.listed(START, SnapshotKind::Full, &next);
     assert_eq!((listed(&passage), passage.address(read.server)), (1_024, None));
-    let gone = (1_024..1_536).map(|n| both(n, Condition::Gone));
-    let changes: Vec<_> = gone.chain((2_048..2_560).map(|n| both(n, Condition::Ready))).collect();
-    passage.listed(START, ListScope::Changes, &changes);
+    let gone = (1_024..1_536).map(|n| both(n, EndpointState::Gone));
+    let changes: Vec<_> = gone.chain((2_048..2_560).map(|n| both(n, EndpointState::Ready))).collect();
+    passage.listed(START, SnapshotKind::Delta, &changes);
     assert_eq!(listed(&passage), 1_024);
     passage.ended(START + MS, &read, Ending::Reset, &mut out);
     let again = out.iter().find_map(|order| match order {
@@ -538,22 +550,22 @@
 #[test]
 fn an_id_in_hand_and_more_than_there_is_room_for_are_refused_and_leave_nothing_behind() {
     let (mut passage, mut out) = (passage(1), Vec::new());
-    taken(&mut passage, SeqId(5));
-    let again = passage.take(START, sequence(SeqId(5), Relay::Passed), "hello", &mut out);
+    taken(&mut passage, SequenceId(5));
+    let again = passage.take(START, sequence(SequenceId(5), Relay::Passthrough), "hello", &mut out);
     assert_eq!(again, Err(Refusal::IdInHand));
-    let other = passage.take(START, sequence(SeqId(6), Relay::Passed), "hello", &mut out);
+    let other = passage.take(START, sequence(SequenceId(6), Relay::Passthrough), "hello", &mut out);
     assert_eq!(other, Err(Refusal::Full { retry_after: None }), "these settings allow no time to come back");
     assert_eq!((out.len(), passage.in_hand()), (0, 1));
     passage.end_all(START + MS, &mut out);
     let last = Final::Rejected { retry_after: None, reason: Reason::Draining };
-    assert!(out.contains(&Order::Answer { id: SeqId(5), last }), "{out:?}");
+    assert!(out.contains(&Order::Answer { id: SequenceId(5), last }), "{out:?}");
     assert_eq!(out.iter().filter(|order| matches!(order, Order::Answer { .. })).count(), 1);
     assert_eq!((passage.in_hand(), passage.counts().taken), (0, 1));
 }
 
 #[test]
 fn a_client_that_leaves_during_its_read_has_it_broken_off_and_let_go_until_its_reader_says_so() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
     passage.withdrawn(START + MS, id, &mut out);
     let release = Release { server: read.server, request: format!("{:016x}", id.0) };
@@ -572,15 +584,15 @@
 
 #[test]
 fn an_address_that_changes_under_its_name_is_the_one_used_and_what_is_not_listed_any_more_is_gone() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
-    passage.listed(START, ListScope::Changes, &[(entry(3, 1), at(30))]);
+    passage.listed(START, SnapshotKind::Delta, &[(entry(3, 1), at(30))]);
     let addresses = passage.addresses();
     assert_eq!((addresses.contains(&at(3)), addresses.contains(&at(30))), (false, true));
     passage.ended(START + MS, &read, Ending::ReadDone { kept: 0.0 }, &mut out);
     assert!(matches!(out[..], [Order::Send { to: Some(to), .. }] if to == at(30)), "{out:?}");
-    let gone = Listing { condition: Condition::Gone, ..entry(read.server.0, 0) };
-    passage.listed(START + MS, ListScope::Changes, &[(gone, at(9))]);
+    let gone = Endpoint { state: EndpointState::Gone, ..entry(read.server.0, 0) };
+    passage.listed(START + MS, SnapshotKind::Delta, &[(gone, at(9))]);
     out.clear();
     passage.withdrawn(START + 2 * MS, id, &mut out);
     let release = let_go(&out)[0].clone();
@@ -597,20 +609,22 @@
     let ready = entry(1, 0);
     let changes = [
         (Some(ready.clone()), at(1), Ok(())),
-        (Some(Listing { condition: Condition::Draining, ..ready.clone() }), at(1), Err(Denial::Draining)),
-        (Some(Listing { condition: Condition::Gone, ..ready.clone() }), at(1), Err(Denial::Gone)),
-        (Some(Listing { since: START, ..ready.clone() }), at(1), Err(Denial::StartedAnew)),
+        (Some(Endpoint { state: EndpointState::Draining, ..ready.clone() }), at(1), Err(Denial::Draining)),
+        (Some(Endpoint { state: EndpointState::Gone, ..ready.clone() }), at(1), Err(Denial::Gone)),
+        (Some(Endpoint { started_at: START, ..ready.clone() }), at(1), Err(Denial::StartedAnew)),
         (Some(ready.clone()), at(9), Err(Denial::Moved)),
         (None, at(1), Err(Denial::Gone)),
     ];
     for (change, address, may) in changes {
         let mut passage = passage(9);
-        let read =
-            (0..9).map(|id| taken(&mut passage, SeqId(id))).find(|read| read.server == ServerId(1)).unwrap();
+        let read = (0..9)
+            .map(|id| taken(&mut passage, SequenceId(id)))
+            .find(|read| read.server == ServerId(1))
+            .unwrap();
         let due = due(&passage, &read, port(&read));
         assert_eq!(passage.may_begin(START + MS, &due), Ok(()));
-        let scope = if change.is_some() { ListScope::Changes } else { ListScope::Whole };
-        let entries: Vec<_> = change.iter().map(|listing| (listing.clone(), address)).collect();
+        let scope = if change.is_some() { SnapshotKind::Delta } else { SnapshotKind::Full };
+        let entries: Vec<_> = change.iter().map(|endpoint| (endpoint.clone(), address)).collect();
         passage.listed(START + 2 * MS, scope, &entries);
         assert_eq!(passage.may_begin(START + 3 * MS, &due), may, "{change:?}");
     }
@@ -620,14 +634,14 @@
 fn a_repeat_may_not_begin_once_the_servers_forget_its_mark() {
     let mut deployment = deployment();
     let window = 300 * MS;
-    deployment.types[0].effect = Effect::Tokened { scope: Scope::All, window };
+    deployment.types[0].idempotency = Idempotency::Keyed { scope: KeyScope::Fleet, window };
     let mut passage = Passage::new(START, deployment, 7, 9);
     passage.listed(
         START,
-        ListScope::Whole,
+        SnapshotKind::Full,
         &[(entry(1, 0), at(1)), (entry(2, 0), at(2)), (entry(3, 1), at(3)), (entry(4, 1), at(4))],
     );
-    let read = taken(&mut passage, SeqId(5));
+    let read = taken(&mut passage, SequenceId(5));
     let mut out = Vec::new();
     assert_eq!(read.send_by, Nanos::MAX, "nothing has run yet");
     passage.ended(START + 10 * MS, &read, Ending::ReadDone { kept: 0.0 }, &mut out);
@@ -658,7 +672,7 @@
 
 #[test]
 fn an_answer_to_an_older_word_settles_nothing_that_is_owed_anew() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
     passage.withdrawn(START + MS, id, &mut out);
     let release = Release { server: read.server, request: format!("{:016x}", id.0) };
@@ -684,13 +698,13 @@
 
 #[test]
 fn a_word_that_is_owed_outlives_word_of_a_restart_before_the_read() {
-    let (mut passage, mut out, id) = (passage(9), Vec::new(), SeqId(5));
+    let (mut passage, mut out, id) = (passage(9), Vec::new(), SequenceId(5));
     let read = taken(&mut passage, id);
     // Its reader had restarted before that read, and the list tells it only now: what was read is held all the same.
     passage.withdrawn(START + MS, id, &mut out);
     let release = let_go(&out)[0].clone();
-    let again = Listing { since: START - S, ..entry(read.server.0, 0) };
-    passage.listed(START + 2 * MS, ListScope::Changes, &[(again, at(read.server.0 as u16))]);
+    let again = Endpoint { started_at: START - S, ..entry(read.server.0, 0) };
+    passage.listed(START + 2 * MS, SnapshotKind::Delta, &[(again, at(read.server.0 as u16))]);
     assert_eq!(passage.releases_owed(), 1, "its reader has not answered");
     passage.told(START + 3 * S, &release, passage.owed_since(&release), Some(read.server));
     assert_eq!(passage.releases_owed(), 0);
--- a/gateway-core/tests/rules.rs
+++ b/gateway-core/tests/rules.rs
@@ -10,14 +10,14 @@
 const MS: Nanos = 1_000_000;
 const RELEASE_WITHIN: Nanos = 500 * MS;
 
-fn traffic(utility: f64, effect: Effect) -> TrafficType {
+fn traffic(utility: f64, effect: Idempotency) -> TrafficType {
     let delivery = Delivery::Streamed;
     TrafficType {
-        utility,
+        priority_weight: utility,
         latency_slo: 500 * MS,
         slo_per_prompt_token: 0,
-        token_pace: 20 * MS,
-        effect,
+        token_interval: 20 * MS,
+        idempotency: effect,
         delivery,
     }
 }
@@ -39,59 +39,64 @@
         let mut one_of = |most: u64| chance.rand_range(0..most) as usize;
         let kinds: &[usize] = [&[0, 1, 2][..], &[0, 1], &[0, 2], &[1, 2], &[0], &[1], &[2]][one_of(7)];
         deployment.max_attempts = 1 + one_of(3);
-        deployment.writers_read = one_of(2) == 0;
+        deployment.decode_servers_prefill = one_of(2) == 0;
         deployment.gateways = [1, 300][one_of(2)];
         deployment.weights = [Weights::Size, Weights::Unused][one_of(2)];
-        deployment.longest_retry_after = [None, Some(0), Some(60_000 * MS)][one_of(3)];
-        deployment.release_within = [30, 200, 500, 5_000][one_of(4)] * MS;
-        deployment.tick = [0, 4, 25][one_of(3)] * MS;
-        let scope = [Scope::All, Scope::Zone, Scope::Cell][one_of(3)];
-        deployment.types[2].effect = Effect::Tokened { scope, window: [0, 100, 3_000][one_of(3)] * MS };
+        deployment.max_retry_after = [None, Some(0), Some(60_000 * MS)][one_of(3)];
+        deployment.release_timeout = [30, 200, 500, 5_000][one_of(4)] * MS;
+        deployment.timer_resolution = [0, 4, 25][one_of(3)] * MS;
+        let scope = [KeyScope::Fleet, KeyScope::Zone, KeyScope::Cell][one_of(3)];
+        deployment.types[2].idempotency =
+            Idempotency::Keyed { scope, window: [0, 100, 3_000][one_of(3)] * MS };
         for traffic in &mut deployment.types {
-            traffic.delivery = [Delivery::Streamed, Delivery::Whole][one_of(2)];
-            traffic.utility = [0.0, 0.5, 4.0][one_of(3)];
+            traffic.delivery = [Delivery::Streamed, Delivery::Buffered][one_of(2)];
+            traffic.priority_weight = [0.0, 0.5, 4.0][one_of(3)];
             traffic.latency_slo = [1, 500, 60_000][one_of(3)] * MS;
         }
         Build { deployment, kinds: std::array::from_fn(|_| kinds[one_of(kinds.len() as u64)]) }
     }
 
-    fn listing(&self, number: u64, condition: Condition) -> Listing {
+    fn endpoint(&self, number: u64, condition: EndpointState) -> Endpoint {
         let zone = ZoneId(number as usize / 3);
-        Listing { kind: KindId(self.kinds[number as usize]), zone, ..listing(number, condition) }
+        Endpoint { kind: ServerKindId(self.kinds[number as usize]), zone, ..endpoint(number, condition) }
     }
 }
 
 pub fn deployment() -> Deployment {
-    let tokened = Effect::Tokened { scope: Scope::Cell, window: 3_000 * MS };
+    let tokened = Idempotency::Keyed { scope: KeyScope::Cell, window: 3_000 * MS };
     Deployment {
         gateways: 2,
         zone: ZoneId(0),
-        types: vec![traffic(1.0, Effect::Repeatable), traffic(2.0, Effect::OnceOnly), traffic(2.0, tokened)],
-        kinds: [Role::Reader, Role::Writer, Role::Mixed]
-            .map(|role| Kind { role, memory_tokens: 10_000.0 })
+        types: vec![
+            traffic(1.0, Idempotency::Idempotent),
+            traffic(2.0, Idempotency::AtMostOnce),
+            traffic(2.0, tokened),
+        ],
+        kinds: [Role::Prefill, Role::Decode, Role::Combined]
+            .map(|role| ServerKind { role, memory_tokens: 10_000.0 })
             .into(),
         tenants: vec![],
-        over_share_utility: 0.1,
+        over_quota_factor: 0.1,
         weights: Weights::Unused,
         discovery: Discovery::Pushed,
-        ask_within: 1_000 * MS,
+        max_poll_interval: 1_000 * MS,
         max_attempts: 4,
-        longest_retry_after: Some(1_000 * MS),
-        writers_read: false,
-        release_within: RELEASE_WITHIN,
-        cold_for: 1_000 * MS,
-        cold_from: 0.3,
-        cold_multiple: 2.5,
-        cold_window: 500 * MS,
-        tick: 0,
-        start_stamps: StartStamps::OwnClock,
+        max_retry_after: Some(1_000 * MS),
+        decode_servers_prefill: false,
+        release_timeout: RELEASE_WITHIN,
+        slow_start_duration: 1_000 * MS,
+        slow_start_initial_share: 0.3,
+        slow_start_overload_factor: 2.5,
+        slow_start_window: 500 * MS,
+        timer_resolution: 0,
+        start_time_clock: StartTimeClock::Local,
     }
 }
 
-pub fn listing(number: u64, condition: Condition) -> Listing {
-    Listing {
+pub fn endpoint(number: u64, condition: EndpointState) -> Endpoint {
+    Endpoint {
         server: ServerId(number),
-        kind: KindId(if number < 2 {
+        kind: ServerKindId(if number < 2 {
             0
         } else if number < 5 {
             1
@@ -101,15 +106,15 @@
         cell: CellId((number % 2) as i64),
         zone: ZoneId(0),
         weight: 1.0,
-        since: 0,
-        condition,
+        started_at: 0,
+        state: condition,
     }
 }
 
-fn sequence(id: SeqId, traffic: usize, abandon_at: Nanos) -> NewSequence {
+fn sequence(id: SequenceId, traffic: usize, abandon_at: Nanos) -> NewSequence {
     NewSequence {
         id,
-        traffic: TypeId(traffic),
+        traffic: TrafficTypeId(traffic),
         tenant: None,
         session: None,
         prefix: None,
@@ -118,7 +123,7 @@
         max_out: 50.0,
         hint: None,
         resumed: false,
-        relay: Relay::Passed,
+        relay: Relay::Passthrough,
         abandon_at,
         whole_by: None,
     }
@@ -145,7 +150,7 @@
 struct World {
     build: Build,
     conductor: Conductor,
-    courses: BTreeMap<SeqId, Course>,
+    courses: BTreeMap<SequenceId, Course>,
     closed: [bool; 6],
     chance: Rand64,
     now: Nanos,
@@ -158,7 +163,7 @@
                 Action::Send(dispatch) => {
                     let closed = self.closed[dispatch.server.0 as usize];
                     let course = self.courses.get_mut(&dispatch.id).ok_or("a send for nobody")?;
-                    let writes = dispatch.step != Step::Read;
+                    let writes = dispatch.step != Step::Prefill;
                     let checks = [
                         (course.finals > 0, "rule 1: sent after its final answer"),
                         (
@@ -187,14 +192,14 @@
                     if let Some((_, what)) = checks.iter().find(|(broken, _)| *broken) {
                         return Err(format!("{what}: {dispatch:?}"));
                     }
-                    let effect = self.build.deployment.types[course.traffic].effect;
-                    if let (Effect::Tokened { scope, window }, Some((first, at, _))) =
+                    let effect = self.build.deployment.types[course.traffic].idempotency;
+                    if let (Idempotency::Keyed { scope, window }, Some((first, at, _))) =
                         (effect, course.may_have_run)
                     {
                         let group = match scope {
-                            Scope::All => true,
-                            Scope::Zone => first.0 / 3 == dispatch.server.0 / 3,
-                            Scope::Cell => first.0 % 2 == dispatch.server.0 % 2,
+                            KeyScope::Fleet => true,
+                            KeyScope::Zone => first.0 / 3 == dispatch.server.0 / 3,
+                            KeyScope::Cell => first.0 % 2 == dispatch.server.0 % 2,
                         };
                         if !group || self.now >= at + window {
                             return Err(format!("rule 2: tokened left its group or window: {dispatch:?}"));
@@ -208,7 +213,7 @@
                 Action::Cancel { id, step, .. } => {
                     if let Some(course) = self.courses.get_mut(&id) {
                         course.out = None;
-                        course.left += usize::from(step == Step::Read);
+                        course.left += usize::from(step == Step::Prefill);
                         course.state = (course.left > 0).then_some(self.now);
                     }
                 }
@@ -220,14 +225,16 @@
                 Action::Reject { id, retry_after, .. } => {
                     let course = self.courses.get_mut(&id).ok_or("a rejection for nobody")?;
                     course.finals += 1;
-                    let harmful =
-                        match (self.build.deployment.types[course.traffic].effect, course.may_have_run) {
-                            (Effect::Repeatable, _) | (_, None) => false,
-                            (Effect::Tokened { scope: Scope::All, window }, Some((_, at, _))) => {
-                                self.now + retry_after.unwrap_or(0) >= at + window
-                            }
-                            _ => true,
-                        };
+                    let harmful = match (
+                        self.build.deployment.types[course.traffic].idempotency,
+                        course.may_have_run,
+                    ) {
+                        (Idempotency::Idempotent, _) | (_, None) => false,
+                        (Idempotency::Keyed { scope: KeyScope::Fleet, window }, Some((_, at, _))) => {
+                            self.now + retry_after.unwrap_or(0) >= at + window
+                        }
+                        _ => true,
+                    };
                     if harmful || course.seen {
                         return Err(format!("rule 2: {id:?} was rejected though it may have run"));
                     }
@@ -242,7 +249,7 @@
             if course.finals == 0 && course.whole_by.is_some_and(|by| self.now > by) {
                 return Err(format!("rule 1: {id:?} outlasts its client's whole time"));
             }
-            let late = self.now >= course.abandon_at + self.build.deployment.tick.max(1);
+            let late = self.now >= course.abandon_at + self.build.deployment.timer_resolution.max(1);
             if course.finals == 0 && !course.began && !course.seen && late {
                 return Err(format!("rule 1: {id:?} has no final answer in its client's time"));
             }
@@ -250,7 +257,7 @@
                 return Err(format!("rule 1: {id:?} got {} final answers", course.finals));
             }
             if course.out.is_none()
-                && course.state.is_some_and(|since| self.now > since + self.build.deployment.release_within)
+                && course.state.is_some_and(|since| self.now > since + self.build.deployment.release_timeout)
             {
                 return Err(format!("rule 5: a state of {id:?} is pinned"));
             }
@@ -259,21 +266,21 @@
     }
 
     /// Nothing of an answer shows before its end.
-    fn whole(&self, id: SeqId) -> bool {
+    fn whole(&self, id: SequenceId) -> bool {
         let traffic = self.courses.get(&id).map_or(0, |course| course.traffic);
-        self.build.deployment.types[traffic].delivery == Delivery::Whole
+        self.build.deployment.types[traffic].delivery == Delivery::Buffered
     }
 
     fn ending(&mut self, dispatch: &Dispatch, began: bool) -> Ending {
         match self.chance.rand_range(0..10) {
             0 => Ending::NotConnected,
             1 => Ending::RefusedFull,
-            2 if dispatch.step != Step::Read => Ending::StateMissing,
+            2 if dispatch.step != Step::Prefill => Ending::StateMissing,
             3 => Ending::Reset,
             4 => Ending::Refused { status: 500 },
             5 => Ending::Malformed,
             6 => Ending::HandedBack,
-            _ if dispatch.step == Step::Read => Ending::ReadDone { kept: 0.0 },
+            _ if dispatch.step == Step::Prefill => Ending::ReadDone { kept: 0.0 },
             _ if began || self.whole(dispatch.id) => Ending::Generated,
             _ => Ending::Reset,
         }
@@ -281,7 +288,7 @@
 
     /// A timer comes as late as the clock allows.
     fn pass_timer(&mut self, due: Nanos) -> Result<(), String> {
-        let late = self.chance.rand_range(0..self.build.deployment.tick.max(1));
+        let late = self.chance.rand_range(0..self.build.deployment.timer_resolution.max(1));
         self.now = self.now.max(due + late);
         let mut out = Vec::new();
         self.conductor.due(self.now, &mut out);
@@ -291,15 +298,15 @@
     /// One event at a time, as chance has it.
     fn step(&mut self, number: u64) -> Result<(), String> {
         let mut out = Vec::new();
-        let running: Vec<(SeqId, Dispatch, bool)> =
+        let running: Vec<(SequenceId, Dispatch, bool)> =
             self.courses.iter().filter_map(|(id, course)| Some((*id, course.out?, course.began))).collect();
         let picked =
             (!running.is_empty()).then(|| running[self.chance.rand_range(0..running.len() as u64) as usize]);
         match self.chance.rand_range(0..12) {
             0..3 => {
-                let id = SeqId(number);
+                let id = SequenceId(number);
                 let traffic = self.chance.rand_range(0..3) as usize;
-                let relay = if self.chance.rand_range(0..2) == 0 { Relay::Streamed } else { Relay::Whole };
+                let relay = if self.chance.rand_range(0..2) == 0 { Relay::Streamed } else { Relay::Buffered };
                 let abandon_at = self.now + (200 + self.chance.rand_range(0..2_000)) * MS;
                 // Some clients bound the whole answer too.
                 let whole = self.chance.rand_range(0..4_000);
@@ -313,7 +320,7 @@
             }
             3..5 => {
                 if let Some((id, dispatch, false)) =
-                    picked.filter(|(id, d, _)| d.step != Step::Read && !self.whole(*id))
+                    picked.filter(|(id, d, _)| d.step != Step::Prefill && !self.whole(*id))
                 {
                     self.conductor.began(self.now, id, dispatch.attempt);
                     let course = self.courses.get_mut(&id).ok_or("gone")?;
@@ -326,7 +333,7 @@
                     let ending = self.ending(&dispatch, began);
                     let course = self.courses.get_mut(&id).ok_or("gone")?;
                     course.out = None;
-                    let read = dispatch.step == Step::Read && !ending.proves_unrun();
+                    let read = dispatch.step == Step::Prefill && !ending.proves_unrun();
                     let missing = ending == Ending::StateMissing;
                     course.left = (course.left + usize::from(read)).saturating_sub(usize::from(missing));
                     course.state = (course.left > 0).then_some(self.now);
@@ -343,7 +350,7 @@
             }
             8 => {
                 let (server, share) = (ServerId(number % 7), self.chance.rand_float());
-                let report = Report {
+                let report = LoadReport {
                     memory_share: Some(share),
                     queued_prompt_tokens: Some(share * 1e4),
                     in_flight: None,
@@ -358,9 +365,13 @@
             9 => {
                 let server = self.chance.rand_range(0..6);
                 let condition =
-                    [Condition::Ready, Condition::Draining][self.chance.rand_range(0..2) as usize];
-                self.closed[server as usize] = condition != Condition::Ready;
-                self.conductor.listed(self.now, ListScope::Changes, &[self.build.listing(server, condition)]);
+                    [EndpointState::Ready, EndpointState::Draining][self.chance.rand_range(0..2) as usize];
+                self.closed[server as usize] = condition != EndpointState::Ready;
+                self.conductor.listed(
+                    self.now,
+                    SnapshotKind::Delta,
+                    &[self.build.endpoint(server, condition)],
+                );
             }
             _ => {
                 // Time never jumps over a timer, as in a shell that keeps them.
@@ -377,8 +388,8 @@
 
 fn world(seed: u64, build: Build) -> World {
     let mut conductor = Conductor::new(0, build.deployment.clone(), seed);
-    let list: Vec<Listing> = (0..6).map(|number| build.listing(number, Condition::Ready)).collect();
-    conductor.listed(0, ListScope::Whole, &list);
+    let list: Vec<Endpoint> = (0..6).map(|number| build.endpoint(number, EndpointState::Ready)).collect();
+    conductor.listed(0, SnapshotKind::Full, &list);
     let chance = Rand64::new(seed.into());
     World { build, conductor, courses: BTreeMap::new(), closed: [false; 6], chance, now: MS }
 }
@@ -394,7 +405,7 @@
         world.pass_timer(due)?;
     }
     // And nothing is held after the end, however long nobody looks.
-    world.now += 2 * world.build.deployment.release_within;
+    world.now += 2 * world.build.deployment.release_timeout;
     world.carry_out(Vec::new())?;
     let unanswered = world.courses.values().filter(|course| course.finals != 1).count();
     if unanswered + world.conductor.in_hand() > 0 {
@@ -441,11 +452,11 @@
 /// A sequence of this traffic type whose client waits for four seconds; the attempts that went out are ended so,
 /// each 10 ms after the one before.
 fn tried(conductor: &mut Conductor, traffic: usize, endings: &[Ending], out: &mut Vec<Action>) -> Nanos {
-    conductor.take(0, sequence(SeqId(1), traffic, 4_000 * MS), out);
+    conductor.take(0, sequence(SequenceId(1), traffic, 4_000 * MS), out);
     let mut now = 0;
     for (attempt, ending) in endings.iter().enumerate() {
         now += 10 * MS;
-        conductor.ended(now, SeqId(1), attempt, *ending, out);
+        conductor.ended(now, SequenceId(1), attempt, *ending, out);
     }
     now
 }
@@ -478,18 +489,18 @@
         }),
         ("the stream broke", |c, out| {
             tried(c, 0, &[Ending::ReadDone { kept: 0.0 }], out);
-            c.began(20 * MS, SeqId(1), 1);
-            c.ended(30 * MS, SeqId(1), 1, Ending::Reset, out);
+            c.began(20 * MS, SequenceId(1), 1);
+            c.ended(30 * MS, SequenceId(1), 1, Ending::Reset, out);
             30 * MS
         }),
         ("no server comes", |c, out| {
-            c.listed(0, ListScope::Whole, &[]);
+            c.listed(0, SnapshotKind::Full, &[]);
             tried(c, 0, &[], out);
             pass(c, 4_000 * MS, out)
         }),
         ("nobody can take the state in time", |c, out| {
-            let writers: Vec<Listing> = (2..6).map(|n| listing(n, Condition::Gone)).collect();
-            c.listed(0, ListScope::Changes, &writers);
+            let writers: Vec<Endpoint> = (2..6).map(|n| endpoint(n, EndpointState::Gone)).collect();
+            c.listed(0, SnapshotKind::Delta, &writers);
             tried(c, 0, &[Ending::ReadDone { kept: 0.0 }], out);
             pass(c, 4_000 * MS, out)
         }),
@@ -503,7 +514,7 @@
             20 * MS
         }),
         ("all writers are full", |c, out| {
-            let full = Report { memory_share: Some(1.0), queued_prompt_tokens: None, in_flight: None };
+            let full = LoadReport { memory_share: Some(1.0), queued_prompt_tokens: None, in_flight: None };
             (2..6).for_each(|n| c.reported(0, ServerId(n), full));
             tried(c, 0, &[], out)
         }),
--- a/grpc-api/src/exchange.rs
+++ b/grpc-api/src/exchange.rs
@@ -51,7 +51,7 @@
     };
     match (service, method) {
         (SERVICE, "Stream") => chat(reply, arrived, &parts.headers, incoming, Relay::Streamed).await,
-        (SERVICE, "Complete") => chat(reply, arrived, &parts.headers, incoming, Relay::Whole).await,
+        (SERVICE, "Complete") => chat(reply, arrived, &parts.headers, incoming, Relay::Buffered).await,
         (SERVICE, "ListModels") => models(reply, &parts.headers, incoming).await,
         ("grpc.health.v1.Health", "Check") => check(reply, incoming).await,
         ("grpc.health.v1.Health", "Watch") => watch(reply, incoming).await,
@@ -90,8 +90,8 @@
     let answer = gateway.take(ask)?;
     let (id, created) = (format!("{:016x}", answer.id().0), call::seconds(arrived) as i64);
     match relay {
-        Relay::Streamed | Relay::Passed => stream(reply, answer, v1::Begun { id, model, created }).await,
-        Relay::Whole => whole(reply, answer, v1::Begun { id, model, created }).await,
+        Relay::Streamed | Relay::Passthrough => stream(reply, answer, v1::Begun { id, model, created }).await,
+        Relay::Buffered => whole(reply, answer, v1::Begun { id, model, created }).await,
     }
 }
 
--- a/inventory/src/lib.rs
+++ b/inventory/src/lib.rs
@@ -13,7 +13,7 @@
 pub use guard::{Doubt, Guard};
 pub use membership::{Change, Membership};
 
-use petrelshore::interface::{Condition, ServerId};
+use petrelshore::interface::{EndpointState, ServerId};
 use petrelshore_gateway_core::intake::stable_id;
 use std::net::SocketAddr;
 
@@ -35,8 +35,8 @@
         ServerId(stable_id(&self.name))
     }
 
-    pub fn condition(&self) -> Condition {
-        if self.draining { Condition::Draining } else { Condition::Ready }
+    pub fn condition(&self) -> EndpointState {
+        if self.draining { EndpointState::Draining } else { EndpointState::Ready }
     }
 }
 
--- a/inventory/src/membership.rs
+++ b/inventory/src/membership.rs
@@ -12,8 +12,8 @@
 /// What the decisions are to be told.
 #[derive(Clone, Debug)]
 pub struct Change {
-    pub scope: ListScope,
-    pub entries: Vec<Listing>,
+    pub scope: SnapshotKind,
+    pub entries: Vec<Endpoint>,
 }
 
 /// Starts told by answers may differ by so much without meaning another start: clocks and rounding.
@@ -57,7 +57,7 @@
     pub fn remember(&mut self, list: List, since: BTreeMap<ServerId, Nanos>) -> Change {
         self.since = since;
         self.list = list;
-        Change { scope: ListScope::Remembered, entries: self.listings() }
+        Change { scope: SnapshotKind::Cached, entries: self.endpoints() }
     }
 
     /// A new good list. Servers that were not on the one before count as just started; on the first list ever
@@ -72,7 +72,7 @@
         let listed: Vec<ServerId> = self.list.servers.iter().map(crate::Server::id).collect();
         self.since.retain(|id, _| listed.contains(id));
         self.told.retain(|id, _| listed.contains(id));
-        Change { scope: ListScope::Whole, entries: self.listings() }
+        Change { scope: SnapshotKind::Full, entries: self.endpoints() }
     }
 
     /// Nothing listens at a server's address: whoever listens there next has just started.
@@ -105,27 +105,27 @@
     fn started_anew(&mut self, at: Nanos, id: ServerId) -> Option<Change> {
         let server = self.list.servers.iter().find(|server| server.id() == id)?.clone();
         self.since.insert(id, at);
-        let listing = self.listing(&server);
-        Some(Change { scope: ListScope::Changes, entries: vec![listing] })
+        let endpoint = self.endpoint(&server);
+        Some(Change { scope: SnapshotKind::Delta, entries: vec![endpoint] })
     }
 
-    fn listings(&mut self) -> Vec<Listing> {
+    fn endpoints(&mut self) -> Vec<Endpoint> {
         let servers = self.list.servers.clone();
-        servers.iter().map(|server| self.listing(server)).collect()
+        servers.iter().map(|server| self.endpoint(server)).collect()
     }
 
-    fn listing(&mut self, server: &crate::Server) -> Listing {
+    fn endpoint(&mut self, server: &crate::Server) -> Endpoint {
         let id = server.id();
         // A server that the list puts in no cell is a cell of its own: nothing is beside it.
         let cell = if server.cell.is_empty() { &server.name } else { &server.cell };
-        Listing {
+        Endpoint {
             server: id,
-            kind: KindId(self.kinds.iter().position(|kind| *kind == server.kind).unwrap_or(0)),
+            kind: ServerKindId(self.kinds.iter().position(|kind| *kind == server.kind).unwrap_or(0)),
             cell: CellId(number(&mut self.cells, cell) as i64),
             zone: ZoneId(number(&mut self.zones, &server.zone)),
             weight: server.weight,
-            since: self.since.get(&id).copied().unwrap_or(0),
-            condition: server.condition(),
+            started_at: self.since.get(&id).copied().unwrap_or(0),
+            state: server.condition(),
         }
     }
 }
--- a/inventory/tests/lists.rs
+++ b/inventory/tests/lists.rs
@@ -33,7 +33,7 @@
 fn csv_and_yaml_give_the_same_list_and_skip_what_they_do_not_know() {
     let list = read(Format::Csv, CSV).unwrap();
     assert_eq!(list, read(Format::Yaml, YAML).unwrap());
-    assert_eq!((list.servers[1].weight, list.servers[1].condition()), (2.5, Condition::Draining));
+    assert_eq!((list.servers[1].weight, list.servers[1].condition()), (2.5, EndpointState::Draining));
 }
 
 #[test]
@@ -72,17 +72,17 @@
     let (reader, writer) = (whole.servers[0].id(), whole.servers[1].id());
     let mut membership = Membership::new(&kinds(), "here");
     let first = membership.replace(100, one);
-    assert_eq!((first.entries.len(), first.entries[0].since), (1, 0));
+    assert_eq!((first.entries.len(), first.entries[0].started_at), (1, 0));
     let joined = membership.replace(200, whole.clone());
-    let since = |id| joined.entries.iter().find(|entry| entry.server == id).map(|entry| entry.since);
+    let since = |id| joined.entries.iter().find(|entry| entry.server == id).map(|entry| entry.started_at);
     assert_eq!((since(reader), since(writer)), (Some(0), Some(200)));
     let gone = membership.absent(300, reader).unwrap();
-    assert_eq!((gone.entries[0].server, gone.entries[0].since), (reader, 300));
+    assert_eq!((gone.entries[0].server, gone.entries[0].started_at), (reader, 300));
     assert!(membership.absent(300, ServerId(9)).is_none());
     let kept = membership.since().clone();
     let mut later = Membership::new(&kinds(), "here");
     let remembered = later.remember(whole, kept);
-    assert!(remembered.entries.iter().any(|entry| entry.server == reader && entry.since == 300));
+    assert!(remembered.entries.iter().any(|entry| entry.server == reader && entry.started_at == 300));
 }
 
 #[test]
@@ -94,7 +94,7 @@
     assert!(membership.told_start(50 * second, id, 10 * second).is_none());
     assert!(membership.told_start(51 * second, id, 11 * second).is_none());
     let again = membership.told_start(60 * second, id, 59 * second).unwrap();
-    assert_eq!(again.entries[0].since, 59 * second);
+    assert_eq!(again.entries[0].started_at, 59 * second);
     assert!(membership.told_start(61 * second, id, 59 * second).is_none());
 }
 
@@ -109,7 +109,7 @@
         assert!(membership.told_start(now, id, before).is_none());
         let told = (now + 9 * second).saturating_add_signed(stepped * second as i64);
         let again = membership.told_start(now + 10 * second, id, told).unwrap();
-        let since = again.entries[0].since;
+        let since = again.entries[0].started_at;
         assert!(since >= now && since <= now + 10 * second, "stepped by {stepped} s: {since}");
     }
 }
--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -4,7 +4,7 @@
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
-use petrelshore::interface::{Nanos, Report};
+use petrelshore::interface::{LoadReport, Nanos};
 use petrelshore_chat_gateway::Clock;
 use petrelshore_gateway_core::connections::Connections;
 use petrelshore_gateway_core::proof::Ending;
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Heard<T> {
     pub result: Result<T, Ending>,
-    pub load: Option<Report>,
+    pub load: Option<LoadReport>,
 }
 
 /// A connection and its permit among all that this gateway may hold.
@@ -372,7 +372,7 @@
         }
     }
 
-    fn load_of(&self, head: &AnswerHead) -> Option<Report> {
+    fn load_of(&self, head: &AnswerHead) -> Option<LoadReport> {
         load::pairs(head.fields.only("Srv-Load")?, &self.fields)
     }
 }
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::client::{PooledConnection, Shared, ending};
 use bytes::{Bytes, BytesMut};
-use petrelshore::interface::Report;
+use petrelshore::interface::LoadReport;
 use petrelshore_gateway_core::proof::Ending;
 use petrelshore_http1::body::{Body, Framing};
 use petrelshore_http1::head::AnswerHead;
@@ -24,7 +24,7 @@
     body: Body,
     connection: Option<PooledConnection>,
     data: BytesMut,
-    pub load: Option<Report>,
+    pub load: Option<LoadReport>,
 }
 
 impl Stream {
--- a/platform-engine-client/tests/manners.rs
+++ b/platform-engine-client/tests/manners.rs
@@ -273,7 +273,7 @@
         let to = answers(stream.as_bytes()[..cut].to_vec());
         let (passed, ended) = async_io::block_on(written(&client, to));
         let ended = ended.expect_err("not whole");
-        assert!(!ended.proves_unrun() && ended.outcome(false) != Outcome::Generated, "{cut}: {ended:?}");
+        assert!(!ended.proves_unrun() && ended.outcome(false) != Outcome::Completed, "{cut}: {ended:?}");
         assert!("data: a\n\ndata: [DONE]\n\n".starts_with(&passed), "{cut}: {passed}");
     }
     for cut in 0..read.len() {
--- a/platform-gateway/src/service.rs
+++ b/platform-gateway/src/service.rs
@@ -65,7 +65,7 @@
     pub(crate) client: Client,
     names: Names,
     pub(crate) passage: RefCell<Passage<Rc<Message>>>,
-    tickets: RefCell<HashMap<SeqId, Ticket>>,
+    tickets: RefCell<HashMap<SequenceId, Ticket>>,
     timers: Timers,
     /// Told when a sequence or a release has left.
     pub(crate) emptied: Event,
@@ -98,7 +98,7 @@
             spawner,
         };
         let service = Service(Rc::new(inner));
-        service.listed(Listed { scope: ListScope::Remembered, ..config.known });
+        service.listed(Listed { scope: SnapshotKind::Cached, ..config.known });
         let inner = service.0.clone();
         service.0.spawner.run(async move {
             let next_due = || inner.passage.borrow().next_due();
@@ -303,8 +303,8 @@
             };
             drop(message);
             match dispatch.step {
-                Step::Read => inner.read(dispatch, call).await,
-                Step::Write | Step::Move | Step::Whole => inner.write(dispatch, call).await,
+                Step::Prefill => inner.read(dispatch, call).await,
+                Step::Decode | Step::MigratedDecode | Step::Combined => inner.write(dispatch, call).await,
             }
         });
         ticket.attempt = task.map(|task| (dispatch.attempt, task));
@@ -357,13 +357,13 @@
     }
 
     /// A client left before its attempt was sent: nothing is sent for it any more.
-    fn client_left(self: &Rc<Self>, id: SeqId) {
+    fn client_left(self: &Rc<Self>, id: SequenceId) {
         debug!(seq = id.0, "client left before its attempt was sent");
         self.tell(|passage, now, out| passage.withdrawn(now, id, out));
     }
 
     /// Hands events on. Where the client does not take them, the writer waits, and the conductor is told so.
-    async fn pass_on(self: &Rc<Self>, id: SeqId, events: Bytes) -> bool {
+    async fn pass_on(self: &Rc<Self>, id: SequenceId, events: Bytes) -> bool {
         let Some(to) = self.tickets.borrow().get(&id).map(|ticket| ticket.events.clone()) else {
             return false;
         };
@@ -379,7 +379,7 @@
         }
     }
 
-    fn ended(self: &Rc<Self>, dispatch: Dispatch, ending: Ending, load: Option<Report>) {
+    fn ended(self: &Rc<Self>, dispatch: Dispatch, ending: Ending, load: Option<LoadReport>) {
         let Dispatch { id, attempt, server, step, .. } = dispatch;
         debug!(seq = id.0, attempt, ?step, server = server.0, ?ending, "attempt ended");
         self.told(server, load);
@@ -392,9 +392,9 @@
         self.tell(|passage, now, out| passage.ended(now, &dispatch, ending, out));
     }
 
-    fn told(&self, server: ServerId, load: Option<Report>) {
+    fn told(&self, server: ServerId, load: Option<LoadReport>) {
         if let Some(report) = load {
-            let Report { memory_share: share, queued_prompt_tokens: queued, in_flight } = report;
+            let LoadReport { memory_share: share, queued_prompt_tokens: queued, in_flight } = report;
             debug!(server = server.0, share, queued, in_flight, "load told");
             self.passage.borrow_mut().reported(self.clock.now(), server, report);
         }
@@ -403,7 +403,7 @@
 
 /// An answer on its way. Dropping it before its end tells the service that the client has left.
 pub struct Answer {
-    id: SeqId,
+    id: SequenceId,
     inner: Rc<Inner>,
     events: Receiver<Bytes>,
     last: Rc<Cell<Option<Final>>>,
--- a/platform-gateway/tests/service.rs
+++ b/platform-gateway/tests/service.rs
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-fn take(service: &Service, id: SeqId) -> Answer {
+fn take(service: &Service, id: SequenceId) -> Answer {
     let now = service.clock().now();
     let new = NewSequence {
         id,
-        traffic: TypeId(0),
+        traffic: TrafficTypeId(0),
         tenant: None,
         session: None,
         prefix: None,
@@ -30,7 +30,7 @@
         max_out: 50.0,
         hint: None,
         resumed: false,
-        relay: Relay::Passed,
+        relay: Relay::Passthrough,
         abandon_at: now + 4_000_000_000,
         whole_by: None,
     };
@@ -58,12 +58,12 @@
     async_io::block_on(executor.run(async {
         let service = Service::start(config, 20, Spawner::new(&executor));
         // Over, though its client has read nothing of it yet.
-        let unread = take(&service, SeqId(7));
+        let unread = take(&service, SequenceId(7));
         while service.in_hand() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
         reader.set(Manner::Slow);
-        let mut next = take(&service, SeqId(7));
+        let mut next = take(&service, SequenceId(7));
         drop(unread);
         let mut told = String::new();
         let last = loop {
--- a/platform-protocol/src/config.rs
+++ b/platform-protocol/src/config.rs
@@ -3,7 +3,7 @@
 use crate::Malformed;
 use crate::list::{Listed, listed};
 use crate::settings::{Names, at, each, flag, list, nanos, settings, word, wrong};
-use petrelshore::interface::{Deployment, Nanos, StartStamps};
+use petrelshore::interface::{Deployment, Nanos, StartTimeClock};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -36,7 +36,7 @@
     let seed = u64::from_str_radix(word(&json, "seed")?, 16).map_err(|_| wrong("seed", &json["seed"]))?;
     let s = at(&json, "settings")?;
     let (mut deployment, names) = settings(s)?;
-    deployment.start_stamps = StartStamps::WallClock;
+    deployment.start_time_clock = StartTimeClock::Wall;
     let limits = each("lanes", list(s, "lanes")?, |lane| nanos(lane, "hardLimit"))?;
     Ok(Config {
         name: word(&json, "name")?.to_owned(),
--- a/platform-protocol/src/list.rs
+++ b/platform-protocol/src/list.rs
@@ -14,8 +14,8 @@
 #[derive(Debug)]
 pub struct Listed {
     pub index: u64,
-    pub scope: ListScope,
-    pub entries: Vec<(Listing, SocketAddr)>,
+    pub scope: SnapshotKind,
+    pub entries: Vec<(Endpoint, SocketAddr)>,
     pub left_out: Vec<Malformed>,
 }
 
@@ -28,29 +28,29 @@
             Err(what) => left_out.push(format!("endpoints[{number}]: {what}")),
         }
     }
-    let scope = if whole { ListScope::Whole } else { ListScope::Changes };
+    let scope = if whole { SnapshotKind::Full } else { SnapshotKind::Delta };
     Ok(Listed { index: nanos(json, "index")?, scope, entries, left_out })
 }
 
-fn entry(row: &Value, names: &Names) -> Result<(Listing, SocketAddr), Malformed> {
+fn entry(row: &Value, names: &Names) -> Result<(Endpoint, SocketAddr), Malformed> {
     let place = |field: &str, known: &[String]| {
         let name = word(row, field)?;
         known.iter().position(|k| k == name).ok_or_else(|| wrong(field, &row[field]))
     };
     let address = word(row, "address")?;
-    let listing = Listing {
+    let endpoint = Endpoint {
         server: ServerId(stable_id(word(row, "name")?)),
-        kind: KindId(place("type", &names.kinds)?),
+        kind: ServerKindId(place("type", &names.kinds)?),
         cell: CellId(row.get("group").and_then(Value::as_i64).unwrap_or(0)),
         zone: ZoneId(place("zone", &names.zones)?),
         weight: row.get("weight").map_or(Ok(1.0), |_| number(row, "weight"))?,
-        since: nanos(row, "since_ms")?.saturating_mul(MILLISECOND).min(Nanos::MAX / 4),
-        condition: match word(row, "status")? {
-            "active" => Condition::Ready,
-            "leaving" => Condition::Draining,
-            "left" => Condition::Gone,
+        started_at: nanos(row, "since_ms")?.saturating_mul(MILLISECOND).min(Nanos::MAX / 4),
+        state: match word(row, "status")? {
+            "active" => EndpointState::Ready,
+            "leaving" => EndpointState::Draining,
+            "left" => EndpointState::Gone,
             _ => return Err(wrong("status", &row["status"])),
         },
     };
-    Ok((listing, address.parse().map_err(|_| wrong("address", &row["address"]))?))
+    Ok((endpoint, address.parse().map_err(|_| wrong("address", &row["address"]))?))
 }
--- a/platform-protocol/src/load.rs
+++ b/platform-protocol/src/load.rs
@@ -2,7 +2,7 @@
 
 use crate::Malformed;
 use crate::settings::{word, words, wrong};
-use petrelshore::interface::Report;
+use petrelshore::interface::LoadReport;
 use serde_json::Value;
 
 /// What a field of the reports tells.
@@ -46,14 +46,14 @@
 }
 
 /// A row of values in the order that the settings give.
-pub fn row(row: &str, fields: &[Field]) -> Option<Report> {
+pub fn row(row: &str, fields: &[Field]) -> Option<LoadReport> {
     let values: Vec<f64> = row.split(',').map(str::parse).collect::<Result<_, _>>().ok()?;
     let named = fields.iter().map(|field| field.measure).zip(values.iter().copied());
     (values.len() == fields.len()).then(|| report(named))?
 }
 
 /// `name=value` pairs, as answers carry them. What can't be read is no report.
-pub fn pairs(text: &str, fields: &[Field]) -> Option<Report> {
+pub fn pairs(text: &str, fields: &[Field]) -> Option<LoadReport> {
     let pairs = text.split(',').map(|pair| {
         let (name, value) = pair.trim().split_once('=')?;
         let known = fields.iter().find(|field| field.name == name)?;
@@ -62,8 +62,8 @@
     report(pairs.collect::<Option<Vec<_>>>()?.into_iter())
 }
 
-fn report(values: impl Iterator<Item = (Measure, f64)>) -> Option<Report> {
-    let mut report = Report::default();
+fn report(values: impl Iterator<Item = (Measure, f64)>) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for (measure, value) in values {
         if !value.is_finite() {
             return None;
--- a/platform-protocol/src/load/tests.rs
+++ b/platform-protocol/src/load/tests.rs
@@ -5,7 +5,7 @@
     let fields =
         [("inflight", Measure::InFlight), ("x0", Measure::MemoryShare), ("x1", Measure::QueuedThousands)];
     let fields = fields.map(|(name, measure)| Field { name: name.to_owned(), measure });
-    let told = |report: Option<Report>| report.map(|r| (r.memory_share, r.queued_prompt_tokens));
+    let told = |report: Option<LoadReport>| report.map(|r| (r.memory_share, r.queued_prompt_tokens));
     assert_eq!(told(pairs("inflight=7, x0=0.5,x1=2", &fields)), Some((Some(0.5), Some(2000.0))));
     assert_eq!(told(row("7,-0.5,2", &fields)), Some((Some(0.0), Some(2000.0))));
     assert_eq!(told(pairs("x0=0.5", &fields)), Some((Some(0.5), None)));
--- a/platform-protocol/src/request.rs
+++ b/platform-protocol/src/request.rs
@@ -50,8 +50,8 @@
         }
     }
     Ok(NewSequence {
-        id: SeqId(id),
-        traffic: TypeId(traffic),
+        id: SequenceId(id),
+        traffic: TrafficTypeId(traffic),
         tenant: tenant.transpose()?,
         session: key.map(SessionId),
         prefix: prefix.filter(|id| *id != 0).map(PrefixId),
@@ -60,7 +60,7 @@
         max_out: max_out.ok_or_else(|| wrong("Req-Extra", text))?,
         hint: None,
         resumed: field("Req-Retry") == Some("again"),
-        relay: Relay::Passed,
+        relay: Relay::Passthrough,
         abandon_at: pace::give_up_at(now, deadline * MILLISECOND),
         whole_by: None,
     })
--- a/platform-protocol/src/settings.rs
+++ b/platform-protocol/src/settings.rs
@@ -71,28 +71,28 @@
 
 fn traffic_type(lane: &Value, per_1000_us: &Value, pace: &Value) -> Result<TrafficType, Malformed> {
     let effect = match word(lane, "semantics")? {
-        "free" => Effect::Repeatable,
-        "single_shot" => Effect::OnceOnly,
+        "free" => Idempotency::Idempotent,
+        "single_shot" => Idempotency::AtMostOnce,
         "guarded" => {
             let scope = match word(lane, "dedupScope")? {
-                "all" => Scope::All,
-                "zone" => Scope::Zone,
-                "cell" => Scope::Cell,
+                "all" => KeyScope::Fleet,
+                "zone" => KeyScope::Zone,
+                "cell" => KeyScope::Cell,
                 _ => return Err(wrong("dedupScope", &lane["dedupScope"])),
             };
-            Effect::Tokened { scope, window: nanos(lane, "window")? }
+            Idempotency::Keyed { scope, window: nanos(lane, "window")? }
         }
         _ => return Err(wrong("semantics", &lane["semantics"])),
     };
     let per_1000_us = per_1000_us.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
     Ok(TrafficType {
-        utility: number(lane, "worth")?,
+        priority_weight: number(lane, "worth")?,
         latency_slo: nanos(lane, "aim")?,
         slo_per_prompt_token: per_1000_us.ok_or_else(|| wrong("specifics.aimUsPer1000PromptTokens", lane))?
             as Nanos,
-        token_pace: pace.as_u64().ok_or_else(|| wrong("specifics.tokenAim", pace))?,
-        effect,
-        delivery: if flag(lane, "streamed")? { Delivery::Streamed } else { Delivery::Whole },
+        token_interval: pace.as_u64().ok_or_else(|| wrong("specifics.tokenAim", pace))?,
+        idempotency: effect,
+        delivery: if flag(lane, "streamed")? { Delivery::Streamed } else { Delivery::Buffered },
     })
 }
 
@@ -124,19 +124,19 @@
     let memories = one_each("specifics.memoryTokens", &names.kinds)?;
     let kinds = roles.zip(memories).map(|(role, memory)| {
         let role = match role.as_str() {
-            Some("read") => Role::Reader,
-            Some("write") => Role::Writer,
-            Some("both") => Role::Mixed,
+            Some("read") => Role::Prefill,
+            Some("write") => Role::Decode,
+            Some("both") => Role::Combined,
             _ => return Err(wrong("specifics.kindRole", role)),
         };
         let memory_tokens =
             memory.as_f64().filter(|m| *m >= 1.0).ok_or_else(|| wrong("specifics.memoryTokens", memory))?;
-        Ok(Kind { role, memory_tokens })
+        Ok(ServerKind { role, memory_tokens })
     });
     let tenants = each("orgs", orgs, |org| Ok(Tenant { per_second: number(org, "quotaRps")? }))?;
     let discovery = match word(s, "membershipMode")? {
         "pushed" => Discovery::Pushed,
-        "on_request" => Discovery::Asked,
+        "on_request" => Discovery::Polled,
         _ => return Err(wrong("membershipMode", &s["membershipMode"])),
     };
 
@@ -146,7 +146,7 @@
         types: types.collect::<Result<_, _>>()?,
         kinds: kinds.collect::<Result<_, Malformed>>()?,
         tenants,
-        over_share_utility: if orgs.is_empty() { 1.0 } else { number(s, "overShareWorth")? },
+        over_quota_factor: if orgs.is_empty() { 1.0 } else { number(s, "overShareWorth")? },
         weights: match word(s, "weights")? {
             "nominal" | "rough" => Weights::Size,
             // Live ones hold load that the reports tell already, as it was a while back.
@@ -154,23 +154,23 @@
             _ => return Err(wrong("weights", &s["weights"])),
         },
         discovery,
-        ask_within: match discovery {
+        max_poll_interval: match discovery {
             Discovery::Pushed => 0,
-            Discovery::Asked => nanos(s, "rules.askEvery")?,
+            Discovery::Polled => nanos(s, "rules.askEvery")?,
         },
         max_attempts: nanos(s, "allowed.maxAttempts")? as usize,
-        longest_retry_after: match flag(s, "allowed.retryAfter")? {
+        max_retry_after: match flag(s, "allowed.retryAfter")? {
             true => Some(nanos(s, "allowed.maxRetryAfter")?),
             false => None,
         },
-        writers_read: flag(s, "specifics.readInPlace")?,
-        release_within: nanos(s, "specifics.releaseWithin")?,
-        cold_for: nanos(s, "rules.cold")?,
-        cold_from: number(s, "rules.coldFrom")?,
-        cold_multiple: number(s, "rules.overloadFactor")?,
-        cold_window: nanos(s, "rules.overloadFor")?.max(1),
-        tick: nanos(s, "tick")?,
-        start_stamps: StartStamps::OwnClock,
+        decode_servers_prefill: flag(s, "specifics.readInPlace")?,
+        release_timeout: nanos(s, "specifics.releaseWithin")?,
+        slow_start_duration: nanos(s, "rules.cold")?,
+        slow_start_initial_share: number(s, "rules.coldFrom")?,
+        slow_start_overload_factor: number(s, "rules.overloadFactor")?,
+        slow_start_window: nanos(s, "rules.overloadFor")?.max(1),
+        timer_resolution: nanos(s, "tick")?,
+        start_time_clock: StartTimeClock::Local,
     };
     Ok((deployment, names))
 }
--- a/platform-protocol/tests/customers.rs
+++ b/platform-protocol/tests/customers.rs
@@ -74,9 +74,10 @@
     fn decided(&self) -> Vec<String> {
         let config = self.config();
         let start = 1_000_000 * MS;
-        let known: Vec<Listing> = config.known.entries.iter().map(|(listing, _)| listing.clone()).collect();
+        let known: Vec<Endpoint> =
+            config.known.entries.iter().map(|(endpoint, _)| endpoint.clone()).collect();
         let mut conductor = Conductor::new(start, config.deployment.clone(), config.seed);
-        conductor.listed(start, ListScope::Remembered, &known);
+        conductor.listed(start, SnapshotKind::Cached, &known);
         let mut decided = Vec::new();
         for n in 0..400u64 {
             let now = start + n * 40 * MS;
@@ -84,7 +85,7 @@
                 let drains =
                     json!({"index": n, "snapshot": false, "endpoints": [self.entry(n / 100 * 4, "leaving")]});
                 let list = listed(&drains, &config.names).unwrap();
-                let entries: Vec<Listing> = list.entries.into_iter().map(|(listing, _)| listing).collect();
+                let entries: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
                 conductor.listed(now, list.scope, &entries);
             }
             let (id, session) = (format!("{:016x}", n + 1), format!("{:016x}", 77 + n % 30));
@@ -118,7 +119,7 @@
                 let ending = match (sent.step, (n + step as u64) % 7) {
                     (_, 3) => Ending::RefusedFull,
                     (_, 5) => Ending::Reset,
-                    (Step::Read, _) => Ending::ReadDone { kept: 400.0 },
+                    (Step::Prefill, _) => Ending::ReadDone { kept: 400.0 },
                     _ => {
                         conductor.began(after, sent.id, sent.attempt);
                         Ending::Generated
--- a/platform-protocol/tests/terms.rs
+++ b/platform-protocol/tests/terms.rs
@@ -35,15 +35,22 @@
     let told = json!({"index": 43, "snapshot": false, "endpoints": [
         entry("a", "leaving", 1_764_600_000_000), bad, entry("b", "left", 0), entry("c", "asleep", 0)]});
     let list = listed(&told, &names()).unwrap();
-    assert_eq!((list.index, list.scope, list.entries.len()), (43, ListScope::Changes, 2));
+    assert_eq!((list.index, list.scope, list.entries.len()), (43, SnapshotKind::Delta, 2));
     let (first, address) = &list.entries[0];
-    assert_eq!((first.server, first.kind, first.cell), (ServerId(stable_id("a")), KindId(1), CellId(3)));
-    assert_eq!((first.zone, first.condition), (ZoneId(1), Condition::Draining));
-    assert_eq!((first.since, address.port()), (1_764_600_000 * S, 9000), "Unix time in whole nanoseconds");
-    assert_eq!(list.entries[1].0.condition, Condition::Gone);
+    assert_eq!(
+        (first.server, first.kind, first.cell),
+        (ServerId(stable_id("a")), ServerKindId(1), CellId(3))
+    );
+    assert_eq!((first.zone, first.state), (ZoneId(1), EndpointState::Draining));
+    assert_eq!(
+        (first.started_at, address.port()),
+        (1_764_600_000 * S, 9000),
+        "Unix time in whole nanoseconds"
+    );
+    assert_eq!(list.entries[1].0.state, EndpointState::Gone);
     assert!(list.left_out[0].contains("endpoints[1]: setting type") && list.left_out[1].contains("status"));
     let whole = json!({"index": 1, "snapshot": true, "endpoints": []});
-    assert_eq!(listed(&whole, &names()).unwrap().scope, ListScope::Whole);
+    assert_eq!(listed(&whole, &names()).unwrap().scope, SnapshotKind::Full);
     assert!(listed(&json!({"index": 1, "endpoints": []}), &names()).unwrap_err().contains("snapshot"));
 }
 
@@ -59,9 +66,12 @@
         _ => None,
     };
     let new = sequence(head, &names(), 100 * S).unwrap();
-    assert_eq!((new.id, new.traffic, new.resumed), (SeqId(0x9b1f_03aa_5c7e_2d41), TypeId(1), true));
+    assert_eq!(
+        (new.id, new.traffic, new.resumed),
+        (SequenceId(0x9b1f_03aa_5c7e_2d41), TrafficTypeId(1), true)
+    );
     assert_eq!((new.prompt_tokens, new.prefix_tokens, new.max_out), (5120.0, 2048.0, 800.0));
-    assert_eq!((new.prefix, new.relay), (Some(PrefixId(0x5c0f_6e1a_2b3d_4c59)), Relay::Passed));
+    assert_eq!((new.prefix, new.relay), (Some(PrefixId(0x5c0f_6e1a_2b3d_4c59)), Relay::Passthrough));
     assert_eq!(new.abandon_at, 100 * S + 4_750_000_000);
     for (field, value) in [
         ("Req-Id", "9B1F03AA5C7E2D41"),
@@ -128,10 +138,16 @@
 #[test]
 fn each_setting_that_is_missing_or_of_another_form_is_named_and_unknown_ones_are_passed_over() {
     let (good, names) = settings(&given()).unwrap();
-    let zone = Effect::Tokened { scope: Scope::Zone, window: 3 * S };
-    assert_eq!([0, 1, 2].map(|n| good.types[n].effect), [Effect::Repeatable, Effect::OnceOnly, zone]);
-    assert_eq!([0, 1].map(|n| good.types[n].delivery), [Delivery::Streamed, Delivery::Whole]);
-    assert_eq!((good.weights, good.tick, good.ask_within), (Weights::Unused, 4_000_000, S));
+    let zone = Idempotency::Keyed { scope: KeyScope::Zone, window: 3 * S };
+    assert_eq!(
+        [0, 1, 2].map(|n| good.types[n].idempotency),
+        [Idempotency::Idempotent, Idempotency::AtMostOnce, zone]
+    );
+    assert_eq!([0, 1].map(|n| good.types[n].delivery), [Delivery::Streamed, Delivery::Buffered]);
+    assert_eq!(
+        (good.weights, good.timer_resolution, good.max_poll_interval),
+        (Weights::Unused, 4_000_000, S)
+    );
     let told = load::row("7,3,2", &names.report).unwrap();
     assert_eq!((told.memory_share, told.queued_prompt_tokens), (None, Some(2000.0)), "as the texts say");
 
@@ -184,7 +200,7 @@
     plain["allowed"] = json!({"maxAttempts": 1, "retryAfter": false});
     plain.as_object_mut().unwrap().remove("overShareWorth");
     let (deployment, names) = settings(&plain).unwrap();
-    assert_eq!((deployment.max_attempts, deployment.longest_retry_after), (1, None));
+    assert_eq!((deployment.max_attempts, deployment.max_retry_after), (1, None));
     assert!(deployment.tenants.is_empty() && names.report.is_empty());
 }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -42,7 +42,7 @@
     pub models: Vec<String>,
     pub abandon_time: Nanos,
     pub max_tokens: u32,
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -57,13 +57,13 @@
 
 impl Settings {
     /// The traffic type that a model name stands for.
-    pub fn model(&self, name: &str) -> Option<TypeId> {
-        self.traffic.iter().position(|t| t.models.iter().any(|m| m == name)).map(TypeId)
+    pub fn model(&self, name: &str) -> Option<TrafficTypeId> {
+        self.traffic.iter().position(|t| t.models.iter().any(|m| m == name)).map(TrafficTypeId)
     }
 
     /// The traffic type of this name.
-    pub fn traffic_type(&self, name: &str) -> Option<TypeId> {
-        self.traffic.iter().position(|traffic| traffic.name == name).map(TypeId)
+    pub fn traffic_type(&self, name: &str) -> Option<TrafficTypeId> {
+        self.traffic.iter().position(|traffic| traffic.name == name).map(TrafficTypeId)
     }
 
     /// Whose key it is.
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -188,7 +188,7 @@
 
 /// The field that a finding is about.
 fn place(about: &About, traffic: &[Traffic]) -> String {
-    let of = |id: &TypeId, field: &str| format!("traffic.{}.{field}", traffic[id.0].name);
+    let of = |id: &TrafficTypeId, field: &str| format!("traffic.{}.{field}", traffic[id.0].name);
     match about {
         About::AbandonTooShort { traffic, .. } | About::AbandonBeforeSlo { traffic } => {
             of(traffic, "abandon_time")
@@ -254,24 +254,24 @@
         let latency_slo = d.time(&at("latency_slo"), &t.latency_slo);
         let abandon_time = d.time(&at("abandon_time"), &t.abandon_time);
         let effect = match (t.effect, &t.repeats) {
-            (EffectRecord::Tokened, Some(repeats)) => Effect::Tokened {
+            (EffectRecord::Tokened, Some(repeats)) => Idempotency::Keyed {
                 scope: match repeats.scope {
-                    ScopeRecord::Zone => Scope::Zone,
-                    ScopeRecord::Cell => Scope::Cell,
-                    ScopeRecord::All => Scope::All,
+                    ScopeRecord::Zone => KeyScope::Zone,
+                    ScopeRecord::Cell => KeyScope::Cell,
+                    ScopeRecord::All => KeyScope::Fleet,
                 },
                 window: d.time(&at("repeats.window"), &repeats.window),
             },
             (EffectRecord::Tokened, None) => {
                 d.wrong(&at("repeats"), "is missing: tokened work needs to know who drops its repeats");
-                Effect::OnceOnly
+                Idempotency::AtMostOnce
             }
             (_, Some(_)) => {
                 d.wrong(&at("repeats"), "only tokened work has it");
-                Effect::OnceOnly
+                Idempotency::AtMostOnce
             }
-            (EffectRecord::OnceOnly, None) => Effect::OnceOnly,
-            (EffectRecord::Repeatable, None) => Effect::Repeatable,
+            (EffectRecord::OnceOnly, None) => Idempotency::AtMostOnce,
+            (EffectRecord::Repeatable, None) => Idempotency::Idempotent,
         };
         for model in &t.models {
             if let Some(other) = models.insert(model.clone(), name.clone()) {
@@ -279,12 +279,12 @@
             }
         }
         types.push(TrafficType {
-            utility: t.utility,
+            priority_weight: t.utility,
             latency_slo,
             slo_per_prompt_token: d.time(&at("slo_per_1000_prompt_tokens"), &t.slo_per_1000_prompt_tokens)
                 / 1000,
-            token_pace: d.time(&at("token_pace"), &t.token_pace),
-            effect,
+            token_interval: d.time(&at("token_pace"), &t.token_pace),
+            idempotency: effect,
             delivery: Delivery::Streamed,
         });
         traffic.push(Traffic {
@@ -312,11 +312,11 @@
     if keys.is_empty() && !record.open {
         d.wrong("tenants", "nobody may call: name keys, or set open");
     }
-    let kinds = record.kinds.values().map(|kind| Kind {
+    let kinds = record.kinds.values().map(|kind| ServerKind {
         role: match kind.role {
-            RoleRecord::Reader => Role::Reader,
-            RoleRecord::Writer => Role::Writer,
-            RoleRecord::Mixed => Role::Mixed,
+            RoleRecord::Reader => Role::Prefill,
+            RoleRecord::Writer => Role::Decode,
+            RoleRecord::Mixed => Role::Combined,
         },
         memory_tokens: kind.memory_tokens,
     });
@@ -326,20 +326,20 @@
         types,
         kinds: kinds.collect(),
         tenants: record.tenants.values().map(|t| Tenant { per_second: t.per_second }).collect(),
-        over_share_utility: record.over_share_utility,
+        over_quota_factor: record.over_share_utility,
         weights: Weights::Size,
         discovery: Discovery::Pushed,
-        ask_within: 1_000_000_000,
+        max_poll_interval: 1_000_000_000,
         max_attempts: record.attempts as usize,
-        longest_retry_after: Some(d.time("longest_retry_after", &record.longest_retry_after)),
-        writers_read: record.writers_read,
-        release_within: d.time("release_within", &record.release_within),
-        cold_for: d.time("cold.lasts", &record.cold.lasts),
-        cold_from: record.cold.from,
-        cold_multiple: record.cold.multiple,
-        cold_window: d.time("cold.window", &record.cold.window).max(1),
-        tick: 0,
-        start_stamps: StartStamps::OwnClock,
+        max_retry_after: Some(d.time("longest_retry_after", &record.longest_retry_after)),
+        decode_servers_prefill: record.writers_read,
+        release_timeout: d.time("release_within", &record.release_within),
+        slow_start_duration: d.time("cold.lasts", &record.cold.lasts),
+        slow_start_initial_share: record.cold.from,
+        slow_start_overload_factor: record.cold.multiple,
+        slow_start_window: d.time("cold.window", &record.cold.window).max(1),
+        timer_resolution: 0,
+        start_time_clock: StartTimeClock::Local,
     };
     let abandon_times: Vec<Nanos> = traffic.iter().map(|t| t.abandon_time).collect();
     for finding in terms::check(&deployment, &abandon_times) {
--- a/settings/tests/files.rs
+++ b/settings/tests/files.rs
@@ -20,12 +20,12 @@
     std::fs::write(&file, GOOD).unwrap();
     let settings: Settings = read(&file).unwrap();
     assert_eq!(settings.inventory, folder.join("boxes.csv"));
-    assert_eq!(settings.model("workshop-chat"), Some(TypeId(1)));
+    assert_eq!(settings.model("workshop-chat"), Some(TrafficTypeId(1)));
     assert_eq!(settings.model("nope"), None);
     assert_eq!(settings.tenant("rider-key"), Some(TenantId(0)));
     assert_eq!(settings.deployment.types[0].latency_slo, 1_000_000_000);
-    assert_eq!(settings.deployment.release_within, 500_000_000);
-    assert_eq!(settings.deployment.types[0].effect, Effect::Repeatable);
+    assert_eq!(settings.deployment.release_timeout, 500_000_000);
+    assert_eq!(settings.deployment.types[0].idempotency, Idempotency::Idempotent);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
--- a/src/fleet/candidates.rs
+++ b/src/fleet/candidates.rs
@@ -32,8 +32,8 @@
 pub fn in_scope(group: Option<Group>, server: &Server) -> bool {
     match group {
         None => true,
-        Some(Group::Zone(zone)) => zone == server.listing.zone,
-        Some(Group::Cell(cell)) => cell == server.listing.cell,
+        Some(Group::Zone(zone)) => zone == server.endpoint.zone,
+        Some(Group::Cell(cell)) => cell == server.endpoint.cell,
         Some(Group::Nobody) => false,
     }
 }
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -59,17 +59,17 @@
         let mut index = Index { holds_until: Nanos::MAX, ..Index::default() };
         let mut prefill: BTreeMap<ZoneId, Vec<(u64, Slot)>> = BTreeMap::new();
         for (slot, server) in servers {
-            let prefills = server.role == Role::Reader;
+            let prefills = server.role == Role::Prefill;
             index.prefill_servers += usize::from(prefills);
-            if server.listing.condition != Condition::Gone {
+            if server.endpoint.state != EndpointState::Gone {
                 let sum = if prefills { &mut index.prefill_weight } else { &mut index.answering_weight };
                 *sum += server.weight;
             }
-            if server.listing.condition != Condition::Ready {
+            if server.endpoint.state != EndpointState::Ready {
                 continue;
             }
             if prefills {
-                prefill.entry(server.listing.zone).or_default().push((server.listing.server.0, slot));
+                prefill.entry(server.endpoint.zone).or_default().push((server.endpoint.server.0, slot));
             }
             index.add(now, slot, server);
         }
@@ -86,8 +86,8 @@
         }
         let role = server.role as usize;
         self.by_role[role].add(now, slot, server);
-        self.by_zone.entry((role, server.listing.zone)).or_default().add(now, slot, server);
-        self.by_cell.entry(server.listing.cell).or_default()[role].add(now, slot, server);
+        self.by_zone.entry((role, server.endpoint.zone)).or_default().add(now, slot, server);
+        self.by_cell.entry(server.endpoint.cell).or_default()[role].add(now, slot, server);
     }
 
     /// Ready servers of a role, of one zone or of all.
