--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 pub type Slot = usize;
 
 pub struct Fleet {
-    kinds: Vec<Kind>,
+    kinds: Vec<ServerKind>,
     weights: Weights,
     slots: Vec<Server>,
     free: Vec<Slot>,
@@ -42,7 +42,7 @@
 
 impl Fleet {
     /// A fleet without servers. On its hash rings each prefill server has so many points.
-    pub fn new(kinds: Vec<Kind>, weights: Weights, ring_points: usize) -> Self {
+    pub fn new(kinds: Vec<ServerKind>, weights: Weights, ring_points: usize) -> Self {
         Fleet {
             kinds,
             weights,
@@ -61,22 +61,22 @@
     /// `start` from its entry; one that has gone stays for as long as an attempt is out to it.
     pub fn listed(
         &mut self,
-        scope: ListScope,
-        entries: &[Listing],
-        mut start: impl FnMut(&Listing) -> Server,
+        scope: SnapshotKind,
+        entries: &[Endpoint],
+        mut start: impl FnMut(&Endpoint) -> Server,
     ) {
         self.stale = true;
         self.drop_gone();
-        if scope != ListScope::Changes {
+        if scope != SnapshotKind::Delta {
             let named: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, slot) in self.by_id.iter().filter(|(id, _)| !named.contains(id)) {
-                self.slots[*slot].listing.condition = Condition::Gone;
+                self.slots[*slot].endpoint.state = EndpointState::Gone;
             }
         }
         for entry in entries {
             let slot = match self.by_id.get(&entry.server) {
-                Some(&slot) if entry.since <= self.slots[slot].listing.since => {
-                    self.slots[slot].listing = entry.clone();
+                Some(&slot) if entry.started_at <= self.slots[slot].endpoint.started_at => {
+                    self.slots[slot].endpoint = entry.clone();
                     slot
                 }
                 _ => self.insert(start(entry)),
@@ -95,7 +95,7 @@
         let (slots, free) = (&self.slots, &mut self.free);
         self.by_id.retain(|_, slot| {
             let server = &slots[*slot];
-            let stays = server.listing.condition != Condition::Gone || !server.out.is_empty();
+            let stays = server.endpoint.state != EndpointState::Gone || !server.out.is_empty();
             if !stays {
                 free.push(*slot);
             }
@@ -106,7 +106,7 @@
     fn insert(&mut self, mut server: Server) -> Slot {
         self.generations += 1;
         server.generation = self.generations;
-        let id = server.listing.server;
+        let id = server.endpoint.server;
         if let Some(&slot) = self.by_id.get(&id) {
             self.slots[slot] = server;
             return slot;
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -5,7 +5,7 @@
 
 /// An attempt that is out to a server.
 pub struct Out {
-    pub seq: SeqId,
+    pub seq: SequenceId,
     pub sent: Nanos,
     pub tokens: f64,
     /// Nothing of its answer has come yet.
@@ -13,7 +13,7 @@
 }
 
 pub struct Server {
-    pub listing: Listing,
+    pub endpoint: Endpoint,
     pub role: Role,
     /// Its size against others; 1 where sizes are not used.
     pub weight: f64,
@@ -21,7 +21,7 @@
     pub memory: f64,
     /// Another number for each start of a server: what is kept elsewhere of an older start is not found.
     pub generation: u64,
-    pub report: Report,
+    pub report: LoadReport,
     pub reported: Nanos,
     pub out: Vec<Out>,
     /// When anything last came from it.
@@ -41,14 +41,14 @@
 
 impl Server {
     /// A server as it is listed first, cold until `cold_until`. Times of its answers halve once in `half_life`.
-    pub fn new(now: Nanos, listing: Listing, cold_until: Nanos, lot: f64, half_life: Nanos) -> Self {
+    pub fn new(now: Nanos, endpoint: Endpoint, cold_until: Nanos, lot: f64, half_life: Nanos) -> Self {
         Server {
-            listing,
-            role: Role::Mixed,
+            endpoint,
+            role: Role::Combined,
             weight: 1.0,
             memory: 1.0,
             generation: 0,
-            report: Report::default(),
+            report: LoadReport::default(),
             reported: 0,
             out: Vec::new(),
             heard: 0,
--- a/src/fleet/survey.rs
+++ b/src/fleet/survey.rs
@@ -16,7 +16,7 @@
     pub fn next<'a>(&mut self, fleet: &'a Fleet, most: usize) -> Vec<&'a Server> {
         let part: Vec<&Server> = fleet.values_from(ServerId(self.next)).take(most).collect();
         fleet.count(part.len());
-        let last = part.last().map_or(u64::MAX, |server| server.listing.server.0);
+        let last = part.last().map_or(u64::MAX, |server| server.endpoint.server.0);
         self.over = part.len() < most || last == u64::MAX;
         self.next = last.saturating_add(1);
         part
@@ -91,9 +91,9 @@
 }
 
 impl Sums {
-    pub fn add(&mut self, listing: &Listing, part: Contribution) {
-        let empty = CellShare { zone: listing.zone, readers: 0.0, writers: 0.0, reads: 0.0 };
-        let cell = self.cells.entry(listing.cell).or_insert(empty);
+    pub fn add(&mut self, endpoint: &Endpoint, part: Contribution) {
+        let empty = CellShare { zone: endpoint.zone, readers: 0.0, writers: 0.0, reads: 0.0 };
+        let cell = self.cells.entry(endpoint.cell).or_insert(empty);
         cell.readers += part.readers;
         cell.writers += part.writers;
         self.told += part.told_share.unwrap_or(0.0);
--- a/src/proof.rs
+++ b/src/proof.rs
@@ -11,8 +11,11 @@
 pub fn first_that_ran(attempts: &[Attempt]) -> Option<&Attempt> {
     attempts.iter().find(|attempt| {
         use Outcome::*;
-        let proven = matches!(attempt.status, Status::Closed(Full | NoState | ConnectFailed | NeverSent));
-        attempt.step != Step::Read && !proven
+        let proven = matches!(
+            attempt.status,
+            AttemptStatus::Finished(AtCapacity | KvCacheMissing | ConnectFailed | NeverSent)
+        );
+        attempt.step != Step::Prefill && !proven
     })
 }
 
@@ -23,15 +26,15 @@
 pub fn held_since(now: Nanos, seq: &Sequence, attempt: &Attempt, got: Outcome) -> Option<Nanos> {
     use Outcome::*;
     let leaves = |a: &Attempt| {
-        let unrun = matches!(a.status, Status::Closed(ConnectFailed | NeverSent | Full));
-        a.step == Step::Read && !unrun
+        let unrun = matches!(a.status, AttemptStatus::Finished(ConnectFailed | NeverSent | AtCapacity));
+        a.step == Step::Prefill && !unrun
     };
     let reads = seq.attempts.iter().filter(|a| leaves(a)).count();
-    let missing = seq.attempts.iter().filter(|a| a.status == Status::Closed(NoState)).count();
-    match seq.held_since {
+    let missing = seq.attempts.iter().filter(|a| a.status == AttemptStatus::Finished(KvCacheMissing)).count();
+    match seq.cache_held_since {
         None => leaves(attempt).then_some(now),
-        Some(_) if got == NoState && reads <= missing => None,
-        Some(since) if !attempt.reached || matches!(got, ConnectFailed | NeverSent) => Some(since),
+        Some(_) if got == KvCacheMissing && reads <= missing => None,
+        Some(since) if !attempt.delivered || matches!(got, ConnectFailed | NeverSent) => Some(since),
         Some(_) => Some(now),
     }
 }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -21,22 +21,22 @@
         let time = |step| self.known_time(now, step, 0.0).unwrap_or(0.0);
         let wait = match pick.step {
             // Guards against turning the longest prompts away first, by whatever makes all wait.
-            Step::Read => {
+            Step::Prefill => {
                 let longer = seq.prompt_tokens - pick.kept - OWN_PART * self.stats.mean_prompt(now);
                 let work = self.read_work(now, &self.fleet[pick.server], seq, pick.kept);
-                self.read_wait(now, work - longer.max(0.0)) + time(Step::Write)
+                self.read_wait(now, work - longer.max(0.0)) + time(Step::Decode)
             }
             step => time(step),
         };
         let value = self.value(now, seq);
-        let among = self.decode_candidates(seq, Some(&self.fleet[pick.server].listing));
-        let answering = self.fleet.among(&among).filter(|s| s.role != Role::Reader && self.ready(now, s));
+        let among = self.decode_candidates(seq, Some(&self.fleet[pick.server].endpoint));
+        let answering = self.fleet.among(&among).filter(|s| s.role != Role::Prefill && self.ready(now, s));
         let load = answering.map(|s| self.decode_load(now, s)).min_by(f64::total_cmp);
         if load.is_some_and(|load| load > FULL - (1.0 - value) * RESERVE) {
             return true;
         }
         let slack = 0.5 + 0.5 * value;
-        let left = (self.deployment.slo(seq) as f64).min(seq.abandon_at.saturating_sub(now) as f64);
+        let left = (self.deployment.slo(seq) as f64).min(seq.first_token_deadline.saturating_sub(now) as f64);
         wait > left * slack
     }
 
@@ -58,11 +58,11 @@
 
     /// Utility against the highest, less for a tenant past its share.
     pub(super) fn value(&self, now: Nanos, seq: &Sequence) -> f64 {
-        let utility = self.deployment.utility(seq.traffic);
+        let utility = self.deployment.relative_priority(seq.traffic);
         let over = seq.tenant.is_some_and(|TenantId(tenant)| {
             let part = self.deployment.tenants[tenant].per_second / self.deployment.gateways as f64;
             self.stats.tenants[tenant].per_second(now, self.stats.started) > OVER_SHARE * part
         });
-        if over { utility * self.deployment.over_share_utility } else { utility }
+        if over { utility * self.deployment.over_quota_factor } else { utility }
     }
 }
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -15,28 +15,30 @@
     /// How long the attempt that is out may take; without one, how long until `schedule` is worth asking. Where
     /// nothing is known it is half the time left: a gateway that starts into a jam must not add to it.
     pub fn wait(&self, now: Nanos, seq: &Sequence) -> Nanos {
-        let left = seq.abandon_at.saturating_sub(now);
-        let Some(attempt) = seq.attempts.last().filter(|a| a.status == Status::Out) else {
+        let left = seq.first_token_deadline.saturating_sub(now);
+        let Some(attempt) = seq.attempts.last().filter(|a| a.status == AttemptStatus::InFlight) else {
             return self.recheck().min(left);
         };
-        let once = self.deployment.types[seq.traffic.0].effect == Effect::OnceOnly;
-        if (attempt.step != Step::Read && once) || !self.deployment.shows(seq.traffic, attempt.step) {
+        let once = self.deployment.types[seq.traffic.0].idempotency == Idempotency::AtMostOnce;
+        if (attempt.step != Step::Prefill && once)
+            || !self.deployment.shows_progress(seq.traffic, attempt.step)
+        {
             // A time-out proves nothing: only an answer lets a once-only sequence end well. And the times of first
             // tokens say nothing of an answer that comes whole.
             return left;
         }
-        let work = self.read_wait(now, attempt.tokens);
+        let work = self.read_wait(now, attempt.load_tokens);
         let fellows = self.usual[self.fleet[attempt.server].role as usize].map(|(_, high)| high);
         let all = self.known_time(now, attempt.step, HIGH);
         let usual = match attempt.step {
             // A queue is no reason to read elsewhere anew, nor a slow link to move elsewhere.
-            Step::Read => fellows.or(all.map(|all| QUEUE * all)).map(|time| time.max(work)),
-            Step::Move => all.map(|all| all.max(fellows.unwrap_or(0.0))),
+            Step::Prefill => fellows.or(all.map(|all| QUEUE * all)).map(|time| time.max(work)),
+            Step::MigratedDecode => all.map(|all| all.max(fellows.unwrap_or(0.0))),
             _ => fellows.or(all),
         };
         // Time-outs make the usual time longer: where few answers are known, one server that hangs must not get all
         // the time there is. An SLO's worth is left for the next attempt.
-        let last = attempt.step == Step::Read || seq.attempts.len() >= self.most_attempts(seq);
+        let last = attempt.step == Step::Prefill || seq.attempts.len() >= self.most_attempts(seq);
         let most = if last { left } else { left.saturating_sub(self.deployment.slo(seq)).max(left / 2) };
         usual
             .map_or(left / 2, |usual| (PATIENCE * usual.max(self.deployment.slo(seq) as f64 / 6.0)) as Nanos)
@@ -46,7 +48,9 @@
     /// A read and a write are everyone's; further attempts go by utility.
     pub(super) fn most_attempts(&self, seq: &Sequence) -> usize {
         let further = self.deployment.max_attempts.saturating_sub(2) as f64;
-        self.deployment.max_attempts.min(2 + (further * self.deployment.utility(seq.traffic)).ceil() as usize)
+        self.deployment
+            .max_attempts
+            .min(2 + (further * self.deployment.relative_priority(seq.traffic)).ceil() as usize)
     }
 
     /// Nothing further: its attempts are used up, or none may begin any more.
@@ -57,70 +61,76 @@
     /// Until when another attempt may begin, once one may have run: the group forgets what it has seen.
     pub fn send_by(&self, seq: &Sequence) -> Option<Nanos> {
         let first = maybe_ran(seq)?;
-        match self.deployment.types[seq.traffic.0].effect {
-            Effect::Repeatable => None,
-            Effect::Tokened { window, .. } => Some(first.sent.saturating_add(window)),
-            Effect::OnceOnly => Some(first.sent),
+        match self.deployment.types[seq.traffic.0].idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::Keyed { window, .. } => Some(first.sent_at.saturating_add(window)),
+            Idempotency::AtMostOnce => Some(first.sent_at),
         }
     }
 
     /// Whether the attempts left can end in an answer, by the roles there are.
     pub(super) fn may_go_on(&self, seq: &Sequence, state: bool) -> bool {
-        let whole = self.deployment.some_take_whole();
+        let whole = self.deployment.any_kind_serves_combined();
         seq.attempts.len() + if state || whole { 1 } else { 2 } <= self.most_attempts(seq)
     }
 
     /// Tokened: once an attempt may have run, only within the group that knows its repeats: that of its server. Where
     /// that one is not known any more, nobody is in it.
     pub(super) fn scope(&self, seq: &Sequence) -> Option<Group> {
-        let Effect::Tokened { scope, .. } = self.deployment.types[seq.traffic.0].effect else { return None };
-        let first = maybe_ran(seq).filter(|_| scope != Scope::All)?;
+        let Idempotency::Keyed { scope, .. } = self.deployment.types[seq.traffic.0].idempotency else {
+            return None;
+        };
+        let first = maybe_ran(seq).filter(|_| scope != KeyScope::Fleet)?;
         Some(match (scope, self.fleet.get(first.server)) {
             (_, None) => Group::Nobody,
-            (Scope::Cell, Some(known)) => Group::Cell(known.listing.cell),
-            (_, Some(known)) => Group::Zone(known.listing.zone),
+            (KeyScope::Cell, Some(known)) => Group::Cell(known.endpoint.cell),
+            (_, Some(known)) => Group::Zone(known.endpoint.zone),
         })
     }
 
     /// A sequence that nothing can take is held for part of its SLO, or of its client's time where that is shorter,
     /// its state within the time to release, and always so that the next look comes in time.
     pub(super) fn may_hold(&self, now: Nanos, seq: &Sequence) -> bool {
-        let whole = self.deployment.slo(seq).min(seq.abandon_at.saturating_sub(seq.arrived));
-        let until = seq.arrived.saturating_add((whole as f64 * HOLD) as Nanos);
+        let whole = self.deployment.slo(seq).min(seq.first_token_deadline.saturating_sub(seq.arrived_at));
+        let until = seq.arrived_at.saturating_add((whole as f64 * HOLD) as Nanos);
         let next = now + self.recheck();
-        now < until && next + self.deployment.tick < seq.abandon_at && !self.pinned(next, seq)
+        now < until
+            && next + self.deployment.timer_resolution < seq.first_token_deadline
+            && !self.pinned(next, seq)
     }
 
     /// Pause before another look; no timer comes sooner than the clock moves.
     pub(super) fn recheck(&self) -> Nanos {
-        RECHECK.max(self.deployment.tick)
+        RECHECK.max(self.deployment.timer_resolution)
     }
 
     /// Until when what is held may wait for a server: half the time to release, the other is for the release.
     pub fn held_until(&self, seq: &Sequence) -> Option<Nanos> {
-        seq.held_since.map(|since| since.saturating_add(self.deployment.release_within / 2))
+        seq.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
     }
 
     pub(super) fn pinned(&self, now: Nanos, seq: &Sequence) -> bool {
-        let margin = self.recheck().min(self.deployment.release_within / 4);
+        let margin = self.recheck().min(self.deployment.release_timeout / 4);
         self.held_until(seq).is_some_and(|until| now + margin >= until)
     }
 
     /// The final answer: a rejection where a retry is provably harmless, an abort elsewhere.
-    pub(super) fn give_up(&self, now: Nanos, seq: &mut Sequence) -> Schedule {
+    pub(super) fn give_up(&self, now: Nanos, seq: &mut Sequence) -> Decision {
         let release = !seq.attempts.is_empty();
-        let harmless_until = match (maybe_ran(seq), self.deployment.types[seq.traffic.0].effect) {
-            (None, _) | (_, Effect::Repeatable) => Nanos::MAX,
-            (Some(first), Effect::Tokened { scope: Scope::All, window }) => first.sent.saturating_add(window),
+        let harmless_until = match (maybe_ran(seq), self.deployment.types[seq.traffic.0].idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => Nanos::MAX,
+            (Some(first), Idempotency::Keyed { scope: KeyScope::Fleet, window }) => {
+                first.sent_at.saturating_add(window)
+            }
             _ => now,
         };
-        (seq.ended, seq.state, seq.held_since) = (true, None, None);
+        (seq.completed, seq.kv_cache, seq.cache_held_since) = (true, None, None);
         if now >= harmless_until {
-            return Schedule::Aborted { release };
+            return Decision::Abort { release };
         }
         // No client is sent away past the time in which its coming again is harmless.
         let most = (self.deployment.slo(seq) / 2).min((harmless_until - now) / 2);
-        let retry_after = self.deployment.longest_retry_after.map(|longest| longest.min(most));
-        Schedule::Rejected { retry_after, release }
+        let retry_after = self.deployment.max_retry_after.map(|longest| longest.min(most));
+        Decision::Reject { retry_after, release }
     }
 }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -14,7 +14,7 @@
 const WIDER: usize = 64;
 const WIDER_STEPS: usize = 4;
 /// Roles that answer.
-pub(super) const ANSWERING: [Role; 2] = [Role::Writer, Role::Mixed];
+pub(super) const ANSWERING: [Role; 2] = [Role::Decode, Role::Combined];
 
 /// What servers are ranked by, the least first.
 pub(super) type Rank<'a> = dyn Fn(&Server) -> Option<f64> + 'a;
@@ -30,7 +30,7 @@
         let open = self.fleet.among(of).filter(|s| self.allowed(now, s) && in_scope(scope, s));
         let least = open.filter_map(|s| Some((by(s)?, s)));
         let least = least.min_by(|(a, x), (b, y)| a.total_cmp(b).then(x.lot.total_cmp(&y.lot)));
-        least.map(|(_, server)| server.listing.server)
+        least.map(|(_, server)| server.endpoint.server)
     }
 
     /// The least of the candidates. Where none of them is ready, others are looked at in turn until one is.
@@ -73,7 +73,7 @@
     }
 
     /// The servers that answer of a cell, and some of its zone and of all.
-    pub(super) fn decode_candidates(&self, seq: &Sequence, home: Option<&Listing>) -> Candidates {
+    pub(super) fn decode_candidates(&self, seq: &Sequence, home: Option<&Endpoint>) -> Candidates {
         if self.is_small() {
             return Candidates::All;
         }
--- a/src/scheduler/cell_shares.rs
+++ b/src/scheduler/cell_shares.rs
@@ -44,11 +44,11 @@
         for s in survey.cells.next(&self.fleet, most) {
             let weight = s.weight * self.present(now, s);
             // By the list alone: a verdict that comes and goes must not move sessions from home to home.
-            let prefills = s.role == Role::Reader && s.listing.condition == Condition::Ready;
-            let decodes = s.role == Role::Writer && self.sound(now, s) && self.decode_load(now, s) <= FULL;
-            let told_share = if s.role == Role::Reader { None } else { self.told_share(now, s) };
+            let prefills = s.role == Role::Prefill && s.endpoint.state == EndpointState::Ready;
+            let decodes = s.role == Role::Decode && self.sound(now, s) && self.decode_load(now, s) <= FULL;
+            let told_share = if s.role == Role::Prefill { None } else { self.told_share(now, s) };
             let [readers, writers] = [prefills, decodes].map(|takes| if takes { weight } else { 0.0 });
-            survey.sums.add(&s.listing, Contribution { readers, writers, told_share });
+            survey.sums.add(&s.endpoint, Contribution { readers, writers, told_share });
         }
     }
 
@@ -85,7 +85,9 @@
     /// A state is moved as far as that takes less time than waiting for a busier reader beside the writer.
     fn read_more(&self, now: Nanos) -> f64 {
         let time = |step| self.known_time(now, step, 0.0);
-        let (Some(moved), Some(read)) = (time(Step::Move), time(Step::Read)) else { return READ_MORE };
-        (0.5 * (moved - time(Step::Write).unwrap_or(0.0)) / read).clamp(0.0, READ_MOST)
+        let (Some(moved), Some(read)) = (time(Step::MigratedDecode), time(Step::Prefill)) else {
+            return READ_MORE;
+        };
+        (0.5 * (moved - time(Step::Decode).unwrap_or(0.0)) / read).clamp(0.0, READ_MOST)
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -79,7 +79,7 @@
         Scheduler {
             chance: Rand64::new(seed.into()),
             fleet: Fleet::new(deployment.kinds.clone(), deployment.weights, RING_POINTS),
-            start_times: StartTimes::new(deployment.start_stamps),
+            start_times: StartTimes::new(deployment.start_time_clock),
             sampler: RefCell::new(Sampler::new(seed)),
             bound: SMALL_FLEET,
             stats,
@@ -104,13 +104,13 @@
     }
 
     /// The list of servers, or what has changed in it. A server that started anew has forgotten everything.
-    pub fn listed(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) {
+    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
         self.refusals = 0;
         self.surveyed = None;
         let entries = self.start_times.on_own_clock(now, scope, entries);
-        let (cold_for, chance) = (self.deployment.cold_for, &mut self.chance);
+        let (cold_for, chance) = (self.deployment.slow_start_duration, &mut self.chance);
         self.fleet.listed(scope, &entries, |entry| {
-            let cold_until = if entry.since > 0 { entry.since.saturating_add(cold_for) } else { 0 };
+            let cold_until = if entry.started_at > 0 { entry.started_at.saturating_add(cold_for) } else { 0 };
             Server::new(now, entry.clone(), cold_until, chance.rand_float(), HALF_LIFE)
         });
     }
@@ -118,97 +118,100 @@
     /// The list could not be had: how long to wait before asking again, jittered so gateways spread out.
     pub fn refused(&mut self) -> Nanos {
         self.refusals = (self.refusals + 1).min(4);
-        let pause = ((SHUN / 4) << self.refusals).min(self.deployment.ask_within / 2);
+        let pause = ((SHUN / 4) << self.refusals).min(self.deployment.max_poll_interval / 2);
         ((pause as f64 * (0.5 + 0.5 * self.chance.rand_float())) as Nanos).max(self.recheck())
     }
 
     /// A server has told its load.
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: Report) {
+    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         if let Some(server) = self.fleet.get_mut(server) {
             (server.report, server.reported) = (report, now);
         }
     }
 
     /// Where to send this sequence now.
-    pub fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Schedule {
-        if seq.ended || seq.attempts.iter().any(|a| !matches!(a.status, Status::Closed(_))) {
-            return Schedule::NotYet;
+    pub fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Decision {
+        if seq.completed || seq.attempts.iter().any(|a| !matches!(a.status, AttemptStatus::Finished(_))) {
+            return Decision::Wait;
         }
         self.fleet.refresh(now);
         self.survey(now);
         let first = !seq.admitted && seq.attempts.is_empty();
-        if let Some(TenantId(tenant)) = seq.tenant.filter(|_| first && seq.arrived == now) {
+        if let Some(TenantId(tenant)) = seq.tenant.filter(|_| first && seq.arrived_at == now) {
             self.stats.tenants[tenant].add(now, 1.0);
         }
-        if now + self.recheck() >= seq.abandon_at || self.spent(now, seq) || self.pinned(now, seq) {
+        if now + self.recheck() >= seq.first_token_deadline || self.spent(now, seq) || self.pinned(now, seq) {
             return self.give_up(now, seq);
         }
         // Guards against asking in vain for a state that went with its reader, or with a writer whose answer went
         // wrong once begun. Where too few attempts are left for a new read and write, the last one may find it.
-        let wrong = |a: &Attempt| matches!(a.status, Status::Closed(Outcome::Error | Outcome::Reset));
+        let wrong =
+            |a: &Attempt| matches!(a.status, AttemptStatus::Finished(Outcome::Error | Outcome::Reset));
         let anew = seq.attempts.len() + 2 <= self.most_attempts(seq);
         let wrong = anew && seq.attempts.last().is_some_and(wrong);
-        let state = seq.state.filter(|_| !wrong).filter(|(reader, since)| {
-            let reader = self.fleet.get(*reader).map(|s| &s.listing);
-            reader.is_some_and(|l| l.condition != Condition::Gone && l.since <= *since)
+        let kv_cache = seq.kv_cache.filter(|_| !wrong).filter(|held| {
+            let endpoint = self.fleet.get(held.server).map(|server| &server.endpoint);
+            endpoint.is_some_and(|e| e.state != EndpointState::Gone && e.started_at <= held.since)
         });
-        let picked = match state {
-            Some((reader, _)) => self.select_decode(now, seq, reader),
+        let picked = match kv_cache {
+            Some(held) => self.select_decode(now, seq, held.server),
             None => self.select_mixed(now, seq).or_else(|| self.select_prefill(now, seq)),
         };
-        let whole = state.is_none() && self.deployment.some_take_whole();
+        let whole = kv_cache.is_none() && self.deployment.any_kind_serves_combined();
         let Some(pick) = picked.or_else(|| whole.then(|| self.select_whole(now, seq))?) else {
-            let hold = self.may_go_on(seq, state.is_some()) && self.may_hold(now, seq);
-            return if hold { Schedule::NotYet } else { self.give_up(now, seq) };
+            let hold = self.may_go_on(seq, kv_cache.is_some()) && self.may_hold(now, seq);
+            return if hold { Decision::Wait } else { self.give_up(now, seq) };
         };
         // Of a large fleet another look may find a ready one.
         let ready = self.is_small() || self.ready(now, &self.fleet[pick.server]);
         if !ready && self.may_hold(now, seq) {
-            return Schedule::NotYet;
+            return Decision::Wait;
         }
         if first && self.overloaded(now, seq, &pick) {
             return self.give_up(now, seq);
         }
         if first {
-            self.stats.admitted[usize::from(pick.step == Step::Whole)].add(now, 1.0);
+            self.stats.admitted[usize::from(pick.step == Step::Combined)].add(now, 1.0);
             self.stats.admitted_tokens.add(now, seq.prompt_tokens);
         }
         seq.admitted = true;
         self.send(now, seq, &pick);
-        Schedule::Send(pick.server)
+        Decision::Send(pick.server)
     }
 
     /// What to do after the outcome of attempt `n`; `last` where it ended the sequence.
-    pub fn settle(&mut self, now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> Settled {
-        let open = |a: &&mut Attempt| !matches!(a.status, Status::Closed(_));
-        let Some(attempt) = seq.attempts.get_mut(n).filter(open) else { return Settled::Wait };
-        let began = attempt.status == Status::Streaming;
-        attempt.status = Status::Closed(got);
+    pub fn settle(&mut self, now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
+        let open = |a: &&mut Attempt| !matches!(a.status, AttemptStatus::Finished(_));
+        let Some(attempt) = seq.attempts.get_mut(n).filter(open) else { return NextStep::Wait };
+        let began = attempt.status == AttemptStatus::Streaming;
+        attempt.status = AttemptStatus::Finished(got);
         let attempt = attempt.clone();
         self.learn(now, seq, &attempt, got, began);
-        if last || seq.ended {
-            seq.ended = true;
+        if last || seq.completed {
+            seq.completed = true;
             // A first token lets go of all that is held elsewhere; an answer that came whole does not.
-            return Settled::Ended { release: got != Outcome::Generated || !began };
+            return NextStep::Complete { release: got != Outcome::Completed || !began };
         }
         match got {
-            Outcome::ReadDone { .. } => seq.state = Some((attempt.server, now)),
-            Outcome::NoState => seq.state = None,
+            Outcome::PrefillDone { .. } => {
+                seq.kv_cache = Some(KvCacheLocation { server: attempt.server, since: now })
+            }
+            Outcome::KvCacheMissing => seq.kv_cache = None,
             _ => {}
         }
-        seq.held_since = held_since(now, seq, &attempt, got);
-        Settled::Schedule
+        seq.cache_held_since = held_since(now, seq, &attempt, got);
+        NextStep::Schedule
     }
 
     /// The first token of attempt `n` has come.
     pub fn began(&mut self, now: Nanos, seq: &mut Sequence, n: usize) {
         let Some(attempt) = seq.attempts.get_mut(n) else { return };
-        (attempt.status, seq.state, seq.held_since) = (Status::Streaming, None, None);
+        (attempt.status, seq.kv_cache, seq.cache_held_since) = (AttemptStatus::Streaming, None, None);
         if let Some(server) = self.fleet.get_mut(attempt.server) {
             server.heard = now;
-            let time = now.saturating_sub(attempt.sent) as f64;
+            let time = now.saturating_sub(attempt.sent_at) as f64;
             self.stats.times[attempt.step as usize].add(now, time);
-            if attempt.step != Step::Move {
+            if attempt.step != Step::MigratedDecode {
                 server.times.add(now, time);
             }
             server.out.iter_mut().filter(|out| out.seq == seq.id).for_each(|out| out.waiting = false);
@@ -220,16 +223,24 @@
         let Pick { server: id, step, kept } = *pick;
         let server = &self.fleet[id];
         let (work, credit) = (self.read_work(now, server, seq, kept), self.credit(server, seq, 0.0));
-        let shows = self.deployment.shows(seq.traffic, step);
+        let shows = self.deployment.shows_progress(seq.traffic, step);
         let heavy = seq.prompt_tokens / self.stats.mean_prompt(now).max(1.0); // rule 4 counts by work
-        let own = if step == Step::Read { seq.prompt_tokens - kept } else { self.stream_tokens(seq) };
-        if matches!(step, Step::Read | Step::Whole) {
+        let own = if step == Step::Prefill { seq.prompt_tokens - kept } else { self.stream_tokens(seq) };
+        if matches!(step, Step::Prefill | Step::Combined) {
             self.keep(now, seq, id, kept);
         }
         let Some(server) = self.fleet.get_mut(id) else { return };
         (server.cold_sent, server.cold_part) = (now, heavy.max(1.0));
         server.out.push(Out { seq: seq.id, sent: now, tokens: own, waiting: shows });
-        let (tokens, status) = (if step == Step::Read { work } else { own }, Status::Out);
-        seq.attempts.push(Attempt { server: id, sent: now, step, status, reached: false, tokens, credit });
+        let (tokens, status) = (if step == Step::Prefill { work } else { own }, AttemptStatus::InFlight);
+        seq.attempts.push(Attempt {
+            server: id,
+            sent_at: now,
+            step,
+            status,
+            delivered: false,
+            load_tokens: tokens,
+            expected_cached_tokens: credit,
+        });
     }
 }
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn sound(&self, now: Nanos, server: &Server) -> bool {
-        server.listing.condition == Condition::Ready && now >= server.paused_until && !self.slow(now, server)
+        server.endpoint.state == EndpointState::Ready && now >= server.paused_until && !self.slow(now, server)
     }
 
     /// What is not ready comes last, and behind it what has just refused or broken a connection: one that is gone
@@ -65,8 +65,9 @@
     /// Each attempt of this sequence that timed out here counts for one more: against turning again and again to a
     /// server that takes everything and answers nothing.
     pub(super) fn doubt(&self, now: Nanos, server: &Server, seq: &Sequence, failing: (f64, f64)) -> f64 {
-        let lost =
-            |a: &&Attempt| a.server == server.listing.server && a.status == Status::Closed(Outcome::TimedOut);
+        let lost = |a: &&Attempt| {
+            a.server == server.endpoint.server && a.status == AttemptStatus::Finished(Outcome::TimedOut)
+        };
         let again = seq.attempts.iter().filter(lost).count() as f64;
         let (usual, more) = failing;
         if more <= 0.0 {
@@ -78,46 +79,51 @@
     }
 
     pub(super) fn learn(&mut self, now: Nanos, seq: &Sequence, attempt: &Attempt, got: Outcome, began: bool) {
-        let shows = self.deployment.shows(seq.traffic, attempt.step);
+        let shows = self.deployment.shows_progress(seq.traffic, attempt.step);
         let Some(server) = self.fleet.get_mut(attempt.server) else { return };
-        let rtt = now.saturating_sub(attempt.sent);
+        let rtt = now.saturating_sub(attempt.sent_at);
         server.out.retain(|out| out.seq != seq.id);
-        use Outcome::*;
-        let timed = matches!(got, ReadDone { .. } | TimedOut) && !began && shows;
+        let timed = matches!(got, Outcome::PrefillDone { .. } | Outcome::TimedOut) && !began && shows;
         let time = if timed { rtt as f64 } else { 0.0 };
         if time > 0.0 {
             self.stats.times[attempt.step as usize].add(now, time);
         }
-        if !matches!(got, NoState | Cancelled | NeverSent) {
-            let bad = !began && !matches!(got, ReadDone { .. } | Generated);
+        if !matches!(got, Outcome::KvCacheMissing | Outcome::Cancelled | Outcome::NeverSent) {
+            let bad = !began && !matches!(got, Outcome::PrefillDone { .. } | Outcome::Completed);
             let new = || FadingShare::new(TRUST);
             let stream = (seq.traffic, seq.tenant);
             self.stats.failed_at.entry_or_insert_with((server.generation, stream), new).add(now, bad);
             self.stats.failed.entry_or_insert_with(stream, new).add(now, bad);
         }
         match got {
-            ReadDone { kept } => {
+            Outcome::PrefillDone { cached_tokens: kept } => {
                 server.heard = now;
                 server.times.add(now, time);
                 self.stats.read_time.add(now, time);
-                self.stats.read_tokens.add(now, attempt.tokens);
+                self.stats.read_tokens.add(now, attempt.load_tokens);
                 if seq.prefix_tokens > 0.0 {
                     let missed = kept < seq.prefix_tokens / 2.0;
                     self.stats.missed.add(now, missed);
                     self.new_homes = (self.new_homes * if missed { MISSED } else { FOUND }).clamp(1.0, 1e3);
                 }
-                if kept + 1.0 < attempt.credit / 2.0 {
+                if kept + 1.0 < attempt.expected_cached_tokens / 2.0 {
                     server.forgotten = server.read_in_all;
                 }
             }
             // A server that is full says so at once; one that takes its time means this kind of traffic.
-            Full if rtt < REPORT_LAG => (server.heard, server.paused_until) = (now, now + REPORT_LAG),
-            Generated | Full | NoState | Error => server.heard = now,
+            Outcome::AtCapacity if rtt < REPORT_LAG => {
+                (server.heard, server.paused_until) = (now, now + REPORT_LAG)
+            }
+            Outcome::Completed | Outcome::AtCapacity | Outcome::KvCacheMissing | Outcome::Error => {
+                server.heard = now
+            }
             // One connection that breaks may be all that broke; nobody there shows at the next one.
-            Reset => server.paused_until = server.paused_until.max(now + REPORT_LAG),
-            ConnectFailed => server.paused_until = now + SHUN,
-            TimedOut if shows && attempt.step != Step::Move => server.times.add(now, rtt as f64),
-            TimedOut | Cancelled | NeverSent => {}
+            Outcome::Reset => server.paused_until = server.paused_until.max(now + REPORT_LAG),
+            Outcome::ConnectFailed => server.paused_until = now + SHUN,
+            Outcome::TimedOut if shows && attempt.step != Step::MigratedDecode => {
+                server.times.add(now, rtt as f64)
+            }
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
         }
     }
 }
--- a/src/scheduler/prefill.rs
+++ b/src/scheduler/prefill.rs
@@ -20,15 +20,18 @@
         let (homes, among) = self.homes(now, seq);
         let nearest = homes.values().copied().fold(f64::INFINITY, f64::min);
         let kept = |s: &Server| {
-            let away = homes.get(&s.listing.server).copied().unwrap_or(LAST);
+            let away = homes.get(&s.endpoint.server).copied().unwrap_or(LAST);
             // How surely a home has kept its text: as the reads of late have found them.
             let hope = if away < LAST { 1.0 - self.stats.missed.read(now, 0.5) } else { 0.0 };
             ((nearest / away).min(1.0), self.credit(s, seq, hope))
         };
         let failing = self.failing(now, seq);
         let work = |s: &Server| {
-            let far =
-                if self.shares.cells.get(&s.listing.cell).is_some_and(|c| c.reads > 0.0) { 0.0 } else { 1.0 };
+            let far = if self.shares.cells.get(&s.endpoint.cell).is_some_and(|c| c.reads > 0.0) {
+                0.0
+            } else {
+                1.0
+            };
             let (home, kept) = kept(s);
             let last = self.last(now, s, self.ready(now, s));
             // A cold one that may be sent something comes first, or its part is left and warm ones jam.
@@ -36,9 +39,9 @@
             let again = far - HOME * home - cold + 2.0 * self.doubt(now, s, seq, failing);
             self.read_work(now, s, seq, kept) + again * seq.prompt_tokens + last
         };
-        let by = |s: &Server| (s.role == Role::Reader).then(|| work(s));
-        let server = self.search(now, seq, &among, &[Role::Reader], &by)?;
-        Some(Pick { server, step: Step::Read, kept: kept(&self.fleet[server]).1 })
+        let by = |s: &Server| (s.role == Role::Prefill).then(|| work(s));
+        let server = self.search(now, seq, &among, &[Role::Prefill], &by)?;
+        Some(Pick { server, step: Step::Prefill, kept: kept(&self.fleet[server]).1 })
     }
 
     /// How far readers are from being this session's home, to which every gateway turns, and the candidates: a hash,
@@ -52,11 +55,11 @@
         let new = (self.new_homes * FEW_TEXTS / readers).min(TEXT_HOMES);
         let spread = (new + TEXT_HOMES * self.text_sent(now, seq)) / (FEW_TEXTS + self.stats.texts.read(now));
         let away = |s: &Server| {
-            let cell = self.shares.cells.get(&s.listing.cell)?;
+            let cell = self.shares.cells.get(&s.endpoint.cell)?;
             let zone = self.shares.zones.get(&cell.zone)?;
             let part = zone.turn * cell.reads / zone.reads * s.weight / cell.readers.max(1e-9);
-            let text = seq.prefix.map_or(0.0, |PrefixId(text)| race(mix(text), s.listing.server.0, part));
-            Some((s.listing.server, race(key, s.listing.server.0, part), text))
+            let text = seq.prefix.map_or(0.0, |PrefixId(text)| race(mix(text), s.endpoint.server.0, part));
+            Some((s.endpoint.server, race(key, s.endpoint.server.0, part), text))
         };
         if !self.is_small() {
             let mut slots = self.nominees(key, seq.prefix, spread * readers);
@@ -65,10 +68,10 @@
             let texts = [seq.session.map(Text::Session), seq.prefix.map(Text::Prefix)];
             let sent_to = texts.into_iter().flatten().flat_map(|text| self.stats.sent_to(text));
             slots.extend(sent_to.filter_map(|server| self.fleet.slot(server)));
-            self.draw(seq, Role::Reader, self.deployment.zone, &mut slots);
+            self.draw(seq, Role::Prefill, self.deployment.zone, &mut slots);
             return (homes, Candidates::distinct(slots));
         }
-        let readers = self.fleet.values().filter(|s| s.role == Role::Reader);
+        let readers = self.fleet.values().filter(|s| s.role == Role::Prefill);
         let readers: Vec<_> = readers.filter_map(away).collect();
         // The first of them is one, however few there are.
         let spread = readers.iter().map(|(.., text)| *text).fold(f64::INFINITY, f64::min).max(spread);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -10,7 +10,7 @@
 impl Scheduler {
     /// Listed as ready, and within this gateway's part of what a cold server may be sent.
     pub(super) fn allowed(&self, now: Nanos, server: &Server) -> bool {
-        server.listing.condition == Condition::Ready
+        server.endpoint.state == EndpointState::Ready
             && (now >= server.cold_until
                 || now >= server.cold_sent.saturating_add(self.cold_pause(now, server)))
     }
@@ -20,20 +20,22 @@
     /// keep the same part. There is no floor, and the first send waits for a part of the pause drawn by lot: over
     /// hundreds of gateways both add up.
     pub(super) fn cold_pause(&self, now: Nanos, server: &Server) -> Nanos {
-        let prefills = server.role == Role::Reader;
+        let prefills = server.role == Role::Prefill;
         let weight = self.fleet.index().pool_weight(prefills);
         let [read, whole] =
             [0, 1].map(|taken| self.stats.admitted[taken].per_second(now, self.stats.started));
         let carried = if prefills { read } else { read + whole };
         let fair = carried * server.weight / weight.max(1e-9);
         let present = self.present(now, server);
-        let most = COLD_SAFE * self.deployment.cold_multiple * self.deployment.cold_from;
+        let most =
+            COLD_SAFE * self.deployment.slow_start_overload_factor * self.deployment.slow_start_initial_share;
         (server.cold_part * 1e9 / (fair * most.min(COLD_PART * present)).max(1e-9)) as Nanos
     }
 
     /// The share of its capacity that a server should have by now: a straight line from the stated start.
     pub(super) fn present(&self, now: Nanos, server: &Server) -> f64 {
-        let cold = server.cold_until.saturating_sub(now) as f64 / self.deployment.cold_for.max(1) as f64;
-        1.0 - (1.0 - self.deployment.cold_from) * cold.clamp(0.0, 1.0)
+        let cold =
+            server.cold_until.saturating_sub(now) as f64 / self.deployment.slow_start_duration.max(1) as f64;
+        1.0 - (1.0 - self.deployment.slow_start_initial_share) * cold.clamp(0.0, 1.0)
     }
 }
--- a/src/scheduler/start_times.rs
+++ b/src/scheduler/start_times.rs
@@ -25,7 +25,7 @@
 
 /// What lists have told of starts.
 pub(super) struct StartTimes {
-    stamps: StartStamps,
+    stamps: StartTimeClock,
     /// The stamps' clock less the own one, in nanoseconds; none before the first stamp.
     ahead: Option<i64>,
     /// When discovery's last list came.
@@ -34,7 +34,7 @@
 }
 
 impl StartTimes {
-    pub(super) fn new(stamps: StartStamps) -> Self {
+    pub(super) fn new(stamps: StartTimeClock) -> Self {
         StartTimes { stamps, ahead: None, listed: None, known: BoundedTable::new(MOST_KNOWN) }
     }
 
@@ -42,25 +42,27 @@
     pub(super) fn on_own_clock<'a>(
         &mut self,
         now: Nanos,
-        scope: ListScope,
-        entries: &'a [Listing],
-    ) -> Cow<'a, [Listing]> {
-        if self.stamps == StartStamps::OwnClock {
+        scope: SnapshotKind,
+        entries: &'a [Endpoint],
+    ) -> Cow<'a, [Endpoint]> {
+        if self.stamps == StartTimeClock::Local {
             return Cow::Borrowed(entries);
         }
         self.estimate(now, entries);
-        if scope != ListScope::Remembered {
+        if scope != SnapshotKind::Cached {
             self.listed = Some(now);
         }
-        let start = |entry: &Listing| Listing { since: self.started(now, entry), ..entry.clone() };
+        let start = |entry: &Endpoint| Endpoint { started_at: self.started(now, entry), ..entry.clone() };
         Cow::Owned(entries.iter().map(start).collect())
     }
 
     /// Holds the estimate between its bounds, by the newest of the starts that were not known.
-    fn estimate(&mut self, now: Nanos, entries: &[Listing]) {
-        let new =
-            |entry: &&Listing| self.known.get(&entry.server).is_none_or(|start| start.stamp != entry.since);
-        let newest = entries.iter().filter(new).map(|entry| entry.since).max().filter(|stamp| *stamp > 0);
+    fn estimate(&mut self, now: Nanos, entries: &[Endpoint]) {
+        let new = |entry: &&Endpoint| {
+            self.known.get(&entry.server).is_none_or(|start| start.stamp != entry.started_at)
+        };
+        let newest =
+            entries.iter().filter(new).map(|entry| entry.started_at).max().filter(|stamp| *stamp > 0);
         let Some(newest) = newest else { return };
         let least = signed(newest) - signed(now);
         let Some(listed) = self.listed else {
@@ -74,8 +76,8 @@
         self.ahead = Some(if (least..=most).contains(&ahead) { ahead } else { least });
     }
 
-    fn started(&mut self, now: Nanos, entry: &Listing) -> Nanos {
-        let stamp = entry.since;
+    fn started(&mut self, now: Nanos, entry: &Endpoint) -> Nanos {
+        let stamp = entry.started_at;
         if stamp == 0 {
             return 0;
         }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 
 /// What a server may treat apart: a traffic type of a tenant.
-pub type Stream = (TypeId, Option<TenantId>);
+pub type Stream = (TrafficTypeId, Option<TenantId>);
 
 /// A text that servers keep of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -86,8 +86,8 @@
     pub fn text_sent(&mut self, server: &Server, text: Text, kept: Kept, most: usize) {
         self.kept.insert((server.generation, text), kept);
         let last = self.last_sent.entry_or_insert_with(text, Vec::new);
-        last.retain(|known| *known != server.listing.server);
-        last.insert(0, server.listing.server);
+        last.retain(|known| *known != server.endpoint.server);
+        last.insert(0, server.endpoint.server);
         last.truncate(most);
     }
 
--- a/tests/builds.rs
+++ b/tests/builds.rs
@@ -6,21 +6,21 @@
 use petrelshore::Scheduler;
 use petrelshore::interface::*;
 
-fn rejected(answer: Schedule) -> Option<Nanos> {
+fn rejected(answer: Decision) -> Option<Nanos> {
     match answer {
-        Schedule::Rejected { retry_after, .. } => retry_after,
+        Decision::Reject { retry_after, .. } => retry_after,
         other => panic!("not rejected: {other:?}"),
     }
 }
 
 /// Mixed servers alone, in two cells.
-fn all_mixed() -> Vec<Listing> {
+fn all_mixed() -> Vec<Endpoint> {
     (0..4).map(|n| entry(n, 2, (n / 2) as i64)).collect()
 }
 
 #[test]
 fn the_end_of_an_answer_that_comes_whole_lets_go_of_what_earlier_reads_left() {
-    for (delivery, lets_go) in [(Delivery::Whole, true), (Delivery::Streamed, false)] {
+    for (delivery, lets_go) in [(Delivery::Buffered, true), (Delivery::Streamed, false)] {
         let mut settings = deployment();
         settings.types[0].delivery = delivery;
         let (mut scheduler, mut seq) = (scheduler(settings, &fleet()), sequence(1, 0, START));
@@ -31,25 +31,25 @@
         if delivery == Delivery::Streamed {
             scheduler.began(START + 600 * MS, &mut seq, 2);
         }
-        let end = close(&mut scheduler, START + 700 * MS, &mut seq, Outcome::Generated);
-        assert_eq!(end, Settled::Ended { release: lets_go }, "{delivery:?}");
+        let end = close(&mut scheduler, START + 700 * MS, &mut seq, Outcome::Completed);
+        assert_eq!(end, NextStep::Complete { release: lets_go }, "{delivery:?}");
     }
 }
 
 #[test]
 fn an_answer_that_comes_whole_has_its_clients_time_and_its_server_is_not_taken_for_silent() {
     let mut settings = deployment();
-    settings.types[0].delivery = Delivery::Whole;
+    settings.types[0].delivery = Delivery::Buffered;
     let mut scheduler = scheduler(settings, &all_mixed());
     for id in 0..12 {
         let mut known = sequence(id, 2, START);
         sent(scheduler.schedule(START, &mut known));
         scheduler.began(START + 20 * MS, &mut known, 0);
-        close(&mut scheduler, START + 30 * MS, &mut known, Outcome::Generated);
+        close(&mut scheduler, START + 30 * MS, &mut known, Outcome::Completed);
     }
     let (now, mut seq) = (START + 40 * MS, sequence(20, 0, START + 40 * MS));
     let server = sent(scheduler.schedule(now, &mut seq));
-    assert_eq!(scheduler.wait(now, &seq), seq.abandon_at - now);
+    assert_eq!(scheduler.wait(now, &seq), seq.first_token_deadline - now);
     // A second later nothing has shown; its server still takes its part, one stream behind the others.
     let mut next: Vec<ServerId> = Vec::new();
     for id in 30..34 {
@@ -64,13 +64,13 @@
 fn a_look_that_comes_a_tick_late_still_comes_before_the_clients_time_is_up() {
     for tick in [4 * MS, 15 * MS, 60 * MS, 200 * MS] {
         for budget in (20..400).step_by(7) {
-            let mut scheduler = scheduler(Deployment { tick, ..deployment() }, &[]);
+            let mut scheduler = scheduler(Deployment { timer_resolution: tick, ..deployment() }, &[]);
             let (mut now, mut seq) = (START, sequence(1, 0, START));
-            seq.abandon_at = START + budget * MS;
-            while scheduler.schedule(now, &mut seq) == Schedule::NotYet {
+            seq.first_token_deadline = START + budget * MS;
+            while scheduler.schedule(now, &mut seq) == Decision::Wait {
                 now += scheduler.wait(now, &seq) + tick - 1;
             }
-            assert!(now < seq.abandon_at, "{tick} {budget}");
+            assert!(now < seq.first_token_deadline, "{tick} {budget}");
         }
     }
 }
@@ -79,8 +79,8 @@
 fn a_sequence_is_not_held_till_its_clients_short_time_is_nearly_up() {
     let (mut scheduler, mut now) = (scheduler(deployment(), &[]), START);
     let mut seq = sequence(1, 0, START);
-    seq.abandon_at = START + 400 * MS;
-    while scheduler.schedule(now, &mut seq) == Schedule::NotYet {
+    seq.first_token_deadline = START + 400 * MS;
+    while scheduler.schedule(now, &mut seq) == Decision::Wait {
         now += scheduler.wait(now, &seq);
     }
     assert!(now <= START + 220 * MS, "half of its time, not of its SLO");
@@ -92,16 +92,16 @@
     let two = vec![deployment().kinds[0].clone(), deployment().kinds[1].clone()];
     let one = Deployment { max_attempts: 1, kinds: two.clone(), ..deployment() };
     rejected(scheduler(one.clone(), &fleet()).schedule(START, &mut sequence(1, 0, START)));
-    let whole = Deployment { writers_read: true, ..one };
+    let whole = Deployment { decode_servers_prefill: true, ..one };
     let mut seq = sequence(1, 0, START);
     let writer = sent(scheduler(whole, &fleet()).schedule(START, &mut seq));
-    assert!(!writer.0.is_multiple_of(3) && seq.attempts[0].step == Step::Whole);
+    assert!(!writer.0.is_multiple_of(3) && seq.attempts[0].step == Step::Combined);
     // The state is gone, and one attempt is left.
     let three = Deployment { max_attempts: 3, kinds: two, ..deployment() };
     let (mut scheduler, mut seq) = (scheduler(three, &fleet()), sequence(1, 0, START));
     read(&mut scheduler, START, &mut seq, 10 * MS);
     sent(scheduler.schedule(START + 10 * MS, &mut seq));
-    close(&mut scheduler, START + 20 * MS, &mut seq, Outcome::NoState);
+    close(&mut scheduler, START + 20 * MS, &mut seq, Outcome::KvCacheMissing);
     rejected(scheduler.schedule(START + 20 * MS, &mut seq));
 }
 
@@ -109,23 +109,23 @@
 fn a_tokened_sequence_ends_with_its_window_and_sends_no_client_past_it() {
     for (traffic, first, second) in [(2, 1900, 2000), (3, 1999, 2000)] {
         let (mut scheduler, mut seq) = (scheduler(deployment(), &fleet()), sequence(1, traffic, START));
-        seq.abandon_at = START + 9000 * MS;
+        seq.first_token_deadline = START + 9000 * MS;
         read(&mut scheduler, START, &mut seq, 0);
         let writer = sent(scheduler.schedule(START, &mut seq));
         close(&mut scheduler, START + 100 * MS, &mut seq, Outcome::Error);
         let mut late = seq.clone();
         // Nothing that may take it is left, until its window is over.
-        let gone: Vec<Listing> =
-            fleet().iter().map(|l| Listing { condition: Condition::Draining, ..l.clone() }).collect();
-        scheduler.listed(START + 100 * MS, ListScope::Changes, &gone);
+        let gone: Vec<Endpoint> =
+            fleet().iter().map(|l| Endpoint { state: EndpointState::Draining, ..l.clone() }).collect();
+        scheduler.listed(START + 100 * MS, SnapshotKind::Delta, &gone);
         let in_time = scheduler.schedule(START + first * MS, &mut seq);
         if traffic == 2 {
             let pause = rejected(in_time).unwrap();
             assert!(first * MS + pause < 2000 * MS, "comes back {pause} later");
         }
-        scheduler.listed(START + 200 * MS, ListScope::Changes, &fleet());
+        scheduler.listed(START + 200 * MS, SnapshotKind::Delta, &fleet());
         assert!(
-            scheduler.schedule(START + second * MS, &mut late) == Schedule::Aborted { release: true },
+            scheduler.schedule(START + second * MS, &mut late) == Decision::Abort { release: true },
             "{writer:?}"
         );
     }
@@ -134,7 +134,8 @@
 #[test]
 fn a_time_to_release_that_is_hardly_longer_than_a_look_still_lets_states_be_sent_on() {
     for release_within in [30 * MS, 60 * MS, 100 * MS] {
-        let mut scheduler = scheduler(Deployment { release_within, ..deployment() }, &fleet());
+        let mut scheduler =
+            scheduler(Deployment { release_timeout: release_within, ..deployment() }, &fleet());
         let mut seq = sequence(1, 0, START);
         read(&mut scheduler, START, &mut seq, 50 * MS);
         sent(scheduler.schedule(START + 50 * MS, &mut seq));
@@ -143,7 +144,7 @@
 
 #[test]
 fn a_cold_reader_beside_mixed_servers_gets_its_part_of_what_readers_read() {
-    let mut list: Vec<Listing> = (2..6).map(|n| entry(n, 2, 0)).collect();
+    let mut list: Vec<Endpoint> = (2..6).map(|n| entry(n, 2, 0)).collect();
     list.extend([entry(0, 0, 0), entry(1, 0, 0), entry(6, 1, 0)]);
     let (mut scheduler, mut reads, mut cold) = (scheduler(deployment(), &list), 0, Vec::new());
     // Of nine in ten sequences that mixed servers take whole, readers know nothing.
@@ -155,33 +156,33 @@
             scheduler.reported(
                 now,
                 ServerId(mixed),
-                Report { memory_share: Some(share), ..Report::default() },
+                LoadReport { memory_share: Some(share), ..LoadReport::default() },
             );
         }
-        scheduler.reported(now, ServerId(6), Report { memory_share: Some(0.5), ..Report::default() });
+        scheduler.reported(now, ServerId(6), LoadReport { memory_share: Some(0.5), ..LoadReport::default() });
         if id == 200 {
             scheduler.listed(
                 now,
-                ListScope::Changes,
+                SnapshotKind::Delta,
                 &[
-                    Listing { since: now, ..entry(0, 0, 0) },
-                    Listing { condition: Condition::Gone, ..entry(1, 0, 0) },
+                    Endpoint { started_at: now, ..entry(0, 0, 0) },
+                    Endpoint { state: EndpointState::Gone, ..entry(1, 0, 0) },
                 ],
             );
         }
         let mut seq = sequence(id, 0, now);
-        let Schedule::Send(server) = scheduler.schedule(now, &mut seq) else { continue };
-        if seq.attempts[0].step == Step::Whole {
+        let Decision::Send(server) = scheduler.schedule(now, &mut seq) else { continue };
+        if seq.attempts[0].step == Step::Combined {
             scheduler.began(now, &mut seq, 0);
-            close(&mut scheduler, now + MS, &mut seq, Outcome::Generated);
+            close(&mut scheduler, now + MS, &mut seq, Outcome::Completed);
             continue;
         }
         reads += u64::from(id < 200);
         cold.extend((id >= 200 && server == ServerId(0)).then_some(now));
-        close(&mut scheduler, now + MS, &mut seq, Outcome::ReadDone { kept: 0.0 });
-        if let Schedule::Send(_) = scheduler.schedule(now + MS, &mut seq) {
+        close(&mut scheduler, now + MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+        if let Decision::Send(_) = scheduler.schedule(now + MS, &mut seq) {
             scheduler.began(now + MS, &mut seq, 1);
-            close(&mut scheduler, now + 2 * MS, &mut seq, Outcome::Generated);
+            close(&mut scheduler, now + 2 * MS, &mut seq, Outcome::Completed);
         }
     }
     assert!((15..40).contains(&reads), "{reads} reads in four seconds before");
@@ -194,7 +195,7 @@
 #[test]
 fn where_mixed_servers_write_alone_a_state_stays_in_its_cell() {
     let list = [entry(0, 0, 0), entry(1, 2, 0), entry(2, 0, 1), entry(3, 2, 1)]
-        .map(|l| Listing { zone: ZoneId(0), ..l });
+        .map(|l| Endpoint { zone: ZoneId(0), ..l });
     let mut scheduler = scheduler(deployment(), &list);
     for id in 0..8 {
         let mut seq = sequence(id, 0, START);
@@ -204,22 +205,23 @@
             scheduler.reported(
                 START,
                 ServerId(mixed),
-                Report { memory_share: Some(share), ..Report::default() },
+                LoadReport { memory_share: Some(share), ..LoadReport::default() },
             );
         }
         seq.attempts.push(Attempt {
             server: ServerId(0),
-            sent: START,
-            step: Step::Read,
-            status: Status::Closed(Outcome::ReadDone { kept: 0.0 }),
-            reached: true,
-            tokens: 0.0,
-            credit: 0.0,
+            sent_at: START,
+            step: Step::Prefill,
+            status: AttemptStatus::Finished(Outcome::PrefillDone { cached_tokens: 0.0 }),
+            delivered: true,
+            load_tokens: 0.0,
+            expected_cached_tokens: 0.0,
         });
-        (seq.state, seq.held_since) = (Some((ServerId(0), START)), Some(START));
+        (seq.kv_cache, seq.cache_held_since) =
+            (Some(KvCacheLocation { server: ServerId(0), since: START }), Some(START));
         assert_eq!(sent(scheduler.schedule(START, &mut seq)), ServerId(1));
         scheduler.began(START, &mut seq, 1);
-        close(&mut scheduler, START, &mut seq, Outcome::Generated);
+        close(&mut scheduler, START, &mut seq, Outcome::Completed);
     }
 }
 
@@ -228,17 +230,20 @@
     let (mut scheduler, mut first) =
         (scheduler(deployment(), &[entry(0, 0, 0), entry(1, 1, 0)]), sequence(1, 0, START));
     read(&mut scheduler, START, &mut first, 10 * MS);
-    scheduler.listed(START, ListScope::Changes, &[entry(0, 1, 0), entry(1, 0, 0)]);
+    scheduler.listed(START, SnapshotKind::Delta, &[entry(0, 1, 0), entry(1, 0, 0)]);
     assert_eq!(sent(scheduler.schedule(START + 10 * MS, &mut first)), ServerId(0), "the one that writes now");
     let mut seq = sequence(2, 1, START + 10 * MS);
     assert_eq!(sent(scheduler.schedule(START + 10 * MS, &mut seq)), ServerId(1));
-    assert_eq!(seq.attempts[0].step, Step::Read);
+    assert_eq!(seq.attempts[0].step, Step::Prefill);
 }
 
 #[test]
 fn a_list_that_is_refused_again_and_again_is_never_asked_for_without_a_pause() {
-    let mut scheduler =
-        Scheduler::new(START, Deployment { ask_within: 0, discovery: Discovery::Asked, ..deployment() }, 7);
+    let mut scheduler = Scheduler::new(
+        START,
+        Deployment { max_poll_interval: 0, discovery: Discovery::Polled, ..deployment() },
+        7,
+    );
     assert!((0..10).all(|_| scheduler.refused() >= 20 * MS));
 }
 
@@ -246,7 +251,7 @@
 fn a_cell_that_loses_its_last_server_of_a_role_in_the_middle_ends_in_an_answer_elsewhere() {
     let mixes: [&[usize]; 4] = [&[0, 1], &[0, 2], &[0, 1, 2], &[2]];
     for kinds in mixes {
-        let list: Vec<Listing> = (0..2)
+        let list: Vec<Endpoint> = (0..2)
             .flat_map(|cell| {
                 kinds.iter().map(move |kind| entry((cell * 3 + kind) as u64, *kind, cell as i64))
             })
@@ -256,14 +261,14 @@
             let first = sent(scheduler.schedule(START, &mut seq));
             let cell = first.0 / 3;
             let gone =
-                Listing { condition: Condition::Gone, ..entry(cell * 3 + lost, lost as usize, cell as i64) };
-            scheduler.listed(START, ListScope::Changes, &[gone]);
-            let read = seq.attempts[0].step == Step::Read;
+                Endpoint { state: EndpointState::Gone, ..entry(cell * 3 + lost, lost as usize, cell as i64) };
+            scheduler.listed(START, SnapshotKind::Delta, &[gone]);
+            let read = seq.attempts[0].step == Step::Prefill;
             close(
                 &mut scheduler,
                 START + 10 * MS,
                 &mut seq,
-                if read { Outcome::ReadDone { kept: 0.0 } } else { Outcome::Reset },
+                if read { Outcome::PrefillDone { cached_tokens: 0.0 } } else { Outcome::Reset },
             );
             let next = sent(scheduler.schedule(START + 10 * MS, &mut seq));
             assert_ne!(next, ServerId(cell * 3 + lost), "{kinds:?} without {lost}");
@@ -278,7 +283,7 @@
         let mut scheduler = scheduler(deployment(), &list);
         for (writer, share) in [(1, share), (2, other)] {
             let memory_share = Some(share);
-            scheduler.reported(START, ServerId(writer), Report { memory_share, ..Report::default() });
+            scheduler.reported(START, ServerId(writer), LoadReport { memory_share, ..LoadReport::default() });
         }
         let mut seq = sequence(1, 0, START);
         read(&mut scheduler, START, &mut seq, 0);
@@ -299,12 +304,21 @@
 /// Every course that outcomes can give a sequence, each attempt ended in each way, up to its final answer.
 fn courses(
     settings: &Deployment,
-    list: &[Listing],
+    list: &[Endpoint],
     traffic: usize,
-    judge: &mut impl FnMut(&Sequence, Schedule),
+    judge: &mut impl FnMut(&Sequence, Decision),
 ) {
     use Outcome::*;
-    let ends = [Error, Full, NoState, TimedOut, ConnectFailed, Reset, NeverSent, ReadDone { kept: 0.0 }];
+    let ends = [
+        Error,
+        AtCapacity,
+        KvCacheMissing,
+        TimedOut,
+        ConnectFailed,
+        Reset,
+        NeverSent,
+        PrefillDone { cached_tokens: 0.0 },
+    ];
     let mut paths: Vec<Vec<Outcome>> = vec![Vec::new()];
     while let Some(path) = paths.pop() {
         let (mut scheduler, mut seq, mut now) =
@@ -315,24 +329,24 @@
             if *end == Reset {
                 let server = seq.attempts[seq.attempts.len() - 1].server;
                 let listed = list.iter().find(|l| l.server == server).unwrap();
-                scheduler.listed(now, ListScope::Changes, &[Listing { since: now, ..listed.clone() }]);
+                scheduler.listed(now, SnapshotKind::Delta, &[Endpoint { started_at: now, ..listed.clone() }]);
             }
             now += 10 * MS;
             close(&mut scheduler, now, &mut seq, *end);
             answer = scheduler.schedule(now, &mut seq);
-            while answer == Schedule::NotYet {
+            while answer == Decision::Wait {
                 now += scheduler.wait(now, &seq);
                 answer = scheduler.schedule(now, &mut seq);
             }
         }
-        if !matches!(answer, Schedule::Send(_)) {
+        if !matches!(answer, Decision::Send(_)) {
             judge(&seq, answer);
             continue;
         }
-        let read = seq.attempts[seq.attempts.len() - 1].step == Step::Read;
+        let read = seq.attempts[seq.attempts.len() - 1].step == Step::Prefill;
         let fits = |end: &&Outcome| match end {
-            ReadDone { .. } => read,
-            NoState => !read,
+            PrefillDone { .. } => read,
+            KvCacheMissing => !read,
             _ => true,
         };
         paths.extend(ends.iter().filter(fits).map(|end| [&path[..], &[*end]].concat()));
@@ -342,8 +356,9 @@
 #[test]
 fn once_only_work_has_one_attempt_that_may_have_run_whatever_each_one_meets() {
     use Outcome::*;
-    let may_have_run =
-        |a: &&Attempt| a.step != Step::Read && matches!(a.status, Status::Closed(Error | TimedOut | Reset));
+    let may_have_run = |a: &&Attempt| {
+        a.step != Step::Prefill && matches!(a.status, AttemptStatus::Finished(Error | TimedOut | Reset))
+    };
     let mut seen = [0; 2];
     for (list, max_attempts) in [(fleet(), 4), (all_mixed(), 3), (all_mixed(), 1)] {
         let settings = Deployment { max_attempts, ..deployment() };
@@ -353,7 +368,7 @@
             assert!(ran <= 1 && (ran == 0 || may_have_run(&last)), "{:?}", seq.attempts);
             assert!(seq.attempts.len() <= max_attempts);
             match answer {
-                Schedule::Rejected { .. } => assert_eq!(ran, 0, "{:?}", seq.attempts),
+                Decision::Reject { .. } => assert_eq!(ran, 0, "{:?}", seq.attempts),
                 _ => assert_eq!(ran, 1, "{:?}", seq.attempts),
             }
             seen[ran] += 1;
@@ -365,14 +380,17 @@
 #[test]
 fn gateways_that_all_start_at_once_keep_a_server_that_started_with_them_within_its_budget() {
     for gateways in [20, 274] {
-        let list: Vec<Listing> = (0..8)
-            .map(|n| Listing { since: if n % 4 == 0 { START } else { 0 }, ..entry(n, usize::from(n > 3), 0) })
+        let list: Vec<Endpoint> = (0..8)
+            .map(|n| Endpoint {
+                started_at: if n % 4 == 0 { START } else { 0 },
+                ..entry(n, usize::from(n > 3), 0)
+            })
             .collect();
         let settings = Deployment { gateways, ..deployment() };
         let mut schedulers: Vec<Scheduler> = (0..gateways)
             .map(|seed| {
                 let mut scheduler = Scheduler::new(START, settings.clone(), seed as u64);
-                scheduler.listed(START, ListScope::Remembered, &list);
+                scheduler.listed(START, SnapshotKind::Cached, &list);
                 scheduler
             })
             .collect();
@@ -381,8 +399,8 @@
             let (now, at) = (START + id * gap, (id * 101 % gateways as u64) as usize);
             let mut seq = sequence(id, 0, now);
             seq.session = None;
-            while let Schedule::Send(server) = schedulers[at].schedule(now, &mut seq) {
-                let reads = seq.attempts[seq.attempts.len() - 1].step == Step::Read;
+            while let Decision::Send(server) = schedulers[at].schedule(now, &mut seq) {
+                let reads = seq.attempts[seq.attempts.len() - 1].step == Step::Prefill;
                 if server.0.is_multiple_of(4) {
                     sends[usize::from(!reads)].push(now);
                 }
@@ -390,7 +408,7 @@
                     &mut schedulers[at],
                     now,
                     &mut seq,
-                    if reads { Outcome::ReadDone { kept: 0.0 } } else { Outcome::Generated },
+                    if reads { Outcome::PrefillDone { cached_tokens: 0.0 } } else { Outcome::Completed },
                 );
             }
         }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -34,21 +34,21 @@
 /// For each cold reader, when it was sent something after its start.
 fn sends(case: Case, seed: u64) -> (Nanos, BTreeMap<ServerId, Vec<Nanos>>) {
     let settings = Deployment { gateways: case.gateways, ..deployment() };
-    let pair = |n: u64| Listing { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
-    let fleet: Vec<Listing> = (0..2 * case.readers).map(pair).collect();
+    let pair = |n: u64| Endpoint { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
+    let fleet: Vec<Endpoint> = (0..2 * case.readers).map(pair).collect();
     let mut chance = Rand64::new(seed.into());
-    let start = |now, list: &[Listing], seed: u64| {
+    let start = |now, list: &[Endpoint], seed: u64| {
         let mut scheduler = Scheduler::new(now, settings.clone(), seed);
-        scheduler.listed(now, ListScope::Remembered, list);
+        scheduler.listed(now, SnapshotKind::Cached, list);
         scheduler
     };
     let mut schedulers: Vec<Scheduler> =
         (0..case.gateways as u64).map(|n| start(START, &fleet, seed + n)).collect();
     let told = START + 6000 * MS;
-    let cold = |n: u64| Listing { since: told, ..pair(1000 + 2 * n) };
-    let mut after: Vec<Listing> =
+    let cold = |n: u64| Endpoint { started_at: told, ..pair(1000 + 2 * n) };
+    let mut after: Vec<Endpoint> =
         fleet.iter().filter(|l| l.server.0 % 2 == 1 || l.server.0 >= 2 * case.new).cloned().collect();
-    after.extend((0..case.new).map(|n| Listing { cell: CellId(n as i64), ..cold(n) }));
+    after.extend((0..case.new).map(|n| Endpoint { cell: CellId(n as i64), ..cold(n) }));
     let (mut now, mut changed, mut next_restart) = (START, false, told + 500 * MS);
     let mut sent_at: BTreeMap<ServerId, Vec<Nanos>> = BTreeMap::new();
     for id in 0.. {
@@ -59,7 +59,7 @@
         }
         if now >= told && !changed {
             changed = true;
-            schedulers.iter_mut().for_each(|scheduler| scheduler.listed(now, ListScope::Whole, &after));
+            schedulers.iter_mut().for_each(|scheduler| scheduler.listed(now, SnapshotKind::Full, &after));
         }
         if case.restarts && now >= next_restart {
             next_restart += 200 * MS;
@@ -71,12 +71,12 @@
         let most = if chance.rand_float() < 0.5 { few } else { case.gateways as u64 };
         let at = chance.rand_range(0..most) as usize;
         let mut seq = Sequence { session: Some(SessionId(id)), ..sequence(id, 0, now) };
-        if let Schedule::Send(server) = schedulers[at].schedule(now, &mut seq) {
+        if let Decision::Send(server) = schedulers[at].schedule(now, &mut seq) {
             if server.0 >= 1000 {
                 sent_at.entry(server).or_default().push(now);
             }
-            close(&mut schedulers[at], now, &mut seq, Outcome::ReadDone { kept: 0.0 });
-            seq.ended = true;
+            close(&mut schedulers[at], now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+            seq.completed = true;
         }
     }
     (told, sent_at)
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -16,11 +16,15 @@
         scheduler.reported(
             START,
             ServerId(reader.0 + 1),
-            Report { memory_share: Some(0.5), ..Report::default() },
+            LoadReport { memory_share: Some(0.5), ..LoadReport::default() },
         );
         let writer = sent(scheduler.schedule(START + 50 * MS, &mut seq));
         assert_eq!(writer.0, reader.0 + 2);
-        scheduler.reported(START + 50 * MS, writer, Report { memory_share: Some(0.1), ..Report::default() });
+        scheduler.reported(
+            START + 50 * MS,
+            writer,
+            LoadReport { memory_share: Some(0.1), ..LoadReport::default() },
+        );
     }
 }
 
@@ -39,7 +43,7 @@
     let mut list = fleet();
     list.reverse();
     let (mut one, mut other) = (scheduler(deployment(), &fleet()), Scheduler::new(START, deployment(), 99));
-    other.listed(START, ListScope::Remembered, &list);
+    other.listed(START, SnapshotKind::Cached, &list);
     for id in 0..20 {
         let now = START + id * 100 * MS;
         let mut seq = sequence(id, 0, now);
@@ -59,21 +63,21 @@
 #[test]
 fn extreme_figures_and_repeated_outcomes_change_nothing() {
     let mut scheduler = scheduler(deployment(), &fleet());
-    let late = Listing { since: Nanos::MAX, condition: Condition::Gone, ..entry(9, 0, 0) };
-    scheduler.listed(START, ListScope::Changes, &[late]);
+    let late = Endpoint { started_at: Nanos::MAX, state: EndpointState::Gone, ..entry(9, 0, 0) };
+    scheduler.listed(START, SnapshotKind::Delta, &[late]);
     let mut seq = sequence(1, 0, START);
     seq.prompt_tokens = 1e300;
     scheduler.schedule(START, &mut seq);
     let mut seq = sequence(2, 0, START);
     read(&mut scheduler, START, &mut seq, 50 * MS);
     sent(scheduler.schedule(START + 50 * MS, &mut seq));
-    assert_eq!(scheduler.settle(START + 60 * MS, &mut seq, 0, Outcome::Reset, false), Settled::Wait);
+    assert_eq!(scheduler.settle(START + 60 * MS, &mut seq, 0, Outcome::Reset, false), NextStep::Wait);
 }
 
 #[test]
 fn empty_pools_and_lists_that_repeat_themselves_end_in_an_answer() {
-    let one_kind = |kind| fleet().into_iter().filter(|l| l.kind == KindId(kind)).collect::<Vec<_>>();
-    let twice = [entry(0, 0, 0), Listing { since: START, ..entry(0, 0, 0) }, entry(0, 0, 0)];
+    let one_kind = |kind| fleet().into_iter().filter(|l| l.kind == ServerKindId(kind)).collect::<Vec<_>>();
+    let twice = [entry(0, 0, 0), Endpoint { started_at: START, ..entry(0, 0, 0) }, entry(0, 0, 0)];
     for list in [Vec::new(), one_kind(0), one_kind(1), twice.to_vec()] {
         for gateways in [1, 5000] {
             let mut scheduler = scheduler(Deployment { gateways, ..deployment() }, &list);
@@ -81,13 +85,13 @@
             let over = (0..200).any(|_| {
                 let answer = scheduler.schedule(now, &mut seq);
                 now += scheduler.wait(now, &seq).max(1);
-                if let Schedule::Send(_) = answer {
-                    let outcome = Outcome::ReadDone { kept: 0.0 };
+                if let Decision::Send(_) = answer {
+                    let outcome = Outcome::PrefillDone { cached_tokens: 0.0 };
                     close(&mut scheduler, now, &mut seq, outcome);
                 }
-                matches!(answer, Schedule::Rejected { .. } | Schedule::Aborted { .. })
+                matches!(answer, Decision::Reject { .. } | Decision::Abort { .. })
             });
-            assert!(over && now <= seq.abandon_at);
+            assert!(over && now <= seq.first_token_deadline);
         }
     }
 }
@@ -96,7 +100,11 @@
 fn readers_without_room_beside_them_still_take_their_part() {
     let mut scheduler = scheduler(deployment(), &fleet());
     for writer in [1, 2] {
-        scheduler.reported(START, ServerId(writer), Report { memory_share: Some(1.0), ..Report::default() });
+        scheduler.reported(
+            START,
+            ServerId(writer),
+            LoadReport { memory_share: Some(1.0), ..LoadReport::default() },
+        );
     }
     let mut readers = [0; 6];
     for id in 0..9 {
@@ -113,7 +121,11 @@
     let mut seq = sequence(1, 0, START);
     let reader = read(&mut scheduler, START, &mut seq, 50 * MS);
     for writer in [reader.0 + 1, reader.0 + 2] {
-        scheduler.reported(START, ServerId(writer), Report { memory_share: Some(1.0), ..Report::default() });
+        scheduler.reported(
+            START,
+            ServerId(writer),
+            LoadReport { memory_share: Some(1.0), ..LoadReport::default() },
+        );
     }
     let writer = sent(scheduler.schedule(START + 50 * MS, &mut seq));
     assert_ne!(writer.0 / 3, reader.0 / 3);
@@ -121,7 +133,7 @@
 
 #[test]
 fn a_cell_much_fuller_than_another_of_its_hall_hands_its_state_over() {
-    let one_hall: Vec<Listing> = fleet().into_iter().map(|l| Listing { zone: ZoneId(0), ..l }).collect();
+    let one_hall: Vec<Endpoint> = fleet().into_iter().map(|l| Endpoint { zone: ZoneId(0), ..l }).collect();
     for (share, leaves) in [(0.2, false), (0.6, true)] {
         let mut scheduler = scheduler(deployment(), &one_hall);
         let mut seq = sequence(1, 0, START);
@@ -130,7 +142,7 @@
             scheduler.reported(
                 START,
                 ServerId(writer),
-                Report { memory_share: Some(share), ..Report::default() },
+                LoadReport { memory_share: Some(share), ..LoadReport::default() },
             );
         }
         let writer = sent(scheduler.schedule(START + 50 * MS, &mut seq));
@@ -143,8 +155,8 @@
     let mut scheduler = scheduler(deployment(), &fleet());
     let mut seq = sequence(1, 0, START);
     let reader = read(&mut scheduler, START, &mut seq, 50 * MS);
-    let gone = Listing { condition: Condition::Gone, ..fleet()[reader.0 as usize].clone() };
-    scheduler.listed(START, ListScope::Changes, &[gone]);
+    let gone = Endpoint { state: EndpointState::Gone, ..fleet()[reader.0 as usize].clone() };
+    scheduler.listed(START, SnapshotKind::Delta, &[gone]);
     assert_eq!(sent(scheduler.schedule(START + 50 * MS, &mut seq)).0 % 3, 0);
 }
 
@@ -153,9 +165,13 @@
     let mut list = fleet();
     list.push(entry(6, 2, 0));
     let mut scheduler = scheduler(deployment(), &list);
-    scheduler.reported(START, ServerId(6), Report { memory_share: Some(0.1), ..Report::default() });
+    scheduler.reported(START, ServerId(6), LoadReport { memory_share: Some(0.1), ..LoadReport::default() });
     for writer in [1, 2, 4, 5] {
-        scheduler.reported(START, ServerId(writer), Report { memory_share: Some(0.6), ..Report::default() });
+        scheduler.reported(
+            START,
+            ServerId(writer),
+            LoadReport { memory_share: Some(0.6), ..LoadReport::default() },
+        );
     }
     let mut first = sequence(1, 0, START);
     assert_eq!(sent(scheduler.schedule(START, &mut first)), ServerId(6));
@@ -223,26 +239,26 @@
     for id in 0..200u64 {
         let now = START + id * 50 * MS;
         if id == 100 {
-            let mut change: Vec<Listing> = fleet();
-            change[..3].iter_mut().for_each(|cold| cold.since = now);
-            change[3..].iter_mut().for_each(|gone| gone.condition = Condition::Gone);
-            scheduler.listed(now, ListScope::Changes, &change);
+            let mut change: Vec<Endpoint> = fleet();
+            change[..3].iter_mut().for_each(|cold| cold.started_at = now);
+            change[3..].iter_mut().for_each(|gone| gone.state = EndpointState::Gone);
+            scheduler.listed(now, SnapshotKind::Delta, &change);
         }
         let mut seq = sequence(id, 0, now);
-        let Schedule::Send(reader) = scheduler.schedule(now, &mut seq) else { continue };
-        close(&mut scheduler, now + 20 * MS, &mut seq, Outcome::ReadDone { kept: 0.0 });
+        let Decision::Send(reader) = scheduler.schedule(now, &mut seq) else { continue };
+        close(&mut scheduler, now + 20 * MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
         let writer = scheduler.schedule(now + 20 * MS, &mut seq);
         if id >= 100 {
             sends.push((now, reader));
-            sends.extend(if let Schedule::Send(writer) = writer {
+            sends.extend(if let Decision::Send(writer) = writer {
                 Some((now + 20 * MS, writer))
             } else {
                 None
             });
         }
-        if let Schedule::Send(_) = writer {
+        if let Decision::Send(_) = writer {
             scheduler.began(now + 30 * MS, &mut seq, 1);
-            close(&mut scheduler, now + 40 * MS, &mut seq, Outcome::Generated);
+            close(&mut scheduler, now + 40 * MS, &mut seq, Outcome::Completed);
         }
     }
     for (server, pool) in [(0, 2.0), (1, 4.0), (2, 4.0)] {
@@ -262,7 +278,7 @@
         (0..gateways).map(|_| scheduler(deployment.clone(), &fleet())).collect();
     for (at, scheduler) in schedulers.iter_mut().enumerate() {
         *scheduler = Scheduler::new(START, deployment.clone(), at as u64);
-        scheduler.listed(START, ListScope::Remembered, &fleet());
+        scheduler.listed(START, SnapshotKind::Cached, &fleet());
     }
     let (mut sends, gap) = (Vec::new(), 7 * MS);
     let told = START + 8000 * MS;
@@ -270,17 +286,17 @@
         let now = START + id * gap;
         let at = (id * 101 % gateways as u64) as usize;
         if now >= told && now < told + gap {
-            let cold = Listing { since: now, ..entry(0, 0, 0) };
+            let cold = Endpoint { started_at: now, ..entry(0, 0, 0) };
             schedulers
                 .iter_mut()
-                .for_each(|b| b.listed(now, ListScope::Changes, std::slice::from_ref(&cold)));
+                .for_each(|b| b.listed(now, SnapshotKind::Delta, std::slice::from_ref(&cold)));
         }
         let mut seq = sequence(id, 0, now);
         seq.session = None;
-        if let Schedule::Send(server) = schedulers[at].schedule(now, &mut seq) {
+        if let Decision::Send(server) = schedulers[at].schedule(now, &mut seq) {
             sends.extend((now >= told && server == ServerId(0)).then_some(now));
-            close(&mut schedulers[at], now, &mut seq, Outcome::ReadDone { kept: 0.0 });
-            seq.ended = true;
+            close(&mut schedulers[at], now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+            seq.completed = true;
         }
     }
     let most = sends.iter().map(|t| sends.iter().filter(|o| *o >= t && **o < t + 1500 * MS).count()).max();
@@ -294,8 +310,8 @@
 #[test]
 fn cells_with_few_writers_hand_states_on_to_those_with_many() {
     let kinds = [(0, 0), (0, 0), (0, 0), (1, 0), (0, 1), (1, 1), (1, 1), (1, 1)];
-    let list: Vec<Listing> = (0..).zip(kinds).map(|(id, (kind, cell))| entry(id, kind, cell)).collect();
-    let list: Vec<Listing> = list.into_iter().map(|l| Listing { zone: ZoneId(0), ..l }).collect();
+    let list: Vec<Endpoint> = (0..).zip(kinds).map(|(id, (kind, cell))| entry(id, kind, cell)).collect();
+    let list: Vec<Endpoint> = list.into_iter().map(|l| Endpoint { zone: ZoneId(0), ..l }).collect();
     let mut scheduler = scheduler(Deployment { gateways: 100, ..deployment() }, &list);
     let mut work = [0; 8];
     for id in 0..400 {
@@ -307,7 +323,7 @@
         work[reader.0 as usize] += 1;
         work[writer.0 as usize] += 1;
         scheduler.began(now + 90 * MS, &mut seq, 1);
-        close(&mut scheduler, now + 500 * MS, &mut seq, Outcome::Generated);
+        close(&mut scheduler, now + 500 * MS, &mut seq, Outcome::Completed);
     }
     let (reads, writes) = ([0, 1, 2, 4].map(|id: usize| work[id]), [work[3], work[5] + work[6] + work[7]]);
     assert!(reads.iter().all(|sent| (60..150).contains(sent)), "{work:?}");
@@ -324,9 +340,9 @@
             seq.session = None;
             let reader = sent(scheduler.schedule(now, &mut seq));
             let failing = traffic == 0 && reader == ServerId(0);
-            let outcome = if failing { Outcome::Error } else { Outcome::ReadDone { kept: 0.0 } };
+            let outcome = if failing { Outcome::Error } else { Outcome::PrefillDone { cached_tokens: 0.0 } };
             close(&mut scheduler, now + 30 * MS, &mut seq, outcome);
-            seq.ended = true;
+            seq.completed = true;
         }
     }
     let mut sends = [[0; 6]; 3];
@@ -338,7 +354,7 @@
             let reader = sent(scheduler.schedule(now, &mut seq));
             sends[traffic][reader.0 as usize] += 1;
             close(&mut scheduler, now + 30 * MS, &mut seq, Outcome::Cancelled);
-            seq.ended = true;
+            seq.completed = true;
         }
     }
     assert!(sends[0][0] == 0 && sends[2][0] > 4, "{sends:?}");
@@ -352,8 +368,8 @@
         let mut seq = sequence(id, 0, now);
         seq.session = None;
         let reader = sent(scheduler.schedule(now, &mut seq));
-        close(&mut scheduler, now + 60 * MS, &mut seq, Outcome::ReadDone { kept: 0.0 });
-        scheduler.reported(now, reader, Report::default());
+        close(&mut scheduler, now + 60 * MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+        scheduler.reported(now, reader, LoadReport::default());
     }
     let now = START + 6000 * MS;
     let mut seq = sequence(9, 0, now);
@@ -369,11 +385,11 @@
         let mut seq = sequence(id, 1, now);
         (seq.session, seq.prompt_tokens, seq.prefix) = (None, 3000.0, None);
         let answer = scheduler.schedule(now, &mut seq);
-        if let Schedule::Send(_) = answer {
-            close(&mut scheduler, now + time, &mut seq, Outcome::ReadDone { kept: 0.0 });
-            seq.ended = true;
+        if let Decision::Send(_) = answer {
+            close(&mut scheduler, now + time, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+            seq.completed = true;
         }
-        matches!(answer, Schedule::Send(_))
+        matches!(answer, Decision::Send(_))
     };
     let jammed = (0..20).filter(|id| take(START + id * 100 * MS, *id, 3000 * MS)).count();
     let cleared = (20..60).filter(|id| take(START + id * 500 * MS, *id, 50 * MS)).count();
@@ -389,21 +405,21 @@
     sent(scheduler.schedule(now, &mut seq));
     close(&mut scheduler, now, &mut seq, Outcome::Error);
     let reader = sent(scheduler.schedule(now, &mut seq));
-    assert_eq!((seq.attempts.last().map(|a| a.step), reader.0 % 3), (Some(Step::Read), 0));
-    close(&mut scheduler, now + 50 * MS, &mut seq, Outcome::ReadDone { kept: 0.0 });
+    assert_eq!((seq.attempts.last().map(|a| a.step), reader.0 % 3), (Some(Step::Prefill), 0));
+    close(&mut scheduler, now + 50 * MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
     sent(scheduler.schedule(now + 50 * MS, &mut seq));
-    assert_eq!(seq.attempts.last().map(|a| a.step), Some(Step::Write), "it had attempts left for both");
+    assert_eq!(seq.attempts.last().map(|a| a.step), Some(Step::Decode), "it had attempts left for both");
 
     // Where no reader can be had, what the first may still hold is let go within its time.
     let mut seq = sequence(2, 0, now);
     read(&mut scheduler, now, &mut seq, 50 * MS);
     sent(scheduler.schedule(now + 50 * MS, &mut seq));
     close(&mut scheduler, now + 60 * MS, &mut seq, Outcome::Error);
-    let gone = |id| Listing { condition: Condition::Draining, ..entry(id, 0, (id / 3) as i64) };
-    scheduler.listed(now + 60 * MS, ListScope::Changes, &[gone(0), gone(3)]);
+    let gone = |id| Endpoint { state: EndpointState::Draining, ..entry(id, 0, (id / 3) as i64) };
+    scheduler.listed(now + 60 * MS, SnapshotKind::Delta, &[gone(0), gone(3)]);
     let release = (0..15).find_map(|n| match scheduler.schedule(now + 60 * MS + n * 20 * MS, &mut seq) {
-        Schedule::NotYet => None,
-        Schedule::Rejected { release, .. } => Some(release),
+        Decision::Wait => None,
+        Decision::Reject { release, .. } => Some(release),
         other => panic!("{other:?}"),
     });
     assert_eq!(release, Some(true));
@@ -421,7 +437,7 @@
         let mut next = sequence(2, 0, now);
         read(&mut scheduler, now, &mut next, 50 * MS);
         let other = ServerId(3 - writer.0);
-        scheduler.reported(now, other, Report { memory_share: Some(0.5), ..Report::default() });
+        scheduler.reported(now, other, LoadReport { memory_share: Some(0.5), ..LoadReport::default() });
         assert_eq!(sent(scheduler.schedule(now + 50 * MS, &mut next)) == other, paused, "{outcome:?}");
     }
 }
@@ -433,7 +449,11 @@
     let reader = read(&mut scheduler, START, &mut seq, 50 * MS);
     let now = START + 50 * MS;
     for writer in [1, 2, 4, 5].into_iter().filter(|writer| *writer != reader.0 + 1) {
-        scheduler.reported(now, ServerId(writer), Report { memory_share: Some(1.0), ..Report::default() });
+        scheduler.reported(
+            now,
+            ServerId(writer),
+            LoadReport { memory_share: Some(1.0), ..LoadReport::default() },
+        );
     }
     let gone = sent(scheduler.schedule(now, &mut seq));
     assert_eq!(gone.0, reader.0 + 1, "the only one with room");
@@ -448,26 +468,26 @@
     let mut seq = sequence(1, 0, START);
     read(&mut scheduler, START, &mut seq, 50 * MS);
     let now = START + 50 * MS;
-    for (step, outcome) in [(Step::Write, Outcome::Reset), (Step::Read, Outcome::Reset)] {
+    for (step, outcome) in [(Step::Decode, Outcome::Reset), (Step::Prefill, Outcome::Reset)] {
         sent(scheduler.schedule(now, &mut seq));
         assert_eq!(seq.attempts.last().map(|a| a.step), Some(step));
         close(&mut scheduler, now, &mut seq, outcome);
     }
     sent(scheduler.schedule(now, &mut seq));
-    assert_eq!((seq.attempts.last().map(|a| a.step), seq.attempts.len()), (Some(Step::Write), 4));
+    assert_eq!((seq.attempts.last().map(|a| a.step), seq.attempts.len()), (Some(Step::Decode), 4));
 }
 
 /// Guards against a text that some conversations share being read at every reader, which pushes out all others.
 #[test]
 fn a_shared_text_has_a_few_home_readers_at_every_gateway_and_one_that_all_share_has_all() {
     // Twenty cells of a reader and a writer.
-    let cell = |n: u64| Listing { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
-    let fleet: Vec<Listing> = (0..40).map(cell).collect();
+    let cell = |n: u64| Endpoint { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
+    let fleet: Vec<Endpoint> = (0..40).map(cell).collect();
     for (alike, fewest, most) in [(false, 1, 8), (true, 14, 20)] {
         let (mut readers, mut held) = (BTreeSet::new(), BTreeSet::new());
         for gateway in 0..60 {
             let mut scheduler = Scheduler::new(START, Deployment { gateways: 60, ..deployment() }, gateway);
-            scheduler.listed(START, ListScope::Remembered, &fleet);
+            scheduler.listed(START, SnapshotKind::Cached, &fleet);
             for n in 0..=60 {
                 let mut seq = sequence(gateway * 100 + n, 0, START);
                 let text = if n == 60 || alike { 77 } else { 1_000 + gateway * 100 + n };
@@ -476,7 +496,7 @@
                 let reader = sent(scheduler.schedule(START, &mut seq));
                 let found = !held.insert((reader, text));
                 let kept = if found { seq.prefix_tokens } else { 0.0 };
-                close(&mut scheduler, START + MS, &mut seq, Outcome::ReadDone { kept });
+                close(&mut scheduler, START + MS, &mut seq, Outcome::PrefillDone { cached_tokens: kept });
                 if n == 60 {
                     readers.insert(reader);
                 }
@@ -488,7 +508,7 @@
 
 #[test]
 fn where_readers_are_few_a_text_that_is_rarely_sent_still_has_a_home() {
-    let fleet: Vec<Listing> = (0..8).map(|n| entry(n, (n % 2) as usize, 0)).collect();
+    let fleet: Vec<Endpoint> = (0..8).map(|n| entry(n, (n % 2) as usize, 0)).collect();
     let rare = |id| {
         let (session, prefix) = (Some(SessionId(999_999)), Some(PrefixId(77)));
         Sequence { session, prefix, prefix_tokens: 800.0, ..sequence(id, 0, START) }
@@ -512,7 +532,7 @@
         if sent(scheduler.schedule(START, &mut short)) == home {
             break;
         }
-        close(&mut scheduler, START + MS, &mut short, Outcome::ReadDone { kept: 0.0 });
+        close(&mut scheduler, START + MS, &mut short, Outcome::PrefillDone { cached_tokens: 0.0 });
     }
     assert_eq!(sent(scheduler.schedule(START, &mut rare(501))), home);
 }
@@ -526,17 +546,17 @@
             now += 50 * MS;
             let mut seq = sequence(id, 0, now);
             sent(scheduler.schedule(now, &mut seq));
-            close(&mut scheduler, now, &mut seq, Outcome::ReadDone { kept: 0.0 });
+            close(&mut scheduler, now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
         }
         // One reader of two starts anew; how long after its first sequence it gets another.
-        scheduler.listed(now, ListScope::Changes, &[Listing { since: now, ..entry(0, 0, 0) }]);
+        scheduler.listed(now, SnapshotKind::Delta, &[Endpoint { started_at: now, ..entry(0, 0, 0) }]);
         let mut first = None;
         for id in 1000.. {
             now += 10 * MS;
             let tokens = if first.is_none() { tokens } else { 1000.0 };
             let mut seq = Sequence { prompt_tokens: tokens, ..sequence(id, 0, now) };
             let reader = sent(scheduler.schedule(now, &mut seq));
-            close(&mut scheduler, now, &mut seq, Outcome::ReadDone { kept: 0.0 });
+            close(&mut scheduler, now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
             match first {
                 Some(first) if reader == ServerId(0) => return now - first,
                 None if reader == ServerId(0) => first = Some(now),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,22 +15,27 @@
 /// What a list says, kept in the plainest way.
 #[derive(Default)]
 struct Model {
-    servers: BTreeMap<ServerId, Listing>,
+    servers: BTreeMap<ServerId, Endpoint>,
 }
 
 impl Model {
-    fn listed(&mut self, scope: ListScope, entries: &[Listing]) {
-        self.servers.retain(|_, listing| listing.condition != Condition::Gone);
-        if scope != ListScope::Changes {
-            self.servers.values_mut().for_each(|listing| listing.condition = Condition::Gone);
+    fn listed(&mut self, scope: SnapshotKind, entries: &[Endpoint]) {
+        self.servers.retain(|_, endpoint| endpoint.state != EndpointState::Gone);
+        if scope != SnapshotKind::Delta {
+            self.servers.values_mut().for_each(|endpoint| endpoint.state = EndpointState::Gone);
         }
         for entry in entries {
             self.servers.insert(entry.server, entry.clone());
         }
     }
 
-    fn ready(&self, kinds: &[Kind], role: Role, holds: impl Fn(&Listing) -> bool) -> BTreeSet<ServerId> {
-        let ready = self.servers.values().filter(|l| l.condition == Condition::Ready);
+    fn ready(
+        &self,
+        kinds: &[ServerKind],
+        role: Role,
+        holds: impl Fn(&Endpoint) -> bool,
+    ) -> BTreeSet<ServerId> {
+        let ready = self.servers.values().filter(|l| l.state == EndpointState::Ready);
         let ready = ready.filter(|l| kinds[l.kind.0].role == role && holds(l));
         ready.map(|l| l.server).collect()
     }
@@ -38,36 +43,42 @@
 
 fn ids(fleet: &Fleet, members: &Members) -> BTreeSet<ServerId> {
     let slots = members.warm.iter().chain(&members.cold);
-    let found: Vec<ServerId> = slots.map(|slot| fleet.at(*slot).listing.server).collect();
+    let found: Vec<ServerId> = slots.map(|slot| fleet.at(*slot).endpoint.server).collect();
     let distinct: BTreeSet<ServerId> = found.iter().copied().collect();
     assert_eq!(distinct.len(), found.len(), "each server once");
     distinct
 }
 
-fn start(now: Nanos, entry: &Listing) -> Server {
-    let cold_until = if entry.since > 0 { entry.since + SLOW_START } else { 0 };
+fn start(now: Nanos, entry: &Endpoint) -> Server {
+    let cold_until = if entry.started_at > 0 { entry.started_at + SLOW_START } else { 0 };
     Server::new(now, entry.clone(), cold_until, 0.5, MS)
 }
 
-fn random_entry(chance: &mut Rand64, now: Nanos) -> Listing {
+fn random_entry(chance: &mut Rand64, now: Nanos) -> Endpoint {
     let server = chance.rand_range(0..60);
     let condition = match chance.rand_range(0..6) {
-        0 => Condition::Gone,
-        1 => Condition::Draining,
-        _ => Condition::Ready,
+        0 => EndpointState::Gone,
+        1 => EndpointState::Draining,
+        _ => EndpointState::Ready,
     };
     // Its cell, zone, kind and weight may change too, and its start go back.
     let since = if chance.rand_float() < 0.3 { now - chance.rand_range(0..2) * MS } else { 0 };
     let weight = 0.5 + chance.rand_float();
     let zone = ZoneId(chance.rand_range(0..3) as usize);
     let kind = chance.rand_range(0..3) as usize;
-    Listing { since, condition, weight, zone, ..entry(server, kind, chance.rand_range(0..8) as i64) }
+    Endpoint {
+        started_at: since,
+        state: condition,
+        weight,
+        zone,
+        ..entry(server, kind, chance.rand_range(0..8) as i64)
+    }
 }
 
-fn agrees(fleet: &Fleet, model: &Model, kinds: &[Kind], now: Nanos) {
+fn agrees(fleet: &Fleet, model: &Model, kinds: &[ServerKind], now: Nanos) {
     assert_eq!(fleet.len(), model.servers.len());
     let index = fleet.index();
-    for role in [Role::Reader, Role::Writer, Role::Mixed] {
+    for role in [Role::Prefill, Role::Decode, Role::Combined] {
         assert_eq!(ids(fleet, fleet.pool(role, None)), model.ready(kinds, role, |_| true));
         for zone in (0..4).map(ZoneId) {
             let members = fleet.pool(role, Some(Group::Zone(zone)));
@@ -82,18 +93,18 @@
         assert!(members.cold.iter().all(|slot| now < fleet.at(*slot).cold_until), "cold is cold");
     }
     for prefill in [true, false] {
-        let there = model.servers.values().filter(|l| l.condition != Condition::Gone);
-        let pool = there.filter(|l| (kinds[l.kind.0].role == Role::Reader) == prefill);
+        let there = model.servers.values().filter(|l| l.state != EndpointState::Gone);
+        let pool = there.filter(|l| (kinds[l.kind.0].role == Role::Prefill) == prefill);
         let weight: f64 = pool.map(|l| l.weight).sum();
         assert_eq!(index.pool_weight(prefill), weight, "the same sum, in the same order");
     }
-    let prefill = model.servers.values().filter(|l| kinds[l.kind.0].role == Role::Reader).count();
+    let prefill = model.servers.values().filter(|l| kinds[l.kind.0].role == Role::Prefill).count();
     assert_eq!(index.prefill_servers(), prefill);
     for zone in (0..3).map(ZoneId) {
-        let ready = model.ready(kinds, Role::Reader, |l| l.zone == zone);
+        let ready = model.ready(kinds, Role::Prefill, |l| l.zone == zone);
         let homes: BTreeSet<ServerId> = (0..2_000u64)
             .filter_map(|key| index.ring(zone)?.server(petrelshore::fleet::mix(key)))
-            .map(|slot| fleet.at(slot).listing.server)
+            .map(|slot| fleet.at(slot).endpoint.server)
             .collect();
         assert_eq!(homes, ready, "every ready prefill server of a zone is a home, and no other");
     }
@@ -109,8 +120,8 @@
         for _ in 0..60 {
             now += chance.rand_range(0..1_500) * MS;
             let many = chance.rand_range(0..12) as usize;
-            let entries: Vec<Listing> = (0..many).map(|_| random_entry(&mut chance, now)).collect();
-            let scope = if chance.rand_float() < 0.2 { ListScope::Whole } else { ListScope::Changes };
+            let entries: Vec<Endpoint> = (0..many).map(|_| random_entry(&mut chance, now)).collect();
+            let scope = if chance.rand_float() < 0.2 { SnapshotKind::Full } else { SnapshotKind::Delta };
             fleet.listed(scope, &entries, |entry| start(now, entry));
             model.listed(scope, &entries);
             // Some changes come together before anything is decided.
@@ -125,27 +136,27 @@
 #[test]
 fn servers_get_warm_in_the_index_without_a_change_of_the_list() {
     let mut fleet = Fleet::new(deployment().kinds, Weights::Unused, RING_POINTS);
-    let cold = |n: u64| Listing { since: START + n * 1_000 * MS, ..entry(n, 0, 0) };
-    let list: Vec<Listing> = (0..4).map(cold).collect();
-    fleet.listed(ListScope::Whole, &list, |entry| start(START, entry));
+    let cold = |n: u64| Endpoint { started_at: START + n * 1_000 * MS, ..entry(n, 0, 0) };
+    let list: Vec<Endpoint> = (0..4).map(cold).collect();
+    fleet.listed(SnapshotKind::Full, &list, |entry| start(START, entry));
     for (seconds, warm) in [(1, 0), (5, 1), (6, 2), (7, 3), (60, 4)] {
         fleet.refresh(START + seconds * 1_000 * MS);
-        assert_eq!(fleet.pool(Role::Reader, None).warm.len(), warm, "after {seconds} s");
+        assert_eq!(fleet.pool(Role::Prefill, None).warm.len(), warm, "after {seconds} s");
     }
 }
 
 #[test]
 fn a_server_that_is_gone_with_an_attempt_out_is_kept_until_that_has_ended() {
     let mut fleet = Fleet::new(deployment().kinds, Weights::Unused, RING_POINTS);
-    fleet.listed(ListScope::Whole, &[entry(1, 0, 0)], |entry| start(START, entry));
-    let out = petrelshore::fleet::Out { seq: SeqId(1), sent: START, tokens: 1.0, waiting: true };
+    fleet.listed(SnapshotKind::Full, &[entry(1, 0, 0)], |entry| start(START, entry));
+    let out = petrelshore::fleet::Out { seq: SequenceId(1), sent: START, tokens: 1.0, waiting: true };
     fleet.get_mut(ServerId(1)).unwrap().out.push(out);
     for _ in 0..3 {
-        fleet.listed(ListScope::Whole, &[entry(2, 0, 0)], |entry| start(START, entry));
+        fleet.listed(SnapshotKind::Full, &[entry(2, 0, 0)], |entry| start(START, entry));
         assert!(fleet.get(ServerId(1)).is_some());
     }
     fleet.get_mut(ServerId(1)).unwrap().out.clear();
-    fleet.listed(ListScope::Changes, &[entry(3, 0, 0)], |entry| start(START, entry));
+    fleet.listed(SnapshotKind::Delta, &[entry(3, 0, 0)], |entry| start(START, entry));
     assert!(fleet.get(ServerId(1)).is_none() && fleet.len() == 2);
 }
 
@@ -153,24 +164,24 @@
 fn a_walk_in_parts_comes_to_every_server_that_stays_once() {
     let mut chance = Rand64::new(3);
     let mut fleet = Fleet::new(deployment().kinds, Weights::Unused, RING_POINTS);
-    let stays: Vec<Listing> = (0..500).map(|n| entry(2 * n, 0, 0)).collect();
+    let stays: Vec<Endpoint> = (0..500).map(|n| entry(2 * n, 0, 0)).collect();
     let mut comes_and_goes = |fleet: &mut Fleet| {
-        let condition = if chance.rand_float() < 0.5 { Condition::Gone } else { Condition::Ready };
-        let other = Listing { condition, ..entry(2 * chance.rand_range(0..500) + 1, 0, 0) };
-        fleet.listed(ListScope::Changes, &[other], |entry| start(START, entry));
+        let condition = if chance.rand_float() < 0.5 { EndpointState::Gone } else { EndpointState::Ready };
+        let other = Endpoint { state: condition, ..entry(2 * chance.rand_range(0..500) + 1, 0, 0) };
+        fleet.listed(SnapshotKind::Delta, &[other], |entry| start(START, entry));
     };
-    fleet.listed(ListScope::Whole, &stays, |entry| start(START, entry));
+    fleet.listed(SnapshotKind::Full, &stays, |entry| start(START, entry));
     for part in [1, 7, 64, 499, 500, 1_000] {
         let (mut walk, mut seen) = (Walk::default(), Vec::new());
         while !walk.is_over() {
             let before = fleet.examined();
             let next: Vec<ServerId> =
-                walk.next(&fleet, part).iter().map(|server| server.listing.server).collect();
+                walk.next(&fleet, part).iter().map(|server| server.endpoint.server).collect();
             assert!(next.len() <= part && fleet.examined() - before == next.len() as u64);
             seen.extend(next.into_iter().filter(|server| server.0 % 2 == 0));
             comes_and_goes(&mut fleet);
         }
-        let all: Vec<ServerId> = stays.iter().map(|listing| listing.server).collect();
+        let all: Vec<ServerId> = stays.iter().map(|endpoint| endpoint.server).collect();
         assert_eq!(seen, all, "parts of {part}");
     }
 }
@@ -182,11 +193,11 @@
     let mut seen: BTreeSet<Slot> = BTreeSet::new();
     for _ in 0..4 {
         let mut slots = Vec::new();
-        sampler.next(Role::Reader, &members, 64, &mut slots);
+        sampler.next(Role::Prefill, &members, 64, &mut slots);
         assert_eq!(slots.len(), 64);
         seen.extend(slots);
         // Draws and turns of other roles in between change nothing.
-        sampler.next(Role::Writer, &members, 7, &mut Vec::new());
+        sampler.next(Role::Decode, &members, 7, &mut Vec::new());
         sampler.sample(&members, Draw { warm: 3, cold: 3 }, &mut Vec::new());
     }
     assert_eq!(seen.len(), 200, "200 servers in four turns of 64");
@@ -210,13 +221,13 @@
 #[test]
 fn one_server_more_or_less_moves_its_part_of_the_homes_and_one_bucket_more_its_part_of_the_keys() {
     let mut fleet = Fleet::new(deployment().kinds, Weights::Unused, RING_POINTS);
-    let list: Vec<Listing> = (0..100).map(|n| entry(n * 7_919, 0, 0)).collect();
-    let homes = |fleet: &mut Fleet, list: &[Listing]| -> Vec<ServerId> {
-        fleet.listed(ListScope::Whole, list, |entry| start(START, entry));
+    let list: Vec<Endpoint> = (0..100).map(|n| entry(n * 7_919, 0, 0)).collect();
+    let homes = |fleet: &mut Fleet, list: &[Endpoint]| -> Vec<ServerId> {
+        fleet.listed(SnapshotKind::Full, list, |entry| start(START, entry));
         fleet.refresh(START);
         let ring = fleet.index().ring(ZoneId(0)).unwrap();
         let home = |key: u64| ring.server(petrelshore::fleet::mix(key)).unwrap();
-        (0..10_000).map(|key| fleet.at(home(key)).listing.server).collect()
+        (0..10_000).map(|key| fleet.at(home(key)).endpoint.server).collect()
     };
     let all = homes(&mut fleet, &list);
     let less = homes(&mut fleet, &list[1..]);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -30,45 +30,66 @@
     Course { name: "bound", servers: 128, weights: Weights::Unused, gateways: 20, steps: 2500, mixed: 16 },
 ];
 
-fn listing(course: &Course, chance: &mut Rand64, server: u64) -> Listing {
+fn endpoint(course: &Course, chance: &mut Rand64, server: u64) -> Endpoint {
     let kind = match server {
         n if n % course.mixed == course.mixed - 1 => 2,
         n => usize::from(n % 4 > 0),
     };
     let weight = 0.5 + chance.rand_float();
-    Listing { weight, zone: ZoneId((server / 4 % 3) as usize), ..entry(server, kind, (server / 4) as i64) }
+    Endpoint { weight, zone: ZoneId((server / 4 % 3) as usize), ..entry(server, kind, (server / 4) as i64) }
 }
 
-fn change(chance: &mut Rand64, now: Nanos, list: &mut [Listing]) -> Vec<Listing> {
+fn change(chance: &mut Rand64, now: Nanos, list: &mut [Endpoint]) -> Vec<Endpoint> {
     let at = chance.rand_range(0..list.len() as u64) as usize;
     let entry = &mut list[at];
     match chance.rand_range(0..4) {
-        0 => entry.condition = Condition::Draining,
-        1 => entry.condition = Condition::Gone,
-        2 => (entry.condition, entry.since) = (Condition::Ready, now),
-        _ => entry.condition = Condition::Ready,
+        0 => entry.state = EndpointState::Draining,
+        1 => entry.state = EndpointState::Gone,
+        2 => (entry.state, entry.started_at) = (EndpointState::Ready, now),
+        _ => entry.state = EndpointState::Ready,
     }
     vec![entry.clone()]
 }
 
-fn report(chance: &mut Rand64) -> Report {
+fn report(chance: &mut Rand64) -> LoadReport {
     let share = (chance.rand_float() < 0.9).then(|| chance.rand_float().powi(2));
     let queue = (chance.rand_float() < 0.5).then(|| chance.rand_float() * 4000.0);
-    Report { memory_share: share, queued_prompt_tokens: queue, in_flight: None }
+    LoadReport { memory_share: share, queued_prompt_tokens: queue, in_flight: None }
 }
 
 fn outcome(chance: &mut Rand64, step: Step, prefix: f64) -> Outcome {
     match chance.rand_range(0..20) {
         0 => Outcome::Error,
-        1 => Outcome::Full,
+        1 => Outcome::AtCapacity,
         2 => Outcome::TimedOut,
         3 => Outcome::ConnectFailed,
         4 => Outcome::Reset,
-        5 if step != Step::Read => Outcome::NoState,
-        _ if step == Step::Read => {
-            Outcome::ReadDone { kept: if chance.rand_float() < 0.5 { prefix } else { 0.0 } }
+        5 if step != Step::Prefill => Outcome::KvCacheMissing,
+        _ if step == Step::Prefill => {
+            Outcome::PrefillDone { cached_tokens: if chance.rand_float() < 0.5 { prefix } else { 0.0 } }
         }
-        _ => Outcome::Generated,
+        _ => Outcome::Completed,
+    }
+}
+
+/// The recording's words for a decision: it keeps those of the program that made it.
+fn recorded_decision(decision: Decision) -> String {
+    match decision {
+        Decision::Send(server) => format!("Send({server:?})"),
+        Decision::Wait => "NotYet".to_owned(),
+        Decision::Reject { retry_after, release } => {
+            format!("Rejected {{ retry_after: {retry_after:?}, release: {release} }}")
+        }
+        Decision::Abort { release } => format!("Aborted {{ release: {release} }}"),
+    }
+}
+
+/// The recording's words for what follows an outcome.
+fn recorded_next_step(next_step: NextStep) -> String {
+    match next_step {
+        NextStep::Schedule => "Schedule".to_owned(),
+        NextStep::Wait => "Wait".to_owned(),
+        NextStep::Complete { release } => format!("Ended {{ release: {release} }}"),
     }
 }
 
@@ -81,18 +102,18 @@
         tenants: vec![Tenant { per_second: 10.0 }; 5],
         ..deployment()
     };
-    let mut list: Vec<Listing> = (0..course.servers).map(|n| listing(course, &mut chance, n)).collect();
+    let mut list: Vec<Endpoint> = (0..course.servers).map(|n| endpoint(course, &mut chance, n)).collect();
     let mut scheduler = Scheduler::new(START, settings, seed);
-    scheduler.listed(START, ListScope::Remembered, &list);
+    scheduler.listed(START, SnapshotKind::Cached, &list);
     let (mut now, mut hand, mut told) = (START, Vec::<Sequence>::new(), String::new());
     for step in 0..course.steps {
         now += (chance.rand_float() * 60.0) as Nanos * MS;
         match chance.rand_range(0..12) {
             0 => {
                 let changed = change(&mut chance, now, &mut list);
-                scheduler.listed(now, ListScope::Changes, &changed);
+                scheduler.listed(now, SnapshotKind::Delta, &changed);
             }
-            1 if step % 50 == 0 => scheduler.listed(now, ListScope::Whole, &list),
+            1 if step % 50 == 0 => scheduler.listed(now, SnapshotKind::Full, &list),
             1..=3 => {
                 let server = ServerId(chance.rand_range(0..course.servers));
                 scheduler.reported(now, server, report(&mut chance));
@@ -106,32 +127,34 @@
                     prefix: (chance.rand_float() < 0.7).then(|| PrefixId(1 + chance.rand_range(0..12))),
                     prefix_tokens: prompt_tokens / 2.0,
                     tenant: (chance.rand_float() < 0.8).then(|| TenantId(chance.rand_range(0..5) as usize)),
-                    hint: (chance.rand_float() < 0.3).then(|| chance.rand_range(1..20) * 600 * MS),
+                    output_length_hint: (chance.rand_float() < 0.3)
+                        .then(|| chance.rand_range(1..20) * 600 * MS),
                     ..sequence(id, chance.rand_range(0..5) as usize, now)
                 };
-                let answer = scheduler.schedule(now, &mut seq);
-                let _ = writeln!(told, "{step} {id} {answer:?} {}", scheduler.wait(now, &seq));
+                let answer = recorded_decision(scheduler.schedule(now, &mut seq));
+                let _ = writeln!(told, "{step} {id} {answer} {}", scheduler.wait(now, &seq));
                 hand.push(seq);
             }
             _ if !hand.is_empty() => {
                 let at = chance.rand_range(0..hand.len() as u64) as usize;
                 let seq = &mut hand[at];
-                let out = seq.attempts.iter().position(|a| !matches!(a.status, Status::Closed(_)));
+                let out = seq.attempts.iter().position(|a| !matches!(a.status, AttemptStatus::Finished(_)));
                 if let Some(n) = out {
                     let (step_taken, begun) = (seq.attempts[n].step, chance.rand_float() < 0.8);
                     let got = outcome(&mut chance, step_taken, seq.prefix_tokens);
-                    if got == Outcome::Generated && begun {
+                    if got == Outcome::Completed && begun {
                         scheduler.began(now, seq, n);
                     }
-                    seq.attempts[n].reached = true;
-                    let settled = scheduler.settle(now, seq, n, got, got == Outcome::Generated);
-                    let _ = writeln!(told, "{step} {} {settled:?}", seq.id.0);
+                    seq.attempts[n].delivered = true;
+                    let settled =
+                        recorded_next_step(scheduler.settle(now, seq, n, got, got == Outcome::Completed));
+                    let _ = writeln!(told, "{step} {} {settled}", seq.id.0);
                 }
-                if !seq.ended {
-                    let answer = scheduler.schedule(now, seq);
-                    let _ = writeln!(told, "{step} {} {answer:?} {}", seq.id.0, scheduler.wait(now, seq));
+                if !seq.completed {
+                    let answer = recorded_decision(scheduler.schedule(now, seq));
+                    let _ = writeln!(told, "{step} {} {answer} {}", seq.id.0, scheduler.wait(now, seq));
                 }
-                if seq.ended {
+                if seq.completed {
                     hand.swap_remove(at);
                 }
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -24,7 +24,7 @@
     scheduler: Scheduler,
     deployment: Deployment,
     now: Nanos,
-    list: BTreeMap<ServerId, Listing>,
+    list: BTreeMap<ServerId, Endpoint>,
     hand: Vec<Tracked>,
     arrivals: Vec<Nanos>,
     cold_sends: BTreeMap<ServerId, Vec<Nanos>>,
@@ -34,7 +34,8 @@
     fn new() -> Self {
         let mut list = fleet();
         list.push(entry(6, 2, 1));
-        let deployment = Deployment { cold_multiple: 1.0, cold_from: 0.2, ..deployment() };
+        let deployment =
+            Deployment { slow_start_overload_factor: 1.0, slow_start_initial_share: 0.2, ..deployment() };
         World {
             scheduler: scheduler(deployment.clone(), &list),
             deployment,
@@ -49,67 +50,70 @@
     fn ask(&mut self, at: usize) {
         let now = self.now;
         let answer = self.scheduler.schedule(now, &mut self.hand[at].seq);
-        let effect = self.deployment.types[self.hand[at].seq.traffic.0].effect;
+        let effect = self.deployment.types[self.hand[at].seq.traffic.0].idempotency;
         let t = &mut self.hand[at];
         let ran = t.seen.iter().find(|(.., ran)| *ran).copied();
         match answer {
-            Schedule::Send(server) => {
+            Decision::Send(server) => {
                 assert!(!t.over && !t.out, "rule 1: sent after the end, or twice at once");
                 assert!(t.seen.len() < self.deployment.max_attempts, "more attempts than allowed");
-                assert!(now < t.seq.abandon_at, "rule 1: sent after the client left");
-                let listing = &self.list[&server];
-                assert_eq!(listing.condition, Condition::Ready, "rule 3: sent to a server that leaves");
+                assert!(now < t.seq.first_token_deadline, "rule 1: sent after the client left");
+                let endpoint = &self.list[&server];
+                assert_eq!(endpoint.state, EndpointState::Ready, "rule 3: sent to a server that leaves");
                 match (effect, ran) {
-                    (Effect::OnceOnly, Some(_)) => panic!("rule 2: once-only sent again"),
-                    (Effect::Tokened { scope, window }, Some((_, cell, first, _))) => {
+                    (Idempotency::AtMostOnce, Some(_)) => panic!("rule 2: once-only sent again"),
+                    (Idempotency::Keyed { scope, window }, Some((_, cell, first, _))) => {
                         assert!(now < first + window, "rule 2: tokened sent after its window");
-                        let known = scope == Scope::All || cell == listing.cell;
+                        let known = scope == KeyScope::Fleet || cell == endpoint.cell;
                         assert!(known, "rule 2: tokened sent outside its group");
                     }
                     _ => {}
                 }
-                if listing.since > 0 && now < listing.since + self.deployment.cold_for {
+                if endpoint.started_at > 0 && now < endpoint.started_at + self.deployment.slow_start_duration
+                {
                     let sends = self.cold_sends.entry(server).or_default();
                     sends.push(now);
-                    let window = self.deployment.cold_window;
+                    let window = self.deployment.slow_start_window;
                     let of_late = sends.iter().filter(|s| **s + window > now).count() as f64;
                     let second = |at: &Nanos| {
                         self.arrivals.iter().filter(|a| *a >= at && **a < at + 1000 * MS).count()
                     };
                     let peak = self.arrivals.iter().map(second).max().unwrap_or(0) as f64;
-                    let reads = |l: &&Listing| (l.kind == KindId(0)) == (listing.kind == KindId(0));
-                    let there = self.list.values().filter(|l| l.condition != Condition::Gone);
+                    let reads =
+                        |l: &&Endpoint| (l.kind == ServerKindId(0)) == (endpoint.kind == ServerKindId(0));
+                    let there = self.list.values().filter(|l| l.state != EndpointState::Gone);
                     let pool = there.filter(reads).count() as f64;
-                    let part = self.deployment.cold_multiple * self.deployment.cold_from;
+                    let part =
+                        self.deployment.slow_start_overload_factor * self.deployment.slow_start_initial_share;
                     let budget = part * peak / pool * window as f64 / 1e9;
                     assert!(of_late <= budget.max(1.0) + 1.0, "rule 4: {of_late} sends, budget {budget}");
                 }
-                let runs = listing.kind != KindId(0);
-                t.seen.push((server, listing.cell, now, runs));
+                let runs = endpoint.kind != ServerKindId(0);
+                t.seen.push((server, endpoint.cell, now, runs));
                 (t.out, t.held_since) = (true, None);
                 t.due = now + self.scheduler.wait(now, &t.seq);
             }
-            Schedule::NotYet => {
+            Decision::Wait => {
                 assert!(!t.over && !t.out);
                 t.due = now + self.scheduler.wait(now, &t.seq).max(1);
             }
-            Schedule::Rejected { release, .. } => {
+            Decision::Reject { release, .. } => {
                 let harmless = match (effect, ran) {
-                    (Effect::Repeatable, _) | (_, None) => true,
-                    (Effect::Tokened { scope, .. }, _) => scope == Scope::All,
-                    (Effect::OnceOnly, _) => false,
+                    (Idempotency::Idempotent, _) | (_, None) => true,
+                    (Idempotency::Keyed { scope, .. }, _) => scope == KeyScope::Fleet,
+                    (Idempotency::AtMostOnce, _) => false,
                 };
                 assert!(harmless, "rule 2: rejected what may have run");
                 self.end(at, release);
             }
-            Schedule::Aborted { release } => self.end(at, release),
+            Decision::Abort { release } => self.end(at, release),
         }
     }
 
     fn end(&mut self, at: usize, release: bool) {
         let t = &mut self.hand[at];
         assert!(!t.over, "rule 1: two final answers");
-        assert!(self.now <= t.seq.abandon_at, "rule 1: answered too late");
+        assert!(self.now <= t.seq.first_token_deadline, "rule 1: answered too late");
         assert!(release || t.held_since.is_none(), "rule 5: the end left a state pinned");
         (t.over, t.held_since) = (true, None);
     }
@@ -120,26 +124,26 @@
         let n = t.seen.len() - 1;
         let proven = matches!(
             outcome,
-            Outcome::Full
-                | Outcome::NoState
+            Outcome::AtCapacity
+                | Outcome::KvCacheMissing
                 | Outcome::ConnectFailed
                 | Outcome::NeverSent
-                | Outcome::ReadDone { .. }
+                | Outcome::PrefillDone { .. }
         );
         t.seen[n].3 &= !proven;
         t.out = false;
-        let last = t.over || t.streaming || outcome == Outcome::Generated;
-        let taken = matches!(outcome, Outcome::Generated | Outcome::NoState);
-        if matches!(outcome, Outcome::ReadDone { .. }) || (t.seq.state.is_some() && !taken) {
+        let last = t.over || t.streaming || outcome == Outcome::Completed;
+        let taken = matches!(outcome, Outcome::Completed | Outcome::KvCacheMissing);
+        if matches!(outcome, Outcome::PrefillDone { .. }) || (t.seq.kv_cache.is_some() && !taken) {
             t.held_since = Some(now);
         }
         match self.scheduler.settle(now, &mut t.seq, n, outcome, last) {
-            Settled::Schedule => {
+            NextStep::Schedule => {
                 assert!(!last, "rule 1: goes on after the end");
                 self.ask(at);
             }
-            Settled::Wait => panic!("nothing else was out"),
-            Settled::Ended { release } => {
+            NextStep::Wait => panic!("nothing else was out"),
+            NextStep::Complete { release } => {
                 assert!(last);
                 assert!(release || t.held_since.is_none() || t.streaming, "rule 5: left a state pinned");
                 (t.over, t.held_since) = (true, None);
@@ -162,7 +166,7 @@
             }
             for t in &self.hand {
                 let pinned =
-                    t.held_since.is_some_and(|since| self.now > since + self.deployment.release_within);
+                    t.held_since.is_some_and(|since| self.now > since + self.deployment.release_timeout);
                 assert!(!pinned, "rule 5: a state stayed pinned");
             }
         }
@@ -176,7 +180,7 @@
         match op {
             0..=7 => {
                 let mut seq = sequence(self.hand.len() as u64, pick % 5, self.now);
-                seq.abandon_at = self.now + (500 + (pick as u64 / 8 % 8) * 500) * MS;
+                seq.first_token_deadline = self.now + (500 + (pick as u64 / 8 % 8) * 500) * MS;
                 self.arrivals.push(self.now);
                 let (seen, due) = (Vec::new(), Nanos::MAX);
                 let t =
@@ -186,42 +190,42 @@
             }
             8..=13 if !out.is_empty() => {
                 let at = out[pick % out.len()];
-                let reads = self.hand[at].seq.attempts.last().is_some_and(|a| a.step == Step::Read);
+                let reads = self.hand[at].seq.attempts.last().is_some_and(|a| a.step == Step::Prefill);
                 let outcome = match pick / 64 % 12 {
                     0 => Outcome::Error,
-                    1 => Outcome::Full,
+                    1 => Outcome::AtCapacity,
                     2 => Outcome::ConnectFailed,
                     3 => Outcome::Reset,
-                    4 => Outcome::NoState,
-                    _ if reads => Outcome::ReadDone { kept: 0.0 },
+                    4 => Outcome::KvCacheMissing,
+                    _ if reads => Outcome::PrefillDone { cached_tokens: 0.0 },
                     5..=7 if !self.hand[at].streaming && !self.hand[at].over => {
                         let n = self.hand[at].seen.len() - 1;
                         self.scheduler.began(self.now, &mut self.hand[at].seq, n);
                         self.hand[at].streaming = true;
                         return;
                     }
-                    _ => Outcome::Generated,
+                    _ => Outcome::Completed,
                 };
                 self.outcome(at, outcome);
             }
             14 => {
                 let server = ServerId((pick % 7) as u64);
-                let listing = self.list.get_mut(&server).unwrap();
-                listing.condition = match pick / 8 % 6 {
-                    0 => Condition::Draining,
-                    1 => Condition::Gone,
-                    _ => Condition::Ready,
+                let endpoint = self.list.get_mut(&server).unwrap();
+                endpoint.state = match pick / 8 % 6 {
+                    0 => EndpointState::Draining,
+                    1 => EndpointState::Gone,
+                    _ => EndpointState::Ready,
                 };
-                if listing.condition == Condition::Ready {
-                    listing.since = self.now;
+                if endpoint.state == EndpointState::Ready {
+                    endpoint.started_at = self.now;
                     self.cold_sends.remove(&server);
                 }
-                let change = [listing.clone()];
-                self.scheduler.listed(self.now, ListScope::Changes, &change);
+                let change = [endpoint.clone()];
+                self.scheduler.listed(self.now, SnapshotKind::Delta, &change);
             }
             15 if !out.is_empty() => {
                 let t = &mut self.hand[out[pick % out.len()]];
-                (t.seq.ended, t.over, t.held_since) = (true, true, None);
+                (t.seq.completed, t.over, t.held_since) = (true, true, None);
             }
             _ => {}
         }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -7,12 +7,12 @@
 use petrelshore::interface::*;
 
 /// Cells of 20 servers, 5 of which are prefill servers, over seven zones.
-fn large(servers: u64) -> Vec<Listing> {
-    let listing = |n: u64| Listing {
+fn large(servers: u64) -> Vec<Endpoint> {
+    let endpoint = |n: u64| Endpoint {
         zone: ZoneId((n / 20 % 7) as usize),
         ..entry(n, usize::from(!n.is_multiple_of(4)), (n / 20) as i64)
     };
-    (0..servers).map(listing).collect()
+    (0..servers).map(endpoint).collect()
 }
 
 fn at_size(tenants: usize) -> Deployment {
@@ -33,17 +33,17 @@
 /// A request whole, as far as it is sent; the most servers that one decision looked at.
 fn serve(scheduler: &mut Scheduler, now: Nanos, seq: &mut Sequence) -> u64 {
     let mut most = 0;
-    while !seq.ended {
+    while !seq.completed {
         let before = scheduler.examined();
         let answer = scheduler.schedule(now, seq);
         most = most.max(scheduler.examined() - before);
-        let Schedule::Send(_) = answer else { break };
+        let Decision::Send(_) = answer else { break };
         let n = seq.attempts.len() - 1;
-        let read = seq.attempts[n].step == Step::Read;
+        let read = seq.attempts[n].step == Step::Prefill;
         if !read {
             scheduler.began(now + 5 * MS, seq, n);
         }
-        let outcome = if read { Outcome::ReadDone { kept: 0.0 } } else { Outcome::Generated };
+        let outcome = if read { Outcome::PrefillDone { cached_tokens: 0.0 } } else { Outcome::Completed };
         scheduler.settle(now + 5 * MS, seq, n, outcome, !read);
     }
     most
@@ -52,8 +52,8 @@
 /// The most servers that one decision looks at, after the first one.
 fn most_examined(servers: u64, tenants: usize, cold: impl Fn(u64) -> bool) -> u64 {
     let mut list = large(servers);
-    list.iter_mut().filter(|l| cold(l.server.0)).for_each(|l| l.since = START);
-    let slow_start = Deployment { cold_for: 1_000_000 * MS, ..at_size(tenants) };
+    list.iter_mut().filter(|l| cold(l.server.0)).for_each(|l| l.started_at = START);
+    let slow_start = Deployment { slow_start_duration: 1_000_000 * MS, ..at_size(tenants) };
     let mut scheduler = scheduler(slow_start, &list);
     serve(&mut scheduler, START, &mut request(0, 0, tenants, START));
     let served = (1..600).map(|id| {
@@ -78,7 +78,7 @@
     }
     let scan = |servers| {
         let mut scheduler = Scheduler::scanning(START, at_size(0), 7);
-        scheduler.listed(START, ListScope::Whole, &large(servers));
+        scheduler.listed(START, SnapshotKind::Full, &large(servers));
         serve(&mut scheduler, START, &mut request(0, 0, 0, START));
         serve(&mut scheduler, START + 300 * MS, &mut request(1, 0, 0, START + 300 * MS))
     };
@@ -95,29 +95,29 @@
         now += MS / 5;
         let mut seq = request(id, 0, 0, now);
         match scheduler.schedule(now, &mut seq) {
-            Schedule::Send(server) if server == last => {
+            Decision::Send(server) if server == last => {
                 found += 1;
-                close(&mut scheduler, now, &mut seq, Outcome::ReadDone { kept: 0.0 });
+                close(&mut scheduler, now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
             }
             // All prefill servers but one refuse their connections, and are passed over for two seconds.
-            Schedule::Send(_) => {
+            Decision::Send(_) => {
                 close(&mut scheduler, now, &mut seq, Outcome::ConnectFailed);
             }
-            Schedule::NotYet => waits.push(seq),
+            Decision::Wait => waits.push(seq),
             other => panic!("{other:?}"),
         }
     }
     assert!(found > 0, "the one that is ready is found while the others are tried");
     // What was held is asked about every 20 ms, and comes to the one within its time to be held.
     let mut held = waits.pop().expect("some are held while nobody is known to be ready");
-    held.arrived = now;
-    held.abandon_at = now + 4_000 * MS;
+    held.arrived_at = now;
+    held.first_token_deadline = now + 4_000 * MS;
     let mut looks = 0;
     loop {
         looks += 1;
         match scheduler.schedule(now, &mut held) {
-            Schedule::Send(server) => break assert_eq!(server, last),
-            answer => assert!(answer == Schedule::NotYet && looks < 25, "{answer:?} after {looks} looks"),
+            Decision::Send(server) => break assert_eq!(server, last),
+            answer => assert!(answer == Decision::Wait && looks < 25, "{answer:?} after {looks} looks"),
         }
         now += 20 * MS;
     }
@@ -134,7 +134,7 @@
             read(&mut scheduler, now, &mut seq, 5 * MS);
             let first = sent(scheduler.schedule(now + 5 * MS, &mut seq));
             close(&mut scheduler, now + 10 * MS, &mut seq, Outcome::Error);
-            if let Schedule::Send(next) = scheduler.schedule(now + 10 * MS, &mut seq) {
+            if let Decision::Send(next) = scheduler.schedule(now + 10 * MS, &mut seq) {
                 further += 1;
                 let [a, b] = [first, next].map(|server| server.0 / 20);
                 assert!(if traffic == 3 { a == b } else { a % 7 == b % 7 }, "{first:?}, then {next:?}");
@@ -156,7 +156,7 @@
         let writer = sent(scheduler.schedule(now + 5 * MS, &mut seq));
         assert!(reader.0.is_multiple_of(4) && !writer.0.is_multiple_of(4));
         beside += u64::from(reader.0 / 20 == writer.0 / 20);
-        close(&mut scheduler, now + 9 * MS, &mut seq, Outcome::Generated);
+        close(&mut scheduler, now + 9 * MS, &mut seq, Outcome::Completed);
     }
     assert!(
         here > 350 && beside > 450,
@@ -169,7 +169,7 @@
     let mut schedulers: Vec<Scheduler> = (0..40)
         .map(|n| {
             let mut scheduler = Scheduler::new(START, at_size(0), n);
-            scheduler.listed(START, ListScope::Remembered, &large(4_200));
+            scheduler.listed(START, SnapshotKind::Cached, &large(4_200));
             scheduler
         })
         .collect();
@@ -189,7 +189,7 @@
 fn the_same_seed_decides_the_same_and_gateways_do_not_all_draw_alike() {
     let course = |seed: u64| -> Vec<ServerId> {
         let mut scheduler = Scheduler::new(START, at_size(64), seed);
-        scheduler.listed(START, ListScope::Whole, &large(2_000));
+        scheduler.listed(START, SnapshotKind::Full, &large(2_000));
         let served = (0..400).flat_map(|id| {
             let now = START + id * 10 * MS;
             let mut seq = request(id, 0, 64, now);
@@ -203,23 +203,25 @@
 
 #[test]
 fn odd_lists_of_any_size_end_in_answers() {
-    let twice: Vec<Listing> = large(5_000).into_iter().chain(large(5_000)).collect();
+    let twice: Vec<Endpoint> = large(5_000).into_iter().chain(large(5_000)).collect();
     let no_decode = large(4_200).into_iter().filter(|l| l.zone.0 != 0 || l.kind.0 == 0).collect();
     let no_prefill = large(4_200).into_iter().filter(|l| l.zone.0 != 0 || l.kind.0 == 1).collect();
-    let one_cell = large(4_200).into_iter().map(|l| Listing { cell: CellId(0), ..l }).collect();
-    let mixed = large(1_000).into_iter().map(|l| Listing { kind: KindId(2), ..l }).collect();
-    let served = |list: Vec<Listing>| -> usize {
+    let one_cell = large(4_200).into_iter().map(|l| Endpoint { cell: CellId(0), ..l }).collect();
+    let mixed = large(1_000).into_iter().map(|l| Endpoint { kind: ServerKindId(2), ..l }).collect();
+    let served = |list: Vec<Endpoint>| -> usize {
         let mut scheduler = scheduler(at_size(640), &list);
         let answers = (0..200).map(|id| {
             let now = START + id * 15 * MS;
             let mut seq = request(id, 0, 640, now);
             serve(&mut scheduler, now, &mut seq);
             // What is held is given up in its time.
-            if !seq.ended {
-                seq.abandon_at = now;
-                assert!(!matches!(scheduler.schedule(now, &mut seq), Schedule::Send(_) | Schedule::NotYet));
+            if !seq.completed {
+                seq.first_token_deadline = now;
+                assert!(!matches!(scheduler.schedule(now, &mut seq), Decision::Send(_) | Decision::Wait));
             }
-            usize::from(seq.attempts.last().is_some_and(|a| a.status == Status::Closed(Outcome::Generated)))
+            usize::from(
+                seq.attempts.last().is_some_and(|a| a.status == AttemptStatus::Finished(Outcome::Completed)),
+            )
         });
         answers.sum()
     };
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -33,12 +33,12 @@
 
 impl World {
     fn new(gateways: usize, readers: u64, texts: usize) -> World {
-        let pair = |n: u64| Listing { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
-        let fleet: Vec<Listing> = (0..2 * readers).map(pair).collect();
+        let pair = |n: u64| Endpoint { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
+        let fleet: Vec<Endpoint> = (0..2 * readers).map(pair).collect();
         let settings = Deployment { gateways, ..deployment() };
         let start = |seed| {
             let mut scheduler = Scheduler::new(START, settings.clone(), seed as u64);
-            scheduler.listed(START, ListScope::Remembered, &fleet);
+            scheduler.listed(START, SnapshotKind::Cached, &fleet);
             scheduler
         };
         let weights = (0..texts).map(|n| 1.0 / (n as f64 + 1.0).powf(0.85));
@@ -75,8 +75,8 @@
             let kept = if last.is_some_and(|last| self.reads - last < life) { TEXT } else { 0.0 };
             found += u64::from(kept > 0.0);
             *by_reader.entry(reader).or_default() += 1;
-            close(&mut self.schedulers[at], self.now, &mut seq, Outcome::ReadDone { kept });
-            seq.ended = true;
+            close(&mut self.schedulers[at], self.now, &mut seq, Outcome::PrefillDone { cached_tokens: kept });
+            seq.completed = true;
         }
         let most = by_reader.values().copied().max().unwrap_or(0) as f64;
         Stretch { found: found as f64 / count as f64, most: most * self.readers as f64 / count as f64 }
--- a/tests/wall_clocks.rs
+++ b/tests/wall_clocks.rs
@@ -15,14 +15,14 @@
 /// By how many seconds the wall clock that stamps starts is ahead of the gateway's.
 const AHEAD: [i64; 6] = [-HOUR, -600, -30, 30, 600, HOUR];
 
-fn settings(start_stamps: StartStamps) -> Deployment {
-    Deployment { start_stamps, ..deployment() }
+fn settings(start_stamps: StartTimeClock) -> Deployment {
+    Deployment { start_time_clock: start_stamps, ..deployment() }
 }
 
 /// Two prefill servers of one cell, each started at a time of its own, and two decode servers that were there for long.
-fn listings(starts: [Nanos; 2]) -> Vec<Listing> {
+fn endpoints(starts: [Nanos; 2]) -> Vec<Endpoint> {
     let starts = [starts[0], starts[1], 0, 0];
-    (0..4).map(|n| Listing { since: starts[n as usize], ..entry(n, usize::from(n >= 2), 0) }).collect()
+    (0..4).map(|n| Endpoint { started_at: starts[n as usize], ..entry(n, usize::from(n >= 2), 0) }).collect()
 }
 
 fn stamp(at: Nanos, ahead: i64) -> Nanos {
@@ -33,8 +33,8 @@
 fn reads(scheduler: &mut Scheduler, from: Nanos, seconds: usize) -> Vec<u64> {
     let read = |now: Nanos| {
         let mut seq = Sequence { session: None, ..sequence(now, 0, now) };
-        let Schedule::Send(server) = scheduler.schedule(now, &mut seq) else { return 0 };
-        close(scheduler, now + MS, &mut seq, Outcome::ReadDone { kept: 0.0 });
+        let Decision::Send(server) = scheduler.schedule(now, &mut seq) else { return 0 };
+        close(scheduler, now + MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
         u64::from(server == ServerId(1))
     };
     let mut reads: Vec<u64> = (0..100 * seconds as u64).map(|n| from + 10 * MS * n).map(read).collect();
@@ -43,13 +43,13 @@
 
 /// The same from the moment on in which server 1 is listed as started anew just now. How far the clock that stamps its
 /// starts is ahead, at its first start and at this one.
-fn restarted(start_stamps: StartStamps, before: i64, ahead: i64) -> Vec<u64> {
+fn restarted(start_stamps: StartTimeClock, before: i64, ahead: i64) -> Vec<u64> {
     let mut scheduler = Scheduler::new(NOW, settings(start_stamps), 7);
-    scheduler.listed(NOW, ListScope::Whole, &listings([0, stamp(NOW - 50 * S, before)]));
+    scheduler.listed(NOW, SnapshotKind::Full, &endpoints([0, stamp(NOW - 50 * S, before)]));
     reads(&mut scheduler, NOW, 30);
-    scheduler.listed(NOW + 30 * S, ListScope::Changes, &[]);
-    let again = Listing { since: stamp(NOW + 30 * S, ahead), ..listings([0, 0])[1].clone() };
-    scheduler.listed(NOW + 30 * S, ListScope::Changes, &[again]);
+    scheduler.listed(NOW + 30 * S, SnapshotKind::Delta, &[]);
+    let again = Endpoint { started_at: stamp(NOW + 30 * S, ahead), ..endpoints([0, 0])[1].clone() };
+    scheduler.listed(NOW + 30 * S, SnapshotKind::Delta, &[again]);
     reads(&mut scheduler, NOW + 30 * S, 2 * COLD_SECONDS)
 }
 
@@ -64,11 +64,11 @@
 
 #[test]
 fn a_restart_is_slow_start_whatever_the_wall_clock_says_or_however_it_was_stepped() {
-    let right = restarted(StartStamps::OwnClock, 0, 0);
+    let right = restarted(StartTimeClock::Local, 0, 0);
     assert!(right[0] < 40 && right[15] >= 40, "the case tells cold from warm: {right:?}");
     for ahead in AHEAD {
-        like(&restarted(StartStamps::WallClock, ahead, ahead), &right, &format!("{ahead} s ahead"));
-        like(&restarted(StartStamps::WallClock, 0, ahead), &right, &format!("a step of {ahead} s"));
+        like(&restarted(StartTimeClock::Wall, ahead, ahead), &right, &format!("{ahead} s ahead"));
+        like(&restarted(StartTimeClock::Wall, 0, ahead), &right, &format!("a step of {ahead} s"));
     }
 }
 
@@ -77,24 +77,25 @@
     let started = |start_stamps, ahead| {
         let mut scheduler = Scheduler::new(NOW, settings(start_stamps), 7);
         // One restarted a minute ago, the other just now.
-        let list = listings([stamp(NOW - 60 * S, ahead), stamp(NOW, ahead)]);
-        scheduler.listed(NOW, ListScope::Remembered, &list);
-        scheduler.listed(NOW + 10 * MS, ListScope::Whole, &list);
+        let list = endpoints([stamp(NOW - 60 * S, ahead), stamp(NOW, ahead)]);
+        scheduler.listed(NOW, SnapshotKind::Cached, &list);
+        scheduler.listed(NOW + 10 * MS, SnapshotKind::Full, &list);
         reads(&mut scheduler, NOW + 20 * MS, 20)
     };
-    let right = started(StartStamps::OwnClock, 0);
+    let right = started(StartTimeClock::Local, 0);
     for ahead in AHEAD {
-        like(&started(StartStamps::WallClock, ahead), &right, &format!("{ahead} s ahead"));
+        like(&started(StartTimeClock::Wall, ahead), &right, &format!("{ahead} s ahead"));
     }
 }
 
 #[test]
 fn what_a_server_has_read_since_its_start_is_used_whatever_the_wall_clock_says() {
     for ahead in AHEAD {
-        let mut scheduler = Scheduler::new(NOW, settings(StartStamps::WallClock), 7);
-        scheduler.listed(NOW, ListScope::Whole, &listings([0, 0]));
-        let again = [0, 1].map(|n| Listing { since: stamp(NOW + S, ahead), ..listings([0, 0])[n].clone() });
-        scheduler.listed(NOW + S, ListScope::Changes, &again);
+        let mut scheduler = Scheduler::new(NOW, settings(StartTimeClock::Wall), 7);
+        scheduler.listed(NOW, SnapshotKind::Full, &endpoints([0, 0]));
+        let again =
+            [0, 1].map(|n| Endpoint { started_at: stamp(NOW + S, ahead), ..endpoints([0, 0])[n].clone() });
+        scheduler.listed(NOW + S, SnapshotKind::Delta, &again);
         let now = NOW + 15 * S;
         let mut seq = sequence(1, 0, now);
         read(&mut scheduler, now, &mut seq, 10 * MS);
