--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::decode::{Line, Malformed};
 use petrelshore::interface::*;
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Relay};
 use petrelshore_platform_protocol::settings::{Names, settings};
 use std::collections::HashMap;
--- a/capacity/src/fleet/play.rs
+++ b/capacity/src/fleet/play.rs
@@ -13,7 +13,7 @@
     CellId, Deployment, Endpoint, EndpointState, Nanos, PrefixId, Role, SequenceId, ServerId, SessionId,
     SnapshotKind, Step, TrafficTypeId, ZoneId,
 };
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/capacity/src/warm.rs
+++ b/capacity/src/warm.rs
@@ -2,7 +2,7 @@
 
 use crate::inventory::{self, MILLISECOND, SECOND, Size};
 use petrelshore::interface::*;
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
 use std::hint::black_box;
 
--- a/chat-api/src/reply.rs
+++ b/chat-api/src/reply.rs
@@ -5,7 +5,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::{Response, StatusCode, header};
 use petrelshore_chat_gateway::{Final, Usage};
-use petrelshore_gateway_core::answers::{Cause, Retry, Unanswered};
+use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
 use petrelshore_ingress::call::{Failed, Fault, Wrong};
 use serde_json::{Value, json};
 use std::convert::Infallible;
--- a/chat-gateway/src/answer.rs
+++ b/chat-gateway/src/answer.rs
@@ -4,7 +4,7 @@
 use async_channel::{Receiver, TryRecvError};
 use event_listener::Event;
 use petrelshore::interface::SequenceId;
-use petrelshore_gateway_core::desk::{Final, Request};
+use petrelshore_gateway_core::buffered::{Final, Request};
 use std::rc::Rc;
 
 /// A request as a front understood it, with what goes to the model servers as it is.
--- a/chat-gateway/src/lib.rs
+++ b/chat-gateway/src/lib.rs
@@ -15,5 +15,5 @@
 pub use petrelshore::interface::Idempotency;
 pub use petrelshore_engine_client::Spawner;
 pub use petrelshore_gateway_core::Chooser;
-pub use petrelshore_gateway_core::desk::{Final, Refusal, Request, Usage};
+pub use petrelshore_gateway_core::buffered::{Final, Refusal, Request, Usage};
 pub use timers::Timers;
--- a/gateway-core/src/desk.rs
+++ b/gateway-core/src/buffered.rs
@@ -5,15 +5,16 @@
 //! shell tells what happened on its sockets and carries out [`Order`]s: connections, channels to fronts and timers
 //! are its own, nothing else is.
 
-use crate::answers::SOON;
-use crate::intake::{Weighed, fingerprint};
-use crate::limits::{NoRoom, Room, values};
+use crate::attempt_outcome::Ending;
+use crate::cache_releases::{Release, Releases, State, Word};
+use crate::cancellation_limits::Withdrawals;
+use crate::capacity::{NoRoom, Room, values};
+use crate::error_response::SOON;
+use crate::fingerprint::request_fingerprint;
+use crate::idempotency::{self, Ended, Known, Replays};
 use crate::policy::Chooser;
-use crate::proof::Ending;
-use crate::releases::{Release, Releases, State, Word};
-use crate::replays::{self, Ended, Known, Replays};
-use crate::withdrawals::Withdrawals;
-use crate::{Action, Conductor, Counts, Dispatch, NewSequence, Reason, Relay, pace};
+use crate::token_estimate::PromptEstimate;
+use crate::{Action, Conductor, Counts, Dispatch, NewSequence, Reason, Relay, timeouts};
 use petrelshore::interface::*;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -24,7 +25,7 @@
     pub traffic: TrafficTypeId,
     pub tenant: Option<TenantId>,
     pub session: Option<SessionId>,
-    pub weighed: Weighed,
+    pub estimate: PromptEstimate,
     pub model: Rc<str>,
     pub prompt: Rc<str>,
     pub max_tokens: u32,
@@ -200,7 +201,7 @@
             return Taken::Refused(Refusal::Draining { retry_after: SOON });
         }
         let waits = request.whole_within.unwrap_or(request.budget).min(request.budget);
-        if !pace::worth_taking(now, request.arrived, waits) {
+        if !timeouts::worth_taking(now, request.arrived, waits) {
             return Taken::Refused(Refusal::NoTime);
         }
         if let Err(retry_after) = self.withdrawals.may_ask(now, (request.client, request.tenant)) {
@@ -209,7 +210,7 @@
         let id = SequenceId(self.last_id.wrapping_add(1));
         let key = key_of(&request);
         if let Some(key) = &key {
-            let print = fingerprint(&request.model, &request.prompt, request.max_tokens);
+            let print = request_fingerprint(&request.model, &request.prompt, request.max_tokens);
             match self.replays.come(now, key, print) {
                 Known::New => {}
                 Known::InHand => return Taken::Refused(Refusal::KeyInHand { retry_after: SOON }),
@@ -239,15 +240,15 @@
             traffic: request.traffic,
             tenant: request.tenant,
             session: request.session,
-            prefix: request.weighed.prefix,
-            prompt_tokens: request.weighed.prompt_tokens,
-            prefix_tokens: request.weighed.prefix_tokens,
+            prefix: request.estimate.prefix,
+            prompt_tokens: request.estimate.prompt_tokens,
+            prefix_tokens: request.estimate.prefix_tokens,
             max_out: f64::from(request.max_tokens),
             hint: None,
             resumed: false,
             relay: request.relay,
-            abandon_at: pace::give_up_at(request.arrived, waits),
-            whole_by: request.whole_within.map(|whole| pace::give_up_at(request.arrived, whole)),
+            abandon_at: timeouts::give_up_at(request.arrived, waits),
+            whole_by: request.whole_within.map(|whole| timeouts::give_up_at(request.arrived, whole)),
         };
         let ticket = Ticket {
             gathered: (key.is_some() || may_go_on).then(String::new),
@@ -514,7 +515,7 @@
         if let (Some(key), Some(text)) = (key_of(&ticket.request), &ticket.gathered) {
             let window = match self.effects[ticket.request.traffic.0] {
                 Idempotency::Keyed { window, .. } => window,
-                _ => replays::WINDOW,
+                _ => idempotency::WINDOW,
             };
             match &last {
                 Final::Rejected { .. } => self.replays.free(&key),
@@ -547,14 +548,14 @@
             // Its client left before any final answer: what may have run must not run again by its key.
             if ticket.may_have_run && !ticket.answered {
                 let end = Final::Aborted { reason: Reason::Repeated };
-                self.replays.ended(now, &key, "", end, replays::WINDOW);
+                self.replays.ended(now, &key, "", end, idempotency::WINDOW);
             }
             self.replays.free(&key);
         }
     }
 }
 
-fn key_of(request: &Request) -> Option<replays::Key> {
+fn key_of(request: &Request) -> Option<idempotency::Key> {
     let key = request.idempotency_key.as_ref()?;
     // A tenant's number names it as well as its name would, within one gateway's run.
     let tenant = request.tenant.map_or(String::new(), |TenantId(tenant)| tenant.to_string());
--- a/gateway-core/src/leases.rs
+++ b/gateway-core/src/cache_leases.rs
@@ -3,8 +3,8 @@
 //! A read that was broken off may have ended well just then, and its state be left at its reader like any other. So
 //! every ending of a read but those that prove it never ran counts as one that left something.
 
-use crate::proof::Ending;
-use crate::releases::State;
+use crate::attempt_outcome::Ending;
+use crate::cache_releases::State;
 use petrelshore::interface::ServerId;
 
 /// The readers of one sequence that may hold something for it.
--- a/gateway-core/src/answers.rs
+++ b/gateway-core/src/error_response.rs
@@ -5,8 +5,8 @@
 //! that clients send again by themselves.
 
 use crate::Reason;
-use crate::desk::{Final, Refusal};
-use crate::doors::Shut;
+use crate::buffered::{Final, Refusal};
+use crate::ingress_limits::Shut;
 use petrelshore::interface::Nanos;
 use std::fmt;
 
--- a/gateway-core/src/audit.rs
+++ b/gateway-core/src/invariants.rs
@@ -1,8 +1,8 @@
 //! Holds at run time what was decided against the rules, and counts what breaks one. A count above zero is a fault of
 //! this program, whatever the traffic: it is logged as it happens, and told with the other counts.
 
+use petrelshore::attempt_history::{first_that_ran, maybe_ran};
 use petrelshore::interface::*;
-use petrelshore::proof::{first_that_ran, maybe_ran};
 use std::collections::BTreeMap;
 
 /// A final answer that comes this long after its client's time is lost.
--- a/gateway-core/src/passage.rs
+++ b/gateway-core/src/passthrough.rs
@@ -1,17 +1,17 @@
 //! All that a gateway keeps for sequences whose events pass unchanged: who is in hand, where model servers are
 //! reached, what readers may hold, releases owed, and the one final answer.
 //!
-//! Beside [`crate::desk`], which does so for fronts that word answers themselves. Like it this has no I/O and no
+//! Beside [`crate::buffered`], which does so for fronts that word answers themselves. Like it this has no I/O and no
 //! clock. `M` is a client's request; it is handed on unread, and dropped with its first event. A shell tells what
 //! happened on its sockets and carries out [`Order`]s.
 
-use crate::audit::Breach;
-use crate::leases::Leases;
-use crate::leaving::{Arrivals, Leaving, leaving};
-use crate::limits::{Room, values};
-use crate::permission::{Denial, Due, ListedNow, may_begin};
-use crate::proof::Ending;
-use crate::releases::{PLACES, Release, Releases, State, Word};
+use crate::attempt_outcome::Ending;
+use crate::cache_leases::Leases;
+use crate::cache_releases::{PLACES, Release, Releases, State, Word};
+use crate::capacity::{Room, values};
+use crate::graceful_shutdown::{Arrivals, Leaving, leaving};
+use crate::invariants::Breach;
+use crate::send_gate::{Denial, Due, ListedNow, may_begin};
 use crate::{Action, Conductor, Counts, Dispatch, NewSequence, Reason};
 use petrelshore::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/gateway-core/src/conductor.rs
+++ b/gateway-core/src/request_manager.rs
@@ -1,10 +1,10 @@
 //! The sequences in hand: events in, actions out.
 
-use crate::audit::{Audit, Breach};
-use crate::continuation::{BrokenStream, go_on};
-use crate::pace;
+use crate::attempt_outcome::Ending;
+use crate::invariants::{Audit, Breach};
 use crate::policy::{Chooser, Policy};
-use crate::proof::Ending;
+use crate::stream_resumption::{BrokenStream, go_on};
+use crate::timeouts;
 use petrelshore::interface::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -197,8 +197,8 @@
             relay: new.relay,
             due: NEVER,
             ends_by: match new.relay {
-                Relay::Passthrough => pace::passed_ends_by(new.abandon_at, new.max_out),
-                _ => pace::ends_by(new.abandon_at, &self.types[new.traffic.0], new.max_out),
+                Relay::Passthrough => timeouts::passed_ends_by(new.abandon_at, new.max_out),
+                _ => timeouts::ends_by(new.abandon_at, &self.types[new.traffic.0], new.max_out),
             }
             .min(new.whole_by.unwrap_or(NEVER)),
             heard: now,
@@ -455,7 +455,7 @@
                 let limit = self.scheduler.wait(now, &held.seq).max(1);
                 self.counts.attempts += 1;
                 let held_for = self.scheduler.held_until(&held.seq).map(|until| until.saturating_sub(now));
-                let connect_within = pace::connect_within(limit, held_for);
+                let connect_within = timeouts::connect_within(limit, held_for);
                 if let Some(dispatch) = dispatch(&self.types, held, server, limit, connect_within) {
                     out.push(Action::Send(Dispatch { send_by, ..dispatch }));
                 }
@@ -591,9 +591,11 @@
     fn stream_until(&self, held: &Held) -> Nanos {
         let traffic = &self.types[held.seq.traffic.0];
         let pause = match held.stalled_since {
-            Some(since) => since.saturating_add(pace::stalled_for()),
-            None if held.relay == Relay::Passthrough => held.heard.saturating_add(pace::passed_silent_for()),
-            None => held.heard.saturating_add(pace::silent_for(traffic)),
+            Some(since) => since.saturating_add(timeouts::stalled_for()),
+            None if held.relay == Relay::Passthrough => {
+                held.heard.saturating_add(timeouts::passed_silent_for())
+            }
+            None => held.heard.saturating_add(timeouts::silent_for(traffic)),
         };
         pause.min(held.ends_by)
     }
--- a/gateway-core/src/terms.rs
+++ b/gateway-core/src/settings_validation.rs
@@ -1,6 +1,6 @@
 //! Whether settings can keep the rules at all. Checked before anything starts, each finding with the rule it breaks.
 
-use crate::pace;
+use crate::timeouts;
 use petrelshore::interface::{Deployment, Idempotency, KeyScope, Nanos, Role, TrafficTypeId};
 use std::fmt;
 
@@ -96,7 +96,7 @@
             // Repeats by the gateway end at its own give-up time; a client's own come later, to any server.
             let needed = match scope {
                 KeyScope::Fleet => abandon.saturating_mul(2),
-                KeyScope::Zone | KeyScope::Cell => pace::give_up_at(0, abandon),
+                KeyScope::Zone | KeyScope::Cell => timeouts::give_up_at(0, abandon),
             };
             if window < needed {
                 say(Some(2), About::WindowTooShort { traffic: id, needed });
--- a/gateway-core/src/continuation.rs
+++ b/gateway-core/src/stream_resumption.rs
@@ -5,7 +5,7 @@
 //! sees one stream with a pause in it. Once-only and tokened work never goes on: its first writer may have run to
 //! the end.
 
-use crate::pace;
+use crate::timeouts;
 use petrelshore::interface::{Idempotency, Nanos, TrafficType};
 
 /// A stream goes on so often. What breaks everywhere breaks again, and each time costs a read.
@@ -34,5 +34,5 @@
     {
         return None;
     }
-    Some(now.saturating_add(pace::silent_for(traffic)).min(broken.ends_by))
+    Some(now.saturating_add(timeouts::silent_for(traffic)).min(broken.ends_by))
 }
--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -5,7 +5,7 @@
 use common::*;
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_gateway_core::{Action, Conductor, NewSequence, Relay};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/gateway-core/tests/desk.rs
+++ b/gateway-core/tests/buffered.rs
@@ -1,12 +1,12 @@
 //! The desk without sockets: keys, states, usage over a break, room.
 
 use petrelshore::interface::*;
-use petrelshore_gateway_core::desk::{
+use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_gateway_core::buffered::{
     Desk, Final, Order, Piece, Refusal, Request, Sending, Taken, Usage, request_id,
 };
-use petrelshore_gateway_core::intake::{Message, weigh};
-use petrelshore_gateway_core::proof::Ending;
-use petrelshore_gateway_core::releases::Word;
+use petrelshore_gateway_core::cache_releases::Word;
+use petrelshore_gateway_core::token_estimate::{Message, estimate_prompt};
 use petrelshore_gateway_core::{Chooser, Reason, Relay};
 use std::rc::Rc;
 
@@ -62,7 +62,7 @@
         traffic: TrafficTypeId(traffic),
         tenant: None,
         session: None,
-        weighed: weigh(&[Message { role: "user", text: "why" }]),
+        estimate: estimate_prompt(&[Message { role: "user", text: "why" }]),
         model: Rc::from("m"),
         prompt: Rc::from("why"),
         max_tokens: 10,
--- a/gateway-core/tests/guards.rs
+++ b/gateway-core/tests/guards.rs
@@ -1,15 +1,15 @@
 //! Room, doors, connections, releases and replays: each decision by itself.
 
 use petrelshore::interface::ServerId;
-use petrelshore_gateway_core::connections::Connections;
-use petrelshore_gateway_core::doors::{Doors, Shut};
-use petrelshore_gateway_core::limits::{NoRoom, Room};
-use petrelshore_gateway_core::manners::{Bad, Due, Heard, Manners};
-use petrelshore_gateway_core::releases::{Release, Releases, State, Word};
-use petrelshore_gateway_core::replays::{Ended, Known, Replays};
-use petrelshore_gateway_core::windows::Windows;
-use petrelshore_gateway_core::withdrawals::Withdrawals;
-use petrelshore_gateway_core::{intake, pace};
+use petrelshore_gateway_core::cache_releases::{Release, Releases, State, Word};
+use petrelshore_gateway_core::cancellation_limits::Withdrawals;
+use petrelshore_gateway_core::capacity::{NoRoom, Room};
+use petrelshore_gateway_core::connection_pool::Connections;
+use petrelshore_gateway_core::flow_control::Windows;
+use petrelshore_gateway_core::http2_abuse::{Bad, Due, Heard, Manners};
+use petrelshore_gateway_core::idempotency::{Ended, Known, Replays};
+use petrelshore_gateway_core::ingress_limits::{Doors, Shut};
+use petrelshore_gateway_core::{fingerprint, timeouts, token_estimate};
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
@@ -180,20 +180,22 @@
 
 #[test]
 fn a_longer_conversation_keeps_its_shared_text_and_times_leave_room_for_the_way() {
-    let system = intake::Message { role: "system", text: "You explain faults." };
-    let user = intake::Message { role: "user", text: "why" };
-    let (one, two) = (intake::weigh(&[system, user]), {
-        let system = intake::Message { role: "system", text: "You explain faults." };
-        let other = intake::Message { role: "user", text: "and now something else" };
-        intake::weigh(&[system, other])
+    let system = token_estimate::Message { role: "system", text: "You explain faults." };
+    let user = token_estimate::Message { role: "user", text: "why" };
+    let (one, two) = (token_estimate::estimate_prompt(&[system, user]), {
+        let system = token_estimate::Message { role: "system", text: "You explain faults." };
+        let other = token_estimate::Message { role: "user", text: "and now something else" };
+        token_estimate::estimate_prompt(&[system, other])
     });
     assert!(one.prefix == two.prefix && one.prefix.is_some() && one.prompt_tokens < two.prompt_tokens);
-    assert_ne!(intake::session("a", "bc"), intake::session("ab", "c"));
-    assert_ne!(intake::fingerprint("m", "p", 1), intake::fingerprint("m", "p", 2));
-    assert_eq!(pace::give_up_at(0, 4 * S), 3_950 * MS);
-    assert_eq!(pace::give_up_at(0, 40 * MS), 30 * MS);
-    assert!(pace::connect_within(10 * MS, None) <= 10 * MS && pace::connect_within(60 * S, None) == S);
-    assert_eq!(pace::connect_within(5 * S, Some(250 * MS)), 125 * MS, "another is tried after it");
+    assert_ne!(fingerprint::session_id("a", "bc"), fingerprint::session_id("ab", "c"));
+    assert_ne!(fingerprint::request_fingerprint("m", "p", 1), fingerprint::request_fingerprint("m", "p", 2));
+    assert_eq!(timeouts::give_up_at(0, 4 * S), 3_950 * MS);
+    assert_eq!(timeouts::give_up_at(0, 40 * MS), 30 * MS);
+    assert!(
+        timeouts::connect_within(10 * MS, None) <= 10 * MS && timeouts::connect_within(60 * S, None) == S
+    );
+    assert_eq!(timeouts::connect_within(5 * S, Some(250 * MS)), 125 * MS, "another is tried after it");
 }
 
 #[test]
--- a/gateway-core/tests/audit.rs
+++ b/gateway-core/tests/invariants.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::audit::{Audit, Breach};
+use petrelshore_gateway_core::invariants::{Audit, Breach};
 
 const WINDOW: Nanos = 2_000 * MS;
 const TOKENED: Idempotency = Idempotency::Keyed { scope: KeyScope::Fleet, window: WINDOW };
--- a/gateway-core/tests/passed.rs
+++ b/gateway-core/tests/passthrough.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::connections::Connections;
-use petrelshore_gateway_core::passage::{Final, Order, Passage, Refusal};
-use petrelshore_gateway_core::permission::{Denial, Due};
-use petrelshore_gateway_core::proof::Ending;
-use petrelshore_gateway_core::releases::Release;
+use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_gateway_core::cache_releases::Release;
+use petrelshore_gateway_core::connection_pool::Connections;
+use petrelshore_gateway_core::passthrough::{Final, Order, Passage, Refusal};
+use petrelshore_gateway_core::send_gate::{Denial, Due};
 use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Reason, Relay};
 use std::net::SocketAddr;
 
--- a/gateway-core/tests/rules.rs
+++ b/gateway-core/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Relay};
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::BTreeMap;
--- a/grpc-api/src/exchange.rs
+++ b/grpc-api/src/exchange.rs
@@ -12,9 +12,9 @@
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header, request::Parts};
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::{Answer, Final, Next, Usage};
-use petrelshore_gateway_core::answers::{Cause, Retry, Unanswered};
-use petrelshore_gateway_core::limits::WHOLE_ANSWER;
-use petrelshore_gateway_core::{Reason, Relay, pace};
+use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
+use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
+use petrelshore_gateway_core::{Reason, Relay, timeouts};
 use petrelshore_ingress::call::{self, Fault, Wrong};
 use prost::Message;
 use std::task::{Context, Poll};
@@ -78,7 +78,7 @@
     let settings = gateway.settings();
     let head = request::head(headers)?;
     let tenant = call::caller(settings, &head)?;
-    reply.whole_by = head.whole_within.map(|whole| pace::give_up_at(arrived, whole));
+    reply.whole_by = head.whole_within.map(|whole| timeouts::give_up_at(arrived, whole));
     let asked: v1::ChatRequest = reply.one(&mut incoming).await?;
     let call = request::call(asked, relay)?;
     let ask = call::ask(settings, &head, tenant, reply.place.line.inside.client, arrived, call)?;
@@ -302,7 +302,7 @@
     async fn wait_for_room(&mut self, bytes: usize, answer: Option<&mut Answer>) -> Result<usize, Told> {
         let known = self.place.line.known.clone();
         let clock = known.clock;
-        let stalled_by = clock.now() + pace::stalled_for();
+        let stalled_by = clock.now() + timeouts::stalled_for();
         let by = self.whole_by.unwrap_or(Nanos::MAX).min(stalled_by);
         let reason = if by < stalled_by { Reason::OutOfTime } else { Reason::Stalled };
         let cut = self.place.cut.clone();
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -5,7 +5,7 @@
 //! else carries a pushback that forbids a retry, which clients obey whatever the code.
 
 use petrelshore_gateway_core::Reason;
-use petrelshore_gateway_core::answers::{Cause, Retry, Unanswered};
+use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
 use petrelshore_ingress::call::{Failed, Fault, Wrong};
 use std::time::Duration;
 use tonic::metadata::{MetadataMap, MetadataValue};
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -3,8 +3,9 @@
 use petrelshore::interface::*;
 use petrelshore_chat_gateway::{Ask, Request};
 use petrelshore_gateway_core::Relay;
-use petrelshore_gateway_core::answers::Unanswered;
-use petrelshore_gateway_core::intake::{self, Message};
+use petrelshore_gateway_core::error_response::Unanswered;
+use petrelshore_gateway_core::fingerprint;
+use petrelshore_gateway_core::token_estimate::{self, Message};
 use petrelshore_settings::Settings;
 use serde_json::{Map, Value};
 use std::rc::Rc;
@@ -165,12 +166,12 @@
     let session = named.filter(|key| !key.is_empty() && key.len() <= LONGEST_NAME);
     let kind = &settings.traffic[traffic.0];
     let most = u64::from(kind.max_tokens);
-    let weighed: Vec<Message> = call.messages.iter().map(|(role, text)| Message { role, text }).collect();
+    let estimate: Vec<Message> = call.messages.iter().map(|(role, text)| Message { role, text }).collect();
     let request = Request {
         traffic,
         tenant,
-        session: session.map(|key| intake::session(tenant_name, key)),
-        weighed: intake::weigh(&weighed),
+        session: session.map(|key| fingerprint::session_id(tenant_name, key)),
+        estimate: token_estimate::estimate_prompt(&estimate),
         model: Rc::from(call.model.as_str()),
         prompt: Rc::from(rendered(&call.messages)),
         max_tokens: call.max_tokens.unwrap_or(most).min(most) as u32,
--- a/ingress/src/entrance.rs
+++ b/ingress/src/entrance.rs
@@ -4,8 +4,8 @@
 use async_net::{TcpListener, TcpStream};
 use futures_lite::future;
 use petrelshore_chat_gateway::Gateway;
-use petrelshore_gateway_core::doors::{Doors, Shut};
-use petrelshore_gateway_core::{intake, pace};
+use petrelshore_gateway_core::ingress_limits::{Doors, Shut};
+use petrelshore_gateway_core::{fingerprint, timeouts};
 use petrelshore_http1::system_calls::{Failure, accept_failure, listen_failure};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -126,7 +126,7 @@
             let Accepted { stream, peer, .. } = listening.next().await;
             // Tokens are small and must not wait for each other.
             let _ = stream.set_nodelay(true);
-            let client = intake::stable_id(&peer.ip().to_string());
+            let client = fingerprint::stable_id(&peer.ip().to_string());
             if self.doors.borrow_mut().connect(client).is_err() {
                 let late = async {
                     Timer::after(CLOSE_AFTER).await;
@@ -141,7 +141,7 @@
 
 /// How long a client may take nothing of what is written for it, before its socket is closed.
 pub fn stalled_for() -> Duration {
-    Duration::from_nanos(pace::stalled_for()) + CLOSE_AFTER
+    Duration::from_nanos(timeouts::stalled_for()) + CLOSE_AFTER
 }
 
 /// A client's place inside; dropping it is leaving.
--- a/inventory/src/guard.rs
+++ b/inventory/src/guard.rs
@@ -5,7 +5,7 @@
 //! refused the first time, with its reason; the same list offered again is what somebody wants.
 
 use crate::{List, Server};
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/inventory/src/kept.rs
+++ b/inventory/src/kept.rs
@@ -5,7 +5,7 @@
 
 use crate::List;
 use petrelshore::interface::{Nanos, ServerId};
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io::Write;
--- a/inventory/src/lib.rs
+++ b/inventory/src/lib.rs
@@ -14,7 +14,7 @@
 pub use membership::{Change, Membership};
 
 use petrelshore::interface::{EndpointState, ServerId};
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 use std::net::SocketAddr;
 
 /// A model server as the list has it.
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -3,7 +3,7 @@
 use crate::client::{PooledConnection, Shared, ending};
 use bytes::{Bytes, BytesMut};
 use petrelshore::interface::LoadReport;
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_http1::body::{Body, Framing};
 use petrelshore_http1::head::AnswerHead;
 use petrelshore_platform_protocol::load;
--- a/platform-engine-client/tests/manners.rs
+++ b/platform-engine-client/tests/manners.rs
@@ -5,7 +5,7 @@
 use petrelshore::interface::Outcome;
 use petrelshore_chat_gateway::Clock;
 use petrelshore_emulator::platform::{Manner, ModelServer, events};
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_platform_engine_client::{Call, Client, Go};
 use petrelshore_platform_protocol::load::{Field, Measure};
 use std::cell::Cell;
--- a/platform-protocol/src/list.rs
+++ b/platform-protocol/src/list.rs
@@ -3,7 +3,7 @@
 use crate::Malformed;
 use crate::settings::{Names, at, list, nanos, number, word, wrong};
 use petrelshore::interface::*;
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/platform-protocol/src/request.rs
+++ b/platform-protocol/src/request.rs
@@ -3,7 +3,7 @@
 use crate::Malformed;
 use crate::settings::Names;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::{NewSequence, Relay, pace};
+use petrelshore_gateway_core::{NewSequence, Relay, timeouts};
 
 const MILLISECOND: Nanos = 1_000_000;
 /// No client waits longer than this.
@@ -61,7 +61,7 @@
         hint: None,
         resumed: field("Req-Retry") == Some("again"),
         relay: Relay::Passthrough,
-        abandon_at: pace::give_up_at(now, deadline * MILLISECOND),
+        abandon_at: timeouts::give_up_at(now, deadline * MILLISECOND),
         whole_by: None,
     })
 }
--- a/platform-protocol/tests/customers.rs
+++ b/platform-protocol/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Other customers: their names, and the order and number of their lists, decide nothing.
 
 use petrelshore::interface::*;
-use petrelshore_gateway_core::proof::Ending;
+use petrelshore_gateway_core::attempt_outcome::Ending;
 use petrelshore_gateway_core::{Action, Conductor};
 use petrelshore_platform_protocol::config::{Config, config};
 use petrelshore_platform_protocol::list::listed;
--- a/platform-protocol/tests/terms.rs
+++ b/platform-protocol/tests/terms.rs
@@ -2,7 +2,7 @@
 
 use petrelshore::interface::*;
 use petrelshore_gateway_core::Relay;
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 use petrelshore_platform_protocol::config::config;
 use petrelshore_platform_protocol::list::listed;
 use petrelshore_platform_protocol::load;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,7 +6,7 @@
 mod records;
 
 use petrelshore::interface::*;
-use petrelshore_gateway_core::intake::stable_id;
+use petrelshore_gateway_core::fingerprint::stable_id;
 pub use records::{Problem, evaluate, read, read_text};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -5,7 +5,7 @@
 use nickel_lang_core::eval::cache::CacheImpl;
 use nickel_lang_core::program::{Program, ProgramBuilder};
 use petrelshore::interface::*;
-use petrelshore_gateway_core::terms::{self, About};
+use petrelshore_gateway_core::settings_validation::{self, About};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -342,7 +342,7 @@
         start_time_clock: StartTimeClock::Local,
     };
     let abandon_times: Vec<Nanos> = traffic.iter().map(|t| t.abandon_time).collect();
-    for finding in terms::check(&deployment, &abandon_times) {
+    for finding in settings_validation::check(&deployment, &abandon_times) {
         let broken = finding.rule.map_or(String::new(), |rule| format!(" (rule {rule} could not be kept)"));
         d.wrong(&place(&finding.about, &traffic), format!("{}{broken}", finding.about));
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -9,14 +9,14 @@
 mod ring;
 mod sampler;
 mod server;
-mod survey;
+mod summary;
 
 pub use candidates::{Candidates, Group, in_scope};
 pub use index::{Index, Members};
 pub use ring::{Ring, bucket, mix, race};
 pub use sampler::{Draw, Sampler};
 pub use server::{Out, Server};
-pub use survey::*;
+pub use summary::*;
 
 use crate::interface::*;
 use std::cell::Cell;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,13 +2,13 @@
 //! `Scheduler` in `scheduler` decides; `interface` holds the plain types it is told and answers with, `fleet` the servers
 //! that it knows.
 
+pub mod attempt_history;
 pub mod bounded;
 pub mod decay;
 pub mod fleet;
 pub mod interface;
-pub mod proof;
 mod scheduler;
 pub mod statistics;
 
-pub use proof::held_since;
+pub use attempt_history::held_since;
 pub use scheduler::Scheduler;
