--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -1,9 +1,9 @@
-//! One gateway on the simulator's wire: a shell round the conductor. It decides nothing itself.
+//! One gateway on the simulator's wire: a shell round the request manager. It decides nothing itself.
 
 use crate::decode::{Line, Malformed};
 use petrelshore::interface::*;
 use petrelshore_gateway_core::fingerprint::stable_id;
-use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::{Action, Dispatch, NewSequence, Relay, RequestManager};
 use petrelshore_platform_protocol::settings::{Names, settings};
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 
 pub struct Instance {
     number: u64,
-    conductor: Conductor,
+    manager: RequestManager,
     names: Names,
     servers: HashMap<ServerId, String>,
     actions: Vec<Action>,
@@ -28,7 +28,7 @@
         }
         Ok(Instance {
             number,
-            conductor: Conductor::new(now, deployment, line.whole("prng")?),
+            manager: RequestManager::new(now, deployment, line.whole("prng")?),
             names,
             servers: HashMap::new(),
             actions: Vec::new(),
@@ -51,14 +51,14 @@
             prefix: line.hex("systemPrompt")?.filter(|id| *id != 0).map(PrefixId),
             prompt_tokens: line.amount("promptTokens")?,
             prefix_tokens: line.number("prefixTokens")?.unwrap_or(0.0),
-            max_out: line.amount("maxTokens")?,
-            hint: line.parsed("effort")?,
+            max_output_tokens: line.amount("maxTokens")?,
+            output_length_hint: line.parsed("effort")?,
             resumed: line.flag("again")?,
             relay: Relay::Streamed,
-            abandon_at: now.saturating_add(line.whole::<Nanos>("budget")?),
-            whole_by: None,
+            first_token_deadline: now.saturating_add(line.whole::<Nanos>("budget")?),
+            completion_deadline: None,
         };
-        self.conductor.take(now, new, &mut self.actions);
+        self.manager.accept(now, new, &mut self.actions);
         self.carry_out(reply);
         Ok(())
     }
@@ -75,14 +75,14 @@
             "all" => SnapshotKind::Full,
             "remembered" => SnapshotKind::Cached,
             "refused" => {
-                self.conductor.list_refused(now, &mut self.actions);
+                self.manager.endpoint_poll_failed(now, &mut self.actions);
                 self.carry_out(reply);
                 return Ok(());
             }
             other => return Err(format!("MEMBERS: field kind is malformed or out of range: '{other}'")),
         };
         let entries = entries.iter().map(|entry| self.endpoint(entry)).collect::<Result<Vec<_>, _>>()?;
-        self.conductor.listed(now, scope, &entries);
+        self.manager.update_endpoints(now, scope, &entries);
         Ok(())
     }
 
@@ -112,7 +112,7 @@
 
     pub fn accepted(&mut self, now: Nanos, line: &Line) -> Result<(), Malformed> {
         let n = line.whole("n")?;
-        self.conductor.began(now, line.ticket()?, n);
+        self.manager.first_token(now, line.ticket()?, n);
         Ok(())
     }
 
@@ -134,7 +134,7 @@
         };
         let (id, n, last) = (line.ticket()?, line.whole("n")?, line.flag("last")?);
         self.report(now, line)?;
-        self.conductor.closed(now, id, n, outcome, last, &mut self.actions);
+        self.manager.attempt_finished(now, id, n, outcome, last, &mut self.actions);
         self.carry_out(reply);
         Ok(())
     }
@@ -143,13 +143,13 @@
     pub fn report(&mut self, now: Nanos, line: &Line) -> Result<(), Malformed> {
         let server = ServerId(stable_id(line.need("server")?));
         if let Some(report) = line.report(&self.names.report)? {
-            self.conductor.reported(now, server, report);
+            self.manager.load_reported(now, server, report);
         }
         Ok(())
     }
 
     pub fn withdrawn(&mut self, line: &Line, reply: &mut String) -> Result<(), Malformed> {
-        self.conductor.withdrawn(line.ticket()?, &mut self.actions);
+        self.manager.client_cancelled(line.ticket()?, &mut self.actions);
         self.carry_out(reply);
         Ok(())
     }
@@ -159,7 +159,7 @@
         if mark == LIST_MARK {
             let _ = writeln!(reply, "SUBSCRIBE i={} want=1", self.number);
         } else if let Ok(id) = u64::from_str_radix(mark, 16) {
-            self.conductor.ask_again(now, SequenceId(id), &mut self.actions);
+            self.manager.retry_scheduling(now, SequenceId(id), &mut self.actions);
             self.carry_out(reply);
         }
         Ok(())
@@ -171,12 +171,12 @@
         let i = self.number;
         for action in self.actions.drain(..) {
             let _ = match action {
-                Action::Send(Dispatch { id, limit, server, .. }) => {
+                Action::Send(Dispatch { id, timeout: limit, server, .. }) => {
                     let name = &self.servers[&server];
                     writeln!(reply, "FORWARD i={i} ticket={:016x} tryFor={limit} server={name}", id.0)
                 }
-                Action::AskAt { id, at } => writeln!(reply, "REMIND i={i} mark={:016x} fireAt={at}", id.0),
-                Action::AskList { at } => writeln!(reply, "REMIND i={i} mark={LIST_MARK} fireAt={at}"),
+                Action::WakeAt { id, at } => writeln!(reply, "REMIND i={i} mark={:016x} fireAt={at}", id.0),
+                Action::PollEndpoints { at } => writeln!(reply, "REMIND i={i} mark={LIST_MARK} fireAt={at}"),
                 Action::Reject { id, retry_after: Some(pause), .. } => {
                     writeln!(reply, "NOT_NOW i={i} ticket={:016x} coolDown={pause}", id.0)
                 }
@@ -185,7 +185,7 @@
                 }
                 Action::Abort { id, .. } => writeln!(reply, "GIVE_UP i={i} ticket={:016x}", id.0),
                 Action::Release { id } => writeln!(reply, "FREE_STATE i={i} ticket={:016x}", id.0),
-                Action::Cancel { .. } | Action::Over { .. } => Ok(()),
+                Action::Cancel { .. } | Action::Complete { .. } => Ok(()),
             };
         }
     }
--- a/bench-adapter/tests/exchange.rs
+++ b/bench-adapter/tests/exchange.rs
@@ -10,7 +10,7 @@
 const REQ: &str =
     "REQ i=3 ticket=00000000000000aa type=ask budget=4000000000 promptTokens=100 maxTokens=10\n";
 
-fn drill(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_petrelshore-bench-adapter"));
     let pipes = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = pipes.spawn().expect("the adapter starts");
@@ -39,7 +39,7 @@
             "SYNC clock=5000\n{closed} n=1 server=w.one disposition=5 rtt=1000\nDUE i=3 mark=00000000000000aa\nGO\n"
         ),
     ];
-    let output = drill(&input.concat());
+    let output = run_adapter(&input.concat());
     assert!(output.status.success());
     let replies = String::from_utf8(output.stdout).unwrap();
     let lines: Vec<&str> = replies.lines().map(|l| l.split(" tryFor").next().unwrap()).collect();
@@ -55,13 +55,13 @@
 #[test]
 fn the_same_input_gives_the_same_replies() {
     let input = started() + &format!("SYNC clock=2000\n{REQ}{}GO\n", REQ.replace("aa", "ab"));
-    assert_eq!(drill(&input).stdout, drill(&input).stdout);
+    assert_eq!(run_adapter(&input).stdout, run_adapter(&input).stdout);
 }
 
 #[test]
 fn malformed_input_is_named_with_its_line_and_field() {
     let bad = |input: &str, named: &[&str]| {
-        let output = drill(input);
+        let output = run_adapter(input);
         let message = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{message}");
         assert_eq!(message.lines().count(), 1, "{message}");
--- a/capacity/benches/schedule.rs
+++ b/capacity/benches/schedule.rs
@@ -1,4 +1,4 @@
-//! What one request costs the conductor, from its taking to its end, before fleets of several sizes.
+//! What one request costs the request manager, from its taking to its end, before fleets of several sizes.
 //!
 //! Run with `cargo bench -p petrelshore-capacity`. Figures are for one core and are told as ratios.
 
--- a/capacity/src/fleet/mod.rs
+++ b/capacity/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in one process: hollow gateways (conductor and decisions, no sockets) before simple model servers, in
+//! A whole fleet in one process: hollow gateways (request manager and decisions, no sockets) before simple model servers, in
 //! virtual time.
 
 mod measures;
--- a/capacity/src/fleet/play.rs
+++ b/capacity/src/fleet/play.rs
@@ -13,8 +13,8 @@
     CellId, Deployment, Endpoint, EndpointState, Nanos, PrefixId, Role, SequenceId, ServerId, SessionId,
     SnapshotKind, Step, TrafficTypeId, ZoneId,
 };
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::{Action, Chooser, Dispatch, NewSequence, Relay, RequestManager};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
 const DEADLINE: Nanos = 4 * SECOND;
 /// A final answer may come this much after that.
 const SLACK: Nanos = SECOND / 20;
-/// How often a stream's tokens are told to its conductor.
+/// How often a stream's tokens are told to its request manager.
 const PROGRESS: Nanos = 4 * SECOND;
 const SLOW_START: Nanos = 10 * SECOND;
 /// Parts of a play: before the first nothing is counted; a zone is lost at the second and back at the third.
@@ -44,7 +44,7 @@
     FirstToken { dispatch: Dispatch, gateway: usize, start: u64, token: Nanos },
     Tokens { id: SequenceId, gateway: usize },
     StreamEnds { dispatch: Dispatch, gateway: usize, start: u64, tokens: f64 },
-    Ends { dispatch: Dispatch, gateway: usize, ending: Ending },
+    Ends { dispatch: Dispatch, gateway: usize, ending: AttemptEnd },
     Due { gateway: usize },
     ZoneLost,
     ZoneBack,
@@ -79,7 +79,7 @@
 }
 
 struct Gateway {
-    conductor: Conductor,
+    manager: RequestManager,
     /// When its timers are looked at next.
     due: Nanos,
     knows_lost: bool,
@@ -136,9 +136,9 @@
         let gateway = |number: usize| {
             let deployment = inventory::deployment(size, number % inventory::ZONES);
             let seed = setup.seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
-            let mut conductor = Conductor::with(START, deployment, seed, setup.chooser);
-            conductor.listed(START, SnapshotKind::Full, &list);
-            Gateway { conductor, due: Nanos::MAX, knows_lost: false }
+            let mut manager = RequestManager::with(START, deployment, seed, setup.chooser);
+            manager.update_endpoints(START, SnapshotKind::Full, &list);
+            Gateway { manager, due: Nanos::MAX, knows_lost: false }
         };
         let deployment = inventory::deployment(size, 0);
         let servers = list.iter().map(|endpoint| ModelServer::new(endpoint.clone(), &deployment)).collect();
@@ -189,7 +189,7 @@
             Event::Read { dispatch, gateway, start, kept } => {
                 if self.server_is(dispatch.server, start) {
                     self.report(now, gateway, dispatch.server);
-                    self.ends(now, gateway, &dispatch, Ending::ReadDone { kept });
+                    self.ends(now, gateway, &dispatch, AttemptEnd::PrefillDone { cached_tokens: kept });
                 }
             }
             Event::FirstToken { dispatch, gateway, start, token } => {
@@ -203,14 +203,14 @@
                     let place = self.places[&dispatch.server];
                     self.servers[place].ended(tokens);
                     self.report(now, gateway, dispatch.server);
-                    self.ends(now, gateway, &dispatch, Ending::Generated);
+                    self.ends(now, gateway, &dispatch, AttemptEnd::Completed);
                 }
             }
             Event::Ends { dispatch, gateway, ending } => self.ends(now, gateway, &dispatch, ending),
             Event::Due { gateway } => {
                 if self.gateways[gateway].due == now {
                     self.gateways[gateway].due = Nanos::MAX;
-                    self.decide(now, gateway, |conductor, out| conductor.due(now, out));
+                    self.decide(now, gateway, |manager, out| manager.on_timeout(now, out));
                 }
             }
             Event::ZoneLost => self.zone(now, true),
@@ -241,26 +241,31 @@
             prefix: Some(PrefixId(prompt.prefix)),
             prompt_tokens: prompt.tokens,
             prefix_tokens: prompt.prefix_tokens,
-            max_out: 1_000.0,
-            hint: None,
+            max_output_tokens: 1_000.0,
+            output_length_hint: None,
             resumed: false,
             relay: Relay::Passthrough,
-            abandon_at: now + DEADLINE,
-            whole_by: None,
+            first_token_deadline: now + DEADLINE,
+            completion_deadline: None,
         };
-        self.decide(now, request.gateway, |conductor, out| conductor.take(now, new, out));
+        self.decide(now, request.gateway, |manager, out| manager.accept(now, new, out));
     }
 
-    /// Tells a gateway's conductor something, and carries out what follows.
-    fn decide(&mut self, now: Nanos, gateway: usize, tell: impl FnOnce(&mut Conductor, &mut Vec<Action>)) {
+    /// Tells a gateway's request manager something, and carries out what follows.
+    fn decide(
+        &mut self,
+        now: Nanos,
+        gateway: usize,
+        tell: impl FnOnce(&mut RequestManager, &mut Vec<Action>),
+    ) {
         let mut actions = Vec::new();
         let from = Instant::now();
-        tell(&mut self.gateways[gateway].conductor, &mut actions);
+        tell(&mut self.gateways[gateway].manager, &mut actions);
         self.deciding += from.elapsed();
         for action in actions {
             self.carry_out(now, gateway, action);
         }
-        let due = self.gateways[gateway].conductor.next_due().unwrap_or(Nanos::MAX).max(now + 1);
+        let due = self.gateways[gateway].manager.next_timeout().unwrap_or(Nanos::MAX).max(now + 1);
         if due < self.gateways[gateway].due {
             self.gateways[gateway].due = due;
             self.schedule(due, Event::Due { gateway });
@@ -270,15 +275,15 @@
     fn carry_out(&mut self, now: Nanos, gateway: usize, action: Action) {
         match action {
             Action::Send(dispatch) => self.send(now, gateway, dispatch),
-            Action::Over { id, outcome, .. } => {
+            Action::Complete { id, outcome, .. } => {
                 self.final_answer(now, id, outcome == petrelshore::interface::Outcome::Completed, false);
             }
             Action::Reject { id, .. } => self.final_answer(now, id, false, true),
             Action::Abort { id, .. } => self.final_answer(now, id, false, false),
             Action::Cancel { .. }
             | Action::Release { .. }
-            | Action::AskAt { .. }
-            | Action::AskList { .. } => {}
+            | Action::WakeAt { .. }
+            | Action::PollEndpoints { .. } => {}
         }
     }
 
@@ -309,8 +314,8 @@
             self.counts.rules_broken += 1;
         }
         if server.lost {
-            let at = now + dispatch.connect_within.min(dispatch.limit);
-            return self.schedule(at, Event::Ends { dispatch, gateway, ending: Ending::NotConnected });
+            let at = now + dispatch.connect_timeout.min(dispatch.timeout);
+            return self.schedule(at, Event::Ends { dispatch, gateway, ending: AttemptEnd::NotConnected });
         }
         let reads = dispatch.step == Step::Prefill;
         let (prompt, answer) = (open.request.prompt, f64::from(open.request.answer));
@@ -342,7 +347,7 @@
             Outcome::Full => {
                 self.schedule(
                     now + SECOND / 1_000,
-                    Event::Ends { dispatch, gateway, ending: Ending::RefusedFull },
+                    Event::Ends { dispatch, gateway, ending: AttemptEnd::AtCapacity },
                 );
             }
         }
@@ -379,12 +384,12 @@
 
     fn report(&mut self, now: Nanos, gateway: usize, id: ServerId) {
         let report = self.servers[self.places[&id]].report(now);
-        self.gateways[gateway].conductor.reported(now, id, report);
+        self.gateways[gateway].manager.load_reported(now, id, report);
     }
 
-    fn ends(&mut self, now: Nanos, gateway: usize, dispatch: &Dispatch, ending: Ending) {
+    fn ends(&mut self, now: Nanos, gateway: usize, dispatch: &Dispatch, ending: AttemptEnd) {
         let (id, attempt) = (dispatch.id, dispatch.attempt);
-        self.decide(now, gateway, |conductor, out| conductor.ended(now, id, attempt, ending, out));
+        self.decide(now, gateway, |manager, out| manager.attempt_ended(now, id, attempt, ending, out));
     }
 
     fn first_token(&mut self, now: Nanos, gateway: usize, dispatch: &Dispatch, token: Nanos) {
@@ -397,13 +402,13 @@
             self.counts.first_token(took);
         }
         let (id, attempt) = (dispatch.id, dispatch.attempt);
-        self.decide(now, gateway, |conductor, _| conductor.began(now, id, attempt));
+        self.decide(now, gateway, |manager, _| manager.first_token(now, id, attempt));
         self.schedule(now + PROGRESS, Event::Tokens { id, gateway });
     }
 
     fn tokens(&mut self, now: Nanos, gateway: usize, id: SequenceId) {
         if self.open.contains_key(&id) {
-            self.gateways[gateway].conductor.progressed(now, id);
+            self.gateways[gateway].manager.token_received(now, id);
             self.schedule(now + PROGRESS, Event::Tokens { id, gateway });
         }
     }
@@ -430,14 +435,14 @@
         let of_zone = self.servers.iter().filter(|server| server.endpoint.zone == LOST);
         let list: Vec<Endpoint> =
             of_zone.map(|s| Endpoint { state: condition, ..s.endpoint.clone() }).collect();
-        self.gateways[gateway].conductor.listed(now, SnapshotKind::Delta, &list);
+        self.gateways[gateway].manager.update_endpoints(now, SnapshotKind::Delta, &list);
         self.gateways[gateway].knows_lost = lost;
     }
 
     /// Every request that is open at the end gets its final answer then; one that does not breaks rule 1.
     fn finish(&mut self, end: Nanos) {
         for gateway in 0..self.gateways.len() {
-            self.decide(end, gateway, |conductor, out| conductor.finish_all(end, out));
+            self.decide(end, gateway, |manager, out| manager.terminate_all(end, out));
         }
         self.counts.rules_broken += self.open.len() as u64;
     }
@@ -449,7 +454,7 @@
         let by_role = work_by_role(work);
         let spread = |role: Role| Spread::of(by_role.get(&(role as usize)).cloned().unwrap_or_default());
         let (prefill, decode) = (spread(Role::Prefill), spread(Role::Decode));
-        let examined: u64 = self.gateways.iter().map(|gateway| gateway.conductor.examined()).sum();
+        let examined: u64 = self.gateways.iter().map(|gateway| gateway.manager.servers_examined()).sum();
         Summary {
             play: self.setup.scene.name().to_owned(),
             policy: if self.setup.chooser == Chooser::Scan { "scan" } else { "candidates" }.to_owned(),
--- a/capacity/src/slopes.rs
+++ b/capacity/src/slopes.rs
@@ -177,11 +177,11 @@
     let (from, sent) = (Instant::now(), warm.sent());
     let until = from + plan.row_time;
     let (mut done, mut most) = (0, 0);
-    let first = warm.conductor().examined();
+    let first = warm.manager().servers_examined();
     while done < plan.requests && (done == 0 || Instant::now() < until) {
-        let before = warm.conductor().examined();
+        let before = warm.manager().servers_examined();
         warm.request();
-        most = most.max(warm.conductor().examined() - before);
+        most = most.max(warm.manager().servers_examined() - before);
         done += 1;
     }
     let us_per_request = from.elapsed().as_secs_f64() * 1e6 / done as f64;
@@ -193,7 +193,7 @@
         rate,
         us_per_request,
         against_reference: us_per_request / reference,
-        examined: (warm.conductor().examined() - first) as f64 / done as f64,
+        examined: (warm.manager().servers_examined() - first) as f64 / done as f64,
         examined_most: most,
         attempts: (warm.sent() - sent) as f64 / done as f64,
         core_share: us_per_request * rate / 1e6,
@@ -241,7 +241,7 @@
         let Some(list) = list else { continue };
         let endpoints: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
         let (now, from) = (warm.now(), Instant::now());
-        warm.conductor().listed(now, list.scope, &endpoints);
+        warm.manager().update_endpoints(now, list.scope, &endpoints);
         apply.push(from.elapsed());
         let from = Instant::now();
         warm.request();
--- a/capacity/src/warm.rs
+++ b/capacity/src/warm.rs
@@ -1,9 +1,9 @@
-//! One gateway's conductor with times known, taking request after request in virtual time.
+//! One gateway's request manager with times known, taking request after request in virtual time.
 
 use crate::inventory::{self, MILLISECOND, SECOND, Size};
 use petrelshore::interface::*;
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::{Action, Chooser, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::{Action, Chooser, Dispatch, NewSequence, Relay, RequestManager};
 use std::hint::black_box;
 
 /// Requests before anything is measured.
@@ -26,7 +26,7 @@
 }
 
 pub struct Warm {
-    conductor: Conductor,
+    manager: RequestManager,
     load: Load,
     now: Nanos,
     next: u64,
@@ -36,9 +36,9 @@
 impl Warm {
     pub fn new(load: Load, list: &[Endpoint], chooser: Chooser) -> Self {
         let deployment = inventory::deployment(load.size, 0);
-        let mut conductor = Conductor::with(SECOND, deployment, 7, chooser);
-        conductor.listed(SECOND, SnapshotKind::Full, list);
-        Warm { conductor, load, now: 2 * SECOND, next: 0, sent: 0 }
+        let mut manager = RequestManager::with(SECOND, deployment, 7, chooser);
+        manager.update_endpoints(SECOND, SnapshotKind::Full, list);
+        Warm { manager, load, now: 2 * SECOND, next: 0, sent: 0 }
     }
 
     /// Attempts that were sent so far.
@@ -50,8 +50,8 @@
         self.now
     }
 
-    pub fn conductor(&mut self) -> &mut Conductor {
-        &mut self.conductor
+    pub fn manager(&mut self) -> &mut RequestManager {
+        &mut self.manager
     }
 
     fn silent(&self, server: ServerId) -> bool {
@@ -72,15 +72,15 @@
             prefix: Some(PrefixId(1 + self.next % self.load.prefixes.max(1))),
             prompt_tokens: 800.0,
             prefix_tokens: 400.0,
-            max_out: 100.0,
-            hint: None,
+            max_output_tokens: 100.0,
+            output_length_hint: None,
             resumed: false,
             relay: Relay::Streamed,
-            abandon_at: self.now + 5 * SECOND,
-            whole_by: None,
+            first_token_deadline: self.now + 5 * SECOND,
+            completion_deadline: None,
         };
         let mut out = Vec::new();
-        self.conductor.take(self.now, new, &mut out);
+        self.manager.accept(self.now, new, &mut out);
         for _ in 0..ATTEMPTS {
             let Some(dispatch) = sent(&out) else { break };
             out.clear();
@@ -95,25 +95,25 @@
     /// A server answers an attempt, or its time runs out.
     fn answer(&mut self, id: SequenceId, dispatch: Dispatch, out: &mut Vec<Action>) {
         if self.silent(dispatch.server) {
-            self.now += dispatch.limit;
-            self.conductor.due(self.now, out);
+            self.now += dispatch.timeout;
+            self.manager.on_timeout(self.now, out);
             return;
         }
         self.now += STEP;
         let report =
             LoadReport { memory_share: Some(0.2), queued_prompt_tokens: Some(500.0), in_flight: Some(2.0) };
-        self.conductor.reported(self.now, dispatch.server, report);
+        self.manager.load_reported(self.now, dispatch.server, report);
         if dispatch.step == Step::Prefill {
-            let ending = Ending::ReadDone { kept: 400.0 };
-            return self.conductor.ended(self.now, id, dispatch.attempt, ending, out);
+            let ending = AttemptEnd::PrefillDone { cached_tokens: 400.0 };
+            return self.manager.attempt_ended(self.now, id, dispatch.attempt, ending, out);
         }
-        self.conductor.began(self.now, id, dispatch.attempt);
+        self.manager.first_token(self.now, id, dispatch.attempt);
         for _ in 0..9 {
             self.now += MILLISECOND / 10;
-            self.conductor.progressed(self.now, id);
+            self.manager.token_received(self.now, id);
         }
-        self.conductor.ended(self.now, id, dispatch.attempt, Ending::Generated, out);
-        assert!(out.iter().any(|action| matches!(action, Action::Over { .. })));
+        self.manager.attempt_ended(self.now, id, dispatch.attempt, AttemptEnd::Completed, out);
+        assert!(out.iter().any(|action| matches!(action, Action::Complete { .. })));
     }
 }
 
--- a/chat-api/src/lib.rs
+++ b/chat-api/src/lib.rs
@@ -8,5 +8,5 @@
 mod request;
 mod serve;
 
-pub use petrelshore_ingress::entrance::{Entrance, Listening, bind};
+pub use petrelshore_ingress::listener::{Ingress, Listener, bind};
 pub use serve::serve;
--- a/chat-api/src/reply.rs
+++ b/chat-api/src/reply.rs
@@ -4,8 +4,8 @@
 use futures_lite::Stream;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::{Response, StatusCode, header};
-use petrelshore_chat_gateway::{Final, Usage};
-use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
+use petrelshore_chat_gateway::{FinalAnswer, Usage};
+use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_ingress::call::{Failed, Fault, Wrong};
 use serde_json::{Value, json};
 use std::convert::Infallible;
@@ -99,19 +99,20 @@
     }
 }
 
-impl From<Unanswered> for Error {
-    fn from(unanswered: Unanswered) -> Error {
+impl From<ErrorResponse> for Error {
+    fn from(unanswered: ErrorResponse) -> Error {
         let cause = unanswered.cause;
         let (status, kind) = match cause {
-            Cause::Rejected(_) | Cause::GatewayFull | Cause::Reading | Cause::Draining => {
-                (503, "server_error")
-            }
-            Cause::Aborted(_) => (502, "server_error"),
-            Cause::ClientFull | Cause::Withdrawing => (429, "rate_limit_error"),
-            Cause::KeyInHand => (409, "invalid_request_error"),
-            Cause::KeyReused => (422, "invalid_request_error"),
-            Cause::NoTime => (408, "invalid_request_error"),
-            Cause::TooLarge => (413, "invalid_request_error"),
+            ErrorCause::Rejected(_)
+            | ErrorCause::GatewayAtCapacity
+            | ErrorCause::IngressAtCapacity
+            | ErrorCause::Draining => (503, "server_error"),
+            ErrorCause::Aborted(_) => (502, "server_error"),
+            ErrorCause::ClientAtCapacity | ErrorCause::TooManyCancelled => (429, "rate_limit_error"),
+            ErrorCause::KeyInFlight => (409, "invalid_request_error"),
+            ErrorCause::KeyReused => (422, "invalid_request_error"),
+            ErrorCause::DeadlineTooShort => (408, "invalid_request_error"),
+            ErrorCause::TooLarge => (413, "invalid_request_error"),
         };
         let (code, param) = (Some(cause.code()), cause.field().map(str::to_owned));
         Error { status, kind, code, param, message: unanswered.to_string(), retry: unanswered.retry }
@@ -122,14 +123,14 @@
     fn from(failed: Failed) -> Error {
         match failed {
             Failed::Wrong(wrong) => wrong.into(),
-            Failed::Unanswered(unanswered) => unanswered.into(),
+            Failed::ErrorResponse(unanswered) => unanswered.into(),
         }
     }
 }
 
 /// The error of a final answer; none for one that was generated.
-pub fn error_of(last: &Final) -> Option<Error> {
-    Unanswered::of(last).map(Error::from)
+pub fn error_of(last: &FinalAnswer) -> Option<Error> {
+    ErrorResponse::from_final_answer(last).map(Error::from)
 }
 
 pub fn json_reply(status: u16, body: &Value) -> Reply {
@@ -179,9 +180,9 @@
     }
 
     /// What follows the last text.
-    pub fn closing(&self, last: &Final) -> String {
+    pub fn closing(&self, last: &FinalAnswer) -> String {
         match (last, error_of(last)) {
-            (Final::Generated { finish, usage }, _) => {
+            (FinalAnswer::Completed { finish_reason: finish, usage }, _) => {
                 let mut end = self.chunk("{}", &Value::from(finish.as_str()).to_string());
                 if self.include_usage {
                     end.push_str(&format!(
--- a/chat-api/src/serve.rs
+++ b/chat-api/src/serve.rs
@@ -12,12 +12,12 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request};
 use petrelshore::interface::Nanos;
-use petrelshore_chat_gateway::{Answer, Final, Gateway, Next};
+use petrelshore_chat_gateway::{Answer, FinalAnswer, Gateway, Next};
 use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
-use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
-use petrelshore_gateway_core::{Reason, Relay};
+use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
+use petrelshore_gateway_core::{FailureReason, Relay};
 use petrelshore_ingress::call::{self, Failed, Fault, Head, Wrong};
-use petrelshore_ingress::entrance::{Entrance, Inside, Listening, Reading, stalled_for};
+use petrelshore_ingress::listener::{BodyReservation, ClientGuard, Ingress, Listener, stall_timeout};
 use petrelshore_ingress::stall::StallGuard;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use std::convert::Infallible;
@@ -30,14 +30,14 @@
 const FIELDS: usize = 64;
 
 /// Serves clients for as long as it is polled. Connections run where the gateway's tasks run.
-pub async fn serve(listening: Listening, entrance: Entrance) {
-    let gateway = entrance.gateway.clone();
+pub async fn serve(listener: Listener, ingress: Ingress) {
+    let gateway = ingress.gateway.clone();
     let connected = move |stream, inside| connection(stream, inside, gateway.clone());
-    entrance.take(listening, connected, turn_away).await;
+    ingress.serve(listener, connected, reject).await;
 }
 
 /// More clients than the gateway may hold are told so, in few bytes and without reading theirs.
-async fn turn_away(mut stream: TcpStream) {
+async fn reject(mut stream: TcpStream) {
     let body = r#"{"error":{"message":"too many connections","type":"server_error","code":"overloaded"}}"#;
     let full = format!(
         "HTTP/1.1 503 Service Unavailable\r\ncontent-type: application/json\r\nretry-after: 1\r\n\
@@ -48,7 +48,7 @@
     let _ = stream.close().await;
 }
 
-async fn connection(stream: TcpStream, inside: Inside, gateway: Gateway) {
+async fn connection(stream: TcpStream, inside: ClientGuard, gateway: Gateway) {
     let (peer, inside) = (inside.peer, Rc::new(inside));
     let head_time = Duration::from_nanos(gateway.settings().limits.body_time);
     let service = service_fn(move |request| {
@@ -57,13 +57,13 @@
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.timer(SmolTimer::new()).header_read_timeout(head_time).max_buf_size(HEAD).max_headers(FIELDS);
-    let io = FuturesIo::new(StallGuard::new(stream, stalled_for()));
+    let io = FuturesIo::new(StallGuard::new(stream, stall_timeout()));
     if let Err(error) = builder.serve_connection(io, service).await {
         debug!(%error, %peer, "client connection ended");
     }
 }
 
-async fn route(request: Request<Incoming>, inside: Rc<Inside>, gateway: Gateway) -> Reply {
+async fn route(request: Request<Incoming>, inside: Rc<ClientGuard>, gateway: Gateway) -> Reply {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/chat/completions") => {
@@ -111,7 +111,7 @@
 }
 
 /// The way of one chat request: its body whole, understood, taken, answered.
-async fn chat(request: Request<Incoming>, inside: &Inside, gateway: Gateway) -> Result<Reply, Failed> {
+async fn chat(request: Request<Incoming>, inside: &ClientGuard, gateway: Gateway) -> Result<Reply, Failed> {
     let arrived = gateway.clock().now();
     let settings = gateway.settings();
     let headers = request.headers().clone();
@@ -122,13 +122,13 @@
     let ask = call::ask(settings, &head, tenant, inside.client, arrived, call)?;
     drop((body, room));
     let (model, streamed) = (ask.request.model.clone(), ask.request.relay == Relay::Streamed);
-    let mut answer = gateway.take(ask)?;
+    let mut answer = gateway.accept(ask)?;
     let id = format!("chatcmpl-{:016x}", answer.id().0);
     let created = call::seconds(arrived);
     let mut reply = if streamed {
         // The status waits for the first token: a sequence that is rejected must not look begun.
         let first = answer.next().await;
-        if let Some(Next::Final(last)) = &first
+        if let Some(Next::FinalAnswer(last)) = &first
             && let Some(error) = reply::error_of(last)
         {
             return Ok(error.reply());
@@ -154,7 +154,7 @@
         };
         match next? {
             Next::Text(text) => part.push_str(&chunks.text(&text)),
-            Next::Final(last) => part.push_str(&chunks.closing(&last)),
+            Next::FinalAnswer(last) => part.push_str(&chunks.closing(&last)),
         }
         Some((Bytes::from(part), (answer, chunks, None, String::new())))
     })
@@ -165,11 +165,11 @@
     while let Some(next) = answer.next().await {
         match next {
             Next::Text(text) => gathered.push_str(&text),
-            Next::Final(Final::Generated { finish, usage }) => {
+            Next::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage }) => {
                 let body = reply::completion(id, created, model, &gathered, &finish, usage);
                 return reply::json_reply(200, &body);
             }
-            Next::Final(last) => {
+            Next::FinalAnswer(last) => {
                 if let Some(error) = reply::error_of(&last) {
                     return error.reply();
                 }
@@ -179,12 +179,20 @@
             break;
         }
     }
-    Error::from(Unanswered { cause: Cause::Aborted(Reason::TooLong), retry: Retry::Never }).reply()
+    Error::from(ErrorResponse {
+        cause: ErrorCause::Aborted(FailureReason::AnswerTooLarge),
+        retry: Retry::Never,
+    })
+    .reply()
 }
 
 /// The whole body, within its size, its time, and what there is room for.
-async fn body(mut incoming: Incoming, inside: &Inside, within: Nanos) -> Result<(Vec<u8>, Reading), Failed> {
-    let mut room = inside.reading();
+async fn body(
+    mut incoming: Incoming,
+    inside: &ClientGuard,
+    within: Nanos,
+) -> Result<(Vec<u8>, BodyReservation), Failed> {
+    let mut room = inside.reserve_body();
     let read = async {
         let told = usize::try_from(incoming.size_hint().lower()).unwrap_or(usize::MAX);
         room.grow_to(told)?;
--- a/chat-api/tests/requests.rs
+++ b/chat-api/tests/requests.rs
@@ -34,10 +34,10 @@
     let settings = read_text(&folder.join("gateway.ncl"), text).unwrap();
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
-        let listening = chat::bind(settings.chat).await.unwrap();
-        let address = listening.address;
+        let listener = chat::bind(settings.chat).await.unwrap();
+        let address = listener.address;
         let gateway = Gateway::start(settings, Spawner::new(&executor)).unwrap();
-        executor.spawn(chat::serve(listening, chat::Entrance::new(gateway.clone()))).detach();
+        executor.spawn(chat::serve(listener, chat::Ingress::new(gateway.clone()))).detach();
         test(Front { gateway, address }).await;
     };
     future::block_on(executor.run(run));
@@ -137,7 +137,7 @@
             let (status, ..) = front.post(&format!("{KEY}{header}"), good().to_string().as_bytes()).await;
             assert_eq!(status, 400, "{header}");
         }
-        assert_eq!((front.gateway.counts().taken, front.gateway.held()), (0, 0));
+        assert_eq!((front.gateway.counts().accepted, front.gateway.tracked()), (0, 0));
     });
 }
 
@@ -174,7 +174,7 @@
             .raw(&[b"GET /v1/chat/completions HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO)
             .await;
         assert_eq!(status, 405);
-        assert_eq!((front.gateway.counts().taken, front.gateway.held()), (1, 0));
+        assert_eq!((front.gateway.counts().accepted, front.gateway.tracked()), (1, 0));
     });
 }
 
@@ -184,7 +184,7 @@
         let (status, head, answer) = front.post(KEY, good().to_string().as_bytes()).await;
         assert_eq!((status, &answer["error"]["code"]), (503, &json!("rejected")), "{answer}");
         assert!(head.contains("retry-after: ") && head.contains("retry-after-ms: "), "{head}");
-        assert_eq!((front.gateway.counts().rejected, front.gateway.held()), (1, 0));
+        assert_eq!((front.gateway.counts().rejected, front.gateway.tracked()), (1, 0));
     });
 }
 
--- a/chat-gateway/src/answer.rs
+++ b/chat-gateway/src/answer.rs
@@ -4,7 +4,7 @@
 use async_channel::{Receiver, TryRecvError};
 use event_listener::Event;
 use petrelshore::interface::SequenceId;
-use petrelshore_gateway_core::buffered::{Final, Request};
+use petrelshore_gateway_core::buffered::{FinalAnswer, Request};
 use std::rc::Rc;
 
 /// A request as a front understood it, with what goes to the model servers as it is.
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     Text(String),
-    Final(Final),
+    FinalAnswer(FinalAnswer),
 }
 
 /// An answer on its way. Dropping it before its end tells the gateway that the client has left.
@@ -30,7 +30,7 @@
     pub(crate) ended: Rc<Event>,
     pub(crate) over: bool,
     /// The end of an earlier request with the same key, told again.
-    pub(crate) replayed: Option<Final>,
+    pub(crate) replayed: Option<FinalAnswer>,
 }
 
 impl Answer {
@@ -64,10 +64,10 @@
 
     /// Returns when the sequence has been given up, though texts before that may wait to be read: a front that
     /// cannot hand those on can tell the end at once.
-    pub async fn given_up(&mut self) -> Final {
+    pub async fn given_up(&mut self) -> FinalAnswer {
         loop {
             let ended = self.ended.listen();
-            if let Some(last) = self.gateway.given_up(self.id) {
+            if let Some(last) = self.gateway.early_final_answer(self.id) {
                 self.over = true;
                 return last;
             }
@@ -77,12 +77,12 @@
 
     fn finish(&mut self) -> Option<Next> {
         self.over = true;
-        self.replayed.take().or_else(|| self.gateway.take_final(self.id)).map(Next::Final)
+        self.replayed.take().or_else(|| self.gateway.take_final_answer(self.id)).map(Next::FinalAnswer)
     }
 }
 
 impl Drop for Answer {
     fn drop(&mut self) {
-        self.gateway.left(self.id, self.over);
+        self.gateway.client_left(self.id, self.over);
     }
 }
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -1,20 +1,22 @@
-//! Events in from sockets and timers, actions out of the conductor.
+//! Events in from sockets and timers, actions out of the request manager.
 
 use crate::answer::{Answer, Ask};
-use crate::clock::Clock;
-use crate::timers::Timers;
 use async_channel::Sender;
 use async_executor::Task;
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
 use petrelshore::interface::*;
-use petrelshore_engine_client::{Client, Load, Spawner, WriteRequest};
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::buffered::{Desk, Final, Order, Piece, Refusal, Sending, Taken};
-use petrelshore_gateway_core::cache_releases::{Release, Word};
+use petrelshore_engine_client::{Client, CompletionRequest, Load, Spawner};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::buffered::{
+    Admission, BufferedRequests, Command, FinalAnswer, OutgoingAttempt, Piece, Rejection,
+};
+use petrelshore_gateway_core::cache_releases::{CacheRelease, ReleaseOutcome};
 use petrelshore_gateway_core::{Chooser, Counts, Dispatch};
 use petrelshore_inventory::{Change, Doubt, Format, Guard, Membership, Problem, kept, read_list};
+use petrelshore_runtime::Clock;
+use petrelshore_runtime::TimerDriver;
 use petrelshore_settings::Settings;
 use serde_json::value::RawValue;
 use std::cell::{Cell, RefCell};
@@ -51,12 +53,12 @@
 }
 
 /// A sequence in hand, as far as its sockets and its front go.
-struct Ticket {
+struct RequestEntry {
     stop: Rc<[String]>,
     sampling: Rc<serde_json::Map<String, serde_json::Value>>,
     model: Rc<str>,
     texts: Sender<String>,
-    last: Option<Final>,
+    last: Option<FinalAnswer>,
     /// Told when `last` is there.
     ended: Rc<Event>,
     /// The one attempt that is out.
@@ -68,14 +70,14 @@
     clock: Clock,
     spawner: Spawner,
     client: Client,
-    desk: RefCell<Desk<Rc<RawValue>>>,
+    requests: RefCell<BufferedRequests<Rc<RawValue>>>,
     membership: RefCell<Membership>,
     guard: RefCell<Guard>,
     addresses: RefCell<BTreeMap<ServerId, SocketAddr>>,
     /// Where servers were reached that are listed no more, the last to leave at the end: they may run on.
     former: RefCell<VecDeque<(ServerId, SocketAddr)>>,
-    tickets: RefCell<HashMap<SequenceId, Ticket>>,
-    timers: Timers,
+    tickets: RefCell<HashMap<SequenceId, RequestEntry>>,
+    timers: TimerDriver,
     /// A list that could not be kept is being stored again.
     storing: Cell<bool>,
     /// Told when a sequence has left.
@@ -105,16 +107,17 @@
         let now = clock.now();
         let seed = settings.seed(now);
         let membership = Membership::new(&settings.kinds, &settings.zone);
-        let desk = Desk::new(now, settings.deployment.clone(), seed, settings.limits.sequences, chooser);
+        let requests =
+            BufferedRequests::new(now, settings.deployment.clone(), seed, settings.limits.sequences, chooser);
         let inner = Inner {
             client: Client::new(spawner.clone(), &settings.name),
-            desk: RefCell::new(desk),
+            requests: RefCell::new(requests),
             membership: RefCell::new(membership),
             guard: RefCell::default(),
             addresses: RefCell::default(),
             former: RefCell::default(),
             tickets: RefCell::default(),
-            timers: Timers::default(),
+            timers: TimerDriver::default(),
             storing: Cell::new(false),
             emptied: Event::new(),
             stopping: Event::new(),
@@ -126,8 +129,11 @@
         gateway.first_list()?;
         let inner = gateway.0.clone();
         gateway.0.spawner.run(async move {
-            let next_due = || inner.desk.borrow().next_due();
-            inner.timers.run(inner.clock, next_due, || inner.tell(|desk, now, out| desk.due(now, out))).await;
+            let next_due = || inner.requests.borrow().next_timeout();
+            inner
+                .timers
+                .run(inner.clock, next_due, || inner.tell(|requests, now, out| requests.on_timeout(now, out)))
+                .await;
         });
         Ok(gateway)
     }
@@ -172,23 +178,30 @@
     }
 
     /// Takes a request, or says why not. What is taken is owed exactly one final answer.
-    pub fn take(&self, ask: Ask) -> Result<Answer, Refusal> {
+    pub fn accept(&self, ask: Ask) -> Result<Answer, Rejection> {
         let inner = &self.0;
         let Ask { request, stop, sampling } = ask;
         let model = request.model.clone();
         let mut orders = Vec::new();
-        let taken = inner.desk.borrow_mut().take(inner.clock.now(), request, &mut orders);
+        let taken = inner.requests.borrow_mut().accept(inner.clock.now(), request, &mut orders);
         let (texts, receiver) = async_channel::bounded(TEXTS);
         let ended = Rc::new(Event::new());
         let (id, replayed) = match taken {
-            Taken::Refused(refusal) => return Err(refusal),
-            Taken::Accepted(id) => {
-                let ticket =
-                    Ticket { stop, sampling, model, texts, last: None, ended: ended.clone(), attempt: None };
+            Admission::Rejected(refusal) => return Err(refusal),
+            Admission::Accepted(id) => {
+                let ticket = RequestEntry {
+                    stop,
+                    sampling,
+                    model,
+                    texts,
+                    last: None,
+                    ended: ended.clone(),
+                    attempt: None,
+                };
                 inner.tickets.borrow_mut().insert(id, ticket);
                 (id, None)
             }
-            Taken::Replayed { id, text, last } => {
+            Admission::Replayed { id, text, last } => {
                 if !text.is_empty() {
                     // The channel is new and has room.
                     let _ = texts.try_send(text.to_string());
@@ -205,10 +218,10 @@
     /// many had to be ended.
     pub async fn drain(&self) -> usize {
         let inner = &self.0;
-        inner.desk.borrow_mut().drain();
+        inner.requests.borrow_mut().drain();
         inner.stopping.notify(usize::MAX);
         let emptied = async {
-            while self.in_hand() > 0 {
+            while self.unanswered() > 0 {
                 inner.emptied.listen().await;
             }
         };
@@ -216,8 +229,8 @@
             Timer::after(Duration::from_nanos(inner.settings.drain_time)).await;
         };
         future::or(emptied, late).await;
-        let left = self.in_hand();
-        inner.tell(|desk, now, out| desk.finish_all(now, out));
+        let left = self.unanswered();
+        inner.tell(|requests, now, out| requests.terminate_all(now, out));
         left
     }
 
@@ -233,29 +246,29 @@
         self.0.clock
     }
 
-    pub fn draining(&self) -> bool {
-        self.0.desk.borrow().draining()
+    pub fn is_draining(&self) -> bool {
+        self.0.requests.borrow().is_draining()
     }
 
     /// Returns once nothing further is taken.
     pub async fn until_draining(&self) {
         let stopping = self.0.stopping.listen();
-        if !self.draining() {
+        if !self.is_draining() {
             stopping.await;
         }
     }
 
     pub fn counts(&self) -> Counts {
-        self.0.desk.borrow().counts()
+        self.0.requests.borrow().counts()
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.0.desk.borrow().in_hand()
+    pub fn unanswered(&self) -> usize {
+        self.0.requests.borrow().unanswered()
     }
 
     /// Everything that a ticket still stands for, for leak checks.
-    pub fn held(&self) -> usize {
-        self.0.desk.borrow().held()
+    pub fn tracked(&self) -> usize {
+        self.0.requests.borrow().tracked()
     }
 
     pub fn servers(&self) -> usize {
@@ -264,36 +277,36 @@
 }
 
 impl Inner {
-    /// Tells the desk something, and carries out what follows.
+    /// Tells the request table something, and carries out what follows.
     fn tell(
         self: &Rc<Self>,
-        event: impl FnOnce(&mut Desk<Rc<RawValue>>, Nanos, &mut Vec<Order<Rc<RawValue>>>),
+        event: impl FnOnce(&mut BufferedRequests<Rc<RawValue>>, Nanos, &mut Vec<Command<Rc<RawValue>>>),
     ) {
         let mut orders = Vec::new();
-        event(&mut self.desk.borrow_mut(), self.clock.now(), &mut orders);
+        event(&mut self.requests.borrow_mut(), self.clock.now(), &mut orders);
         self.carry_out(orders);
     }
 
-    fn carry_out(self: &Rc<Self>, orders: Vec<Order<Rc<RawValue>>>) {
+    fn carry_out(self: &Rc<Self>, orders: Vec<Command<Rc<RawValue>>>) {
         for order in orders {
             match order {
-                Order::Send(sending) => self.send(*sending),
-                Order::Cancel { id, attempt } => self.cancel(id, attempt),
-                Order::LetGo(release) => self.let_go(release),
-                Order::Answer { id, last } => self.answer(id, last),
+                Command::Send(sending) => self.send(*sending),
+                Command::Cancel { id, attempt } => self.cancel(id, attempt),
+                Command::Release(release) => self.let_go(release),
+                Command::Answer { id, last } => self.answer(id, last),
             }
         }
-        self.timers.check(self.desk.borrow().next_due());
+        self.timers.update(self.requests.borrow().next_timeout());
     }
 
-    fn send(self: &Rc<Self>, sending: Sending<Rc<RawValue>>) {
+    fn send(self: &Rc<Self>, sending: OutgoingAttempt<Rc<RawValue>>) {
         let dispatch = sending.dispatch;
         let Some(to) = self.addresses.borrow().get(&dispatch.server).copied() else {
-            return self.ended(dispatch, Ending::NotConnected, None);
+            return self.ended(dispatch, AttemptEnd::NotConnected, None);
         };
         let mut tickets = self.tickets.borrow_mut();
         let Some(ticket) = tickets.get_mut(&dispatch.id) else { return };
-        let request = WriteRequest {
+        let request = CompletionRequest {
             to,
             request_id: sending.request_id,
             model: ticket.model.clone(),
@@ -301,10 +314,10 @@
             max_tokens: sending.max_tokens,
             stop: ticket.stop.clone(),
             sampling: ticket.sampling.clone(),
-            idempotency_key: sending.mark,
-            state: sending.state,
-            fresh: dispatch.fresh,
-            connect_within: Duration::from_nanos(dispatch.connect_within),
+            idempotency_key: sending.idempotency_key,
+            state: sending.transfer_params,
+            fresh: dispatch.new_connection,
+            connect_within: Duration::from_nanos(dispatch.connect_timeout),
         };
         let inner = self.clone();
         let task = self.spawner.spawn(async move {
@@ -317,23 +330,23 @@
         ticket.attempt = task.map(|task| (dispatch.attempt, task));
     }
 
-    async fn read(self: Rc<Self>, dispatch: Dispatch, request: WriteRequest) {
-        let heard = self.client.read(&request).await;
+    async fn read(self: Rc<Self>, dispatch: Dispatch, request: CompletionRequest) {
+        let heard = self.client.prefill(&request).await;
         match heard.result {
             Ok(held) => {
                 debug!(seq = dispatch.id.0, attempt = dispatch.attempt, kept = held.kept_tokens, "read");
                 self.told(dispatch.server, heard.load);
                 self.detach(dispatch.id, dispatch.attempt);
-                self.tell(|desk, now, out| {
-                    desk.read_done(now, &dispatch, held.kept_tokens, held.params, out)
+                self.tell(|requests, now, out| {
+                    requests.prefill_done(now, &dispatch, held.kept_tokens, held.params, out)
                 });
             }
             Err(ending) => self.ended(dispatch, ending, heard.load),
         }
     }
 
-    async fn write(self: Rc<Self>, dispatch: Dispatch, request: WriteRequest) {
-        let heard = self.client.write(&request).await;
+    async fn write(self: Rc<Self>, dispatch: Dispatch, request: CompletionRequest) {
+        let heard = self.client.decode(&request).await;
         let mut writing = match heard.result {
             Ok(writing) => writing,
             Err(ending) => return self.ended(dispatch, ending, heard.load),
@@ -345,15 +358,15 @@
                 Ok(Some(piece)) => piece,
                 Ok(None) => {
                     writing.done();
-                    break Ending::Generated;
+                    break AttemptEnd::Completed;
                 }
                 Err(ending) => break ending,
             };
             if !began {
                 began = true;
-                self.tell(|desk, now, orders| desk.began(now, &dispatch, orders));
+                self.tell(|requests, now, orders| requests.first_token(now, &dispatch, orders));
             } else {
-                self.desk.borrow_mut().progressed(self.clock.now(), dispatch.id);
+                self.requests.borrow_mut().token_received(self.clock.now(), dispatch.id);
             }
             if !self.relay(dispatch.id, piece).await {
                 return;
@@ -362,9 +375,9 @@
         self.ended(dispatch, ending, None);
     }
 
-    /// Hands a piece on. Where the client does not take it, the writer waits, and the desk is told so.
+    /// Hands a piece on. Where the client does not take it, the writer waits, and the request table is told so.
     async fn relay(self: &Rc<Self>, id: SequenceId, piece: Piece) -> bool {
-        let text = match self.desk.borrow_mut().piece(id, piece) {
+        let text = match self.requests.borrow_mut().receive_piece(id, piece) {
             Some(Some(text)) => text,
             Some(None) => return true,
             None => return false,
@@ -375,24 +388,24 @@
         match texts.try_send(text) {
             Ok(()) => true,
             Err(async_channel::TrySendError::Full(text)) => {
-                self.tell(|desk, now, _| desk.stalled(now, id, true));
+                self.tell(|requests, now, _| requests.client_stalled(now, id, true));
                 let sent = texts.send(text).await;
-                self.tell(|desk, now, _| desk.stalled(now, id, false));
+                self.tell(|requests, now, _| requests.client_stalled(now, id, false));
                 sent.is_ok()
             }
             Err(async_channel::TrySendError::Closed(_)) => false,
         }
     }
 
-    fn ended(self: &Rc<Self>, dispatch: Dispatch, ending: Ending, load: Option<Load>) {
+    fn ended(self: &Rc<Self>, dispatch: Dispatch, ending: AttemptEnd, load: Option<Load>) {
         debug!(seq = dispatch.id.0, attempt = dispatch.attempt, step = ?dispatch.step, ?ending, "attempt ended");
         self.told(dispatch.server, load);
         self.detach(dispatch.id, dispatch.attempt);
-        if ending == Ending::NotConnected {
+        if ending == AttemptEnd::NotConnected {
             let change = self.membership.borrow_mut().absent(self.clock.now(), dispatch.server);
             change.into_iter().for_each(|change| self.listed(change));
         }
-        self.tell(|desk, now, out| desk.ended(now, &dispatch, ending, out));
+        self.tell(|requests, now, out| requests.attempt_ended(now, &dispatch, ending, out));
     }
 
     /// An attempt that tells its own end runs on to the end of its task.
@@ -416,13 +429,13 @@
                 queued_prompt_tokens: load.queued_prompt_tokens,
                 in_flight: None,
             };
-            self.desk.borrow_mut().reported(now, server, report);
+            self.requests.borrow_mut().load_reported(now, server, report);
         }
     }
 
     fn listed(&self, change: Change) {
         let now = self.clock.now();
-        self.desk.borrow_mut().listed(now, change.scope, &change.entries);
+        self.requests.borrow_mut().update_endpoints(now, change.scope, &change.entries);
         if change.scope != SnapshotKind::Delta {
             let membership = self.membership.borrow();
             let servers = &membership.list().servers;
@@ -434,7 +447,7 @@
             former.retain(|(id, _)| !addresses.contains_key(id));
             let past = former.len().saturating_sub(MOST_FORMER);
             former.drain(..past);
-            self.client.keep_only(|address| servers.iter().any(|server| server.address == *address));
+            self.client.retain_endpoints(|address| servers.iter().any(|server| server.address == *address));
         }
     }
 
@@ -474,33 +487,41 @@
             tickets.get_mut(&id).and_then(|ticket| ticket.attempt.take_if(|(out, _)| *out == attempt))
         };
         drop(out);
-        self.tell(|desk, now, out| desk.cancelled(now, id, attempt, out));
+        self.tell(|requests, now, out| requests.attempt_cancelled(now, id, attempt, out));
     }
 
-    /// Tells a reader once. The desk has it told again until it has answered, or is known to hold nothing.
-    fn let_go(self: &Rc<Self>, release: Release) {
+    /// Tells a reader once. The request table has it told again until it has answered, or is known to hold nothing.
+    fn let_go(self: &Rc<Self>, release: CacheRelease) {
         let listed = self.addresses.borrow().get(&release.server).copied();
         let former = || {
             let former = self.former.borrow();
             former.iter().rev().find(|(id, _)| *id == release.server).map(|(_, address)| *address)
         };
         let Some(to) = listed.or_else(former) else {
-            return self.desk.borrow_mut().let_go(self.clock.now(), &release, Word::Gone);
+            return self.requests.borrow_mut().release_finished(
+                self.clock.now(),
+                &release,
+                ReleaseOutcome::ServerGone,
+            );
         };
         let inner = self.clone();
-        let within = Duration::from_nanos(self.desk.borrow().release_within());
+        let within = Duration::from_nanos(self.requests.borrow().release_timeout());
         self.spawner.run(async move {
-            let told = inner.client.release(to, &release.request, within).await;
-            debug!(request = %release.request, %to, ?told, "release");
+            let told = inner.client.release(to, &release.request_id, within).await;
+            debug!(request = %release.request_id, %to, ?told, "release");
             // A connection that did not come up in time proves nothing of what its reader holds.
             if told.is_ok() {
-                inner.desk.borrow_mut().let_go(inner.clock.now(), &release, Word::Answered);
+                inner.requests.borrow_mut().release_finished(
+                    inner.clock.now(),
+                    &release,
+                    ReleaseOutcome::Acknowledged,
+                );
             }
         });
     }
 
     /// The one final answer: the front reads it once it has read all texts before it.
-    fn answer(&self, id: SequenceId, last: Final) {
+    fn answer(&self, id: SequenceId, last: FinalAnswer) {
         debug!(seq = id.0, ?last, "final answer");
         if let Some(ticket) = self.tickets.borrow_mut().get_mut(&id) {
             ticket.last = Some(last);
@@ -510,20 +531,20 @@
         self.emptied.notify(usize::MAX);
     }
 
-    pub(crate) fn take_final(&self, id: SequenceId) -> Option<Final> {
+    pub(crate) fn take_final_answer(&self, id: SequenceId) -> Option<FinalAnswer> {
         self.tickets.borrow_mut().get_mut(&id).and_then(|ticket| ticket.last.take())
     }
 
     /// The final answer, where it is there and is none that was generated.
-    pub(crate) fn given_up(&self, id: SequenceId) -> Option<Final> {
+    pub(crate) fn early_final_answer(&self, id: SequenceId) -> Option<FinalAnswer> {
         let tickets = self.tickets.borrow();
         let last = tickets.get(&id).and_then(|ticket| ticket.last.clone());
-        last.filter(|last| !matches!(last, Final::Generated { .. }))
+        last.filter(|last| !matches!(last, FinalAnswer::Completed { .. }))
     }
 
     /// The front has let go of its answer; `over` where it had read the end of it.
-    pub(crate) fn left(self: &Rc<Self>, id: SequenceId, over: bool) {
-        self.tell(|desk, now, out| desk.left(now, id, over, out));
+    pub(crate) fn client_left(self: &Rc<Self>, id: SequenceId, over: bool) {
+        self.tell(|requests, now, out| requests.client_left(now, id, over, out));
         // Dropping the ticket breaks off whatever of it still runs.
         let ticket = self.tickets.borrow_mut().remove(&id);
         drop(ticket);
--- a/cli/src/operator.rs
+++ b/cli/src/operator.rs
@@ -48,7 +48,7 @@
             Ok(text) => (StatusCode::OK, text),
             Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
         },
-        "/health" if gateway.draining() => (StatusCode::SERVICE_UNAVAILABLE, "draining\n".to_owned()),
+        "/health" if gateway.is_draining() => (StatusCode::SERVICE_UNAVAILABLE, "draining\n".to_owned()),
         "/health" => (StatusCode::OK, "ready\n".to_owned()),
         _ => (StatusCode::NOT_FOUND, "there are /health and /metrics here\n".to_owned()),
     };
@@ -63,11 +63,11 @@
     let mut registry = Registry::with_prefix("petrelshore");
     let counts = gateway.counts();
     let totals = [
-        ("sequences_taken", "Sequences taken", counts.taken),
-        ("sequences_generated", "Final answers: generated", counts.generated),
+        ("sequences_taken", "Sequences taken", counts.accepted),
+        ("sequences_generated", "Final answers: generated", counts.completed),
         ("sequences_rejected", "Final answers: rejected", counts.rejected),
         ("sequences_aborted", "Final answers: aborted", counts.aborted),
-        ("sequences_withdrawn", "Clients that left before their final answer", counts.withdrawn),
+        ("sequences_withdrawn", "Clients that left before their final answer", counts.cancelled),
         ("schedule_attempts", "Attempts sent to model servers", counts.attempts),
         ("attempts_timed_out", "Attempts and streams ended by their time", counts.timed_out),
     ];
@@ -77,7 +77,7 @@
         registry.register(name, help, counter);
     }
     let now = [
-        ("sequences_in_hand", "Sequences that wait for their final answer", gateway.in_hand()),
+        ("sequences_in_hand", "Sequences that wait for their final answer", gateway.unanswered()),
         ("model_servers_listed", "Model servers on the list", gateway.servers()),
     ];
     for (name, help, value) in now {
--- a/cli/src/platform.rs
+++ b/cli/src/platform.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::Spawner;
-use petrelshore_ingress::entrance::bind;
+use petrelshore_ingress::listener::bind;
 use petrelshore_platform_gateway::{Service, discovery};
 use petrelshore_platform_ingress::Clients;
 use petrelshore_platform_protocol::config::{Config, config};
@@ -80,17 +80,17 @@
 async fn run(config: Config, executor: &Rc<LocalExecutor<'static>>) -> Result<(), String> {
     // Signals are caught before anybody can connect: whoever sees the gateway ready may send one at once.
     let mut signals = Signals::catch().await.map_err(|error| error.to_string())?;
-    let listening =
+    let listener =
         bind(config.listen).await.map_err(|error| format!("listen: {}: {error}", config.listen))?;
     let descriptors = config.descriptors.saturating_sub(OWN);
     let most_clients = ((descriptors as f64 * CLIENTS) as usize).max(1);
-    let (name, memory, listen) = (config.name.clone(), config.memory_bytes, listening.address);
+    let (name, memory, listen) = (config.name.clone(), config.memory_bytes, listener.address);
     let (longest_abandon, clients_resume) = (config.longest_abandon, config.clients_resume);
     let service =
         Service::start(config, descriptors.saturating_sub(most_clients).max(1), Spawner::new(executor));
     executor.spawn(discovery::watch(service.clone())).detach();
     let clients = Clients::new(service.clone(), most_clients, memory);
-    let front = executor.spawn(clients.clone().take(listening));
+    let front = executor.spawn(clients.clone().serve(listener));
     executor.spawn(log(service.clone(), clients.clone())).detach();
     info!(name, %listen, clients = most_clients, "ready");
 
@@ -112,35 +112,35 @@
     };
     let following = executor.spawn(follow_signals);
     told_to_stop.await;
-    info!(in_hand = service.in_hand(), "stopping: what is taken is answered");
+    info!(in_hand = service.tracked(), "stopping: what is taken is answered");
     let told = service.clock().now();
-    let leaving = service.leaving(longest_abandon, clients_resume);
+    let leaving = service.shutdown_plan(longest_abandon, clients_resume);
     let at = |after: Nanos| Timer::at(service.clock().instant(told + after));
     let moving = async {
-        let Some((mut after, until)) = leaving.move_streams else { return };
+        let Some((mut after, until)) = leaving.migrate_streams else { return };
         info!(from_ms = after / MILLISECOND, until_ms = until / MILLISECOND, "streams will be moved");
         while after <= until {
             at(after).await;
             // What has come in this turn is passed on first: a stream may have ended by itself.
             future::yield_now().await;
-            service.move_streams(&leaving, (after, after + A_MOVE));
+            service.migrate_streams(&leaving, (after, after + A_MOVE));
             after += A_MOVE;
         }
     };
     let shutting = async {
-        at(leaving.serve_until).await;
+        at(leaving.accept_until).await;
         service.drain();
-        clients.leave();
+        clients.begin_shutdown();
     };
     future::zip(moving, shutting).await;
     let late = async {
-        let (Some(end_all_at), Some(gone_by)) = (leaving.end_all_at, leaving.gone_by) else {
+        let (Some(end_all_at), Some(gone_by)) = (leaving.terminate_at, leaving.exit_by) else {
             return future::pending().await;
         };
         at(end_all_at).await;
         future::yield_now().await;
-        info!(in_hand = service.in_hand(), "ending what is left");
-        service.end_all();
+        info!(in_hand = service.tracked(), "ending what is left");
+        service.terminate_all();
         at(gone_by).await;
     };
     // A request that is still being read is owed its answer too, and so is one on a connection that waits to be taken:
@@ -157,7 +157,7 @@
     };
     future::or(empty, late).await;
     drop((front, following));
-    info!(counts = ?service.counts(), breaches = ?service.breaches(), "stopped");
+    info!(counts = ?service.counts(), breaches = ?service.violations(), "stopped");
     Ok(())
 }
 
@@ -168,7 +168,7 @@
         match read() {
             Ok(config) => {
                 info!(discovery = %config.discovery, "took the new configuration");
-                return service.move_discovery(config.discovery);
+                return service.set_discovery_address(config.discovery);
             }
             Err(why) => warn!(
                 what = String::from(why),
@@ -185,9 +185,9 @@
 async fn log(service: Service, clients: Clients) {
     loop {
         Timer::after(LOGGED).await;
-        let (open, idle, owed) = service.open();
-        let (in_hand, clients) = (service.in_hand(), clients.connections());
-        let (counts, breaches) = (service.counts(), service.breaches());
+        let (open, idle, owed) = service.connection_counts();
+        let (in_hand, clients) = (service.tracked(), clients.connections());
+        let (counts, breaches) = (service.counts(), service.violations());
         info!(in_hand, clients, servers = open, idle, owed, ?counts, ?breaches, "holding");
     }
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -56,16 +56,16 @@
 async fn run(settings: Settings, executor: &Rc<LocalExecutor<'static>>) -> Result<(), String> {
     // Signals are caught before the ready line: whoever waits for that line may send one at once.
     let mut signals = Signals::catch().await.map_err(|error| error.to_string())?;
-    let listening = chat::bind(settings.chat).await.map_err(|error| format!("{}: {error}", settings.chat))?;
-    let (name, chat, operator) = (settings.name.clone(), listening.address, settings.operator);
+    let listener = chat::bind(settings.chat).await.map_err(|error| format!("{}: {error}", settings.chat))?;
+    let (name, chat, operator) = (settings.name.clone(), listener.address, settings.operator);
     let mut grpc_listening = None;
     if let Some(address) = settings.grpc {
         grpc_listening = Some(grpc::bind(address).await.map_err(|error| format!("{address}: {error}"))?);
     }
     let gateway = Gateway::start(settings, Spawner::new(executor)).map_err(|error| error.to_string())?;
-    let entrance = chat::Entrance::new(gateway.clone());
+    let ingress = chat::Ingress::new(gateway.clone());
     let grpc_at = grpc_listening.as_ref().map_or(String::new(), |at| format!(", gRPC on {}", at.address));
-    let grpc_front = grpc_listening.map(|at| executor.spawn(grpc::serve(at, entrance.clone())));
+    let grpc_front = grpc_listening.map(|at| executor.spawn(grpc::serve(at, ingress.clone())));
     let mut operator_at = String::new();
     if let Some(operator) = operator {
         let listener = async_net::TcpListener::bind(operator).await;
@@ -74,7 +74,7 @@
         operator_at = format!(", operators on {address}");
         executor.spawn(operator::serve(listener, gateway.clone())).detach();
     }
-    let front = executor.spawn(chat::serve(listening, entrance));
+    let front = executor.spawn(chat::serve(listener, ingress));
     // A gateway whose standard output can't be written serves all the same.
     let _ = writeln!(
         std::io::stdout(),
@@ -87,7 +87,7 @@
             Err(error) => warn!(%error, "the inventory is not good: staying with the last good list"),
         }
     }
-    info!(in_hand = gateway.in_hand(), "stopping: running streams go on within the drain time");
+    info!(in_hand = gateway.unanswered(), "stopping: running streams go on within the drain time");
     // New connections are still answered, with a time to come back, until the last stream has ended.
     let ended = gateway.drain().await;
     async_io::Timer::after(LAST_BYTES).await;
--- a/e2e/src/fleet.rs
+++ b/e2e/src/fleet.rs
@@ -191,16 +191,16 @@
         let settings = blocking::unblock(move || read_text(&file, &text)).await.map_err(said)?;
         // All that it runs is on an executor of its own, so that a kill ends all of it at once.
         let own: Executor = Rc::new(LocalExecutor::new());
-        let listening = chat::bind(settings.chat).await.map_err(|error| error.to_string())?;
+        let listener = chat::bind(settings.chat).await.map_err(|error| error.to_string())?;
         let grpc_at = settings.grpc.ok_or("listen.grpc is missing")?;
         let grpc_listening = grpc::bind(grpc_at).await.map_err(|error| error.to_string())?;
-        let at = Addresses { chat: listening.address, grpc: grpc_listening.address };
+        let at = Addresses { chat: listener.address, grpc: grpc_listening.address };
         let name = settings.name.clone();
         let gateway =
             Gateway::start_with(settings, Spawner::new(&own), chooser).map_err(|error| error.to_string())?;
-        let entrance = chat::Entrance::new(gateway.clone());
+        let ingress = chat::Ingress::new(gateway.clone());
         let fronts =
-            future::zip(chat::serve(listening, entrance.clone()), grpc::serve(grpc_listening, entrance));
+            future::zip(chat::serve(listener, ingress.clone()), grpc::serve(grpc_listening, ingress));
         let driver = executor.spawn(async move {
             own.run(fronts).await;
         });
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -130,7 +130,7 @@
     // Whatever should be let go has had its time.
     Timer::after(Duration::from_nanos(2 * play.settings.deployment.release_timeout)).await;
     let left_in_gateways =
-        play.gateways.borrow().iter().flatten().map(|running| running.gateway.held()).sum();
+        play.gateways.borrow().iter().flatten().map(|running| running.gateway.tracked()).sum();
     let entries = record.entries();
     let left_in_boxes = left_behind(&entries);
     let verdict = judge(&entries, &figures(&play.settings));
--- a/e2e/tests/grpc_cases.rs
+++ b/e2e/tests/grpc_cases.rs
@@ -125,7 +125,7 @@
                 Question::ask(&chat(3).with("grpc-timeout", time), Front::Grpc, world.gateway.at, LONG).await;
             assert_eq!(seen.status, Code::InvalidArgument as u16, "{time}: {seen:?}");
         }
-        assert_eq!((world.gateway.gateway.counts().taken, world.arrivals("read")), (0, 0));
+        assert_eq!((world.gateway.gateway.counts().accepted, world.arrivals("read")), (0, 0));
         world.clean().await;
     });
 }
@@ -157,7 +157,7 @@
         let driver = world.executor.spawn(async move { driver.await.unwrap_or_default() });
         let response = call(&mut sender, &chat(8).with("grpc-timeout", "1500m")).await.unwrap();
         let body = response.await.expect("it began").into_body();
-        until("generated", || world.gateway.gateway.counts().generated == 1).await;
+        until("generated", || world.gateway.gateway.counts().completed == 1).await;
         let mut body = body;
         let mut given = 0;
         let status = loop {
@@ -184,13 +184,13 @@
         let response = line.call(&chat(50)).await;
         until("it is read", || world.arrivals("read") == 1).await;
         drop(response);
-        until("withdrawn", || world.gateway.gateway.counts().withdrawn == 1).await;
+        until("withdrawn", || world.gateway.gateway.counts().cancelled == 1).await;
         assert_eq!(world.arrivals("write"), 0);
         let response = line.call(&chat(2000)).await;
         let mut body = response.await.expect("it is written").into_body();
         assert!(body.data().await.is_some_and(|part| part.is_ok()));
         drop(body);
-        until("withdrawn", || world.gateway.gateway.counts().withdrawn == 2).await;
+        until("withdrawn", || world.gateway.gateway.counts().cancelled == 2).await;
         // The connection serves on.
         let seen = line.ask(&chat(3)).await;
         assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 3), "{seen:?}");
@@ -206,11 +206,11 @@
         until("it is written", || world.arrivals("write") == 1).await;
         let gateway = world.gateway.gateway.clone();
         let drain = world.executor.spawn(async move { gateway.drain().await });
-        until("draining", || world.gateway.gateway.draining()).await;
+        until("draining", || world.gateway.gateway.is_draining()).await;
         // A new connection is told GOAWAY at once; a call that crosses it is refused, and may come again elsewhere.
         let refused = chat(3).ask(Front::Grpc, world.gateway.at, LONG).await;
         assert!(refused.finished == FinalSeen::Nothing || refused.retry_after.is_some(), "{refused:?}");
-        assert_eq!(world.gateway.gateway.counts().taken, 1);
+        assert_eq!(world.gateway.gateway.counts().accepted, 1);
         let mut seen = Seen::nothing();
         read(running, Instant::now(), &mut seen).await;
         assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 200), "{seen:?}");
@@ -237,8 +237,8 @@
         let refused = raw.frames_until(|frames| resets(frames).len() >= 2).await;
         const REFUSED_STREAM: u32 = 7;
         assert_eq!(resets(&refused)[..2], [(9, REFUSED_STREAM), (11, REFUSED_STREAM)]);
-        until("four are answered", || world.gateway.gateway.counts().generated == 5).await;
-        assert_eq!(world.gateway.gateway.counts().taken, 5);
+        until("four are answered", || world.gateway.gateway.counts().completed == 5).await;
+        assert_eq!(world.gateway.gateway.counts().accepted, 5);
         world.clean().await;
     });
 }
@@ -285,7 +285,7 @@
         assert_eq!(line.post(&stream, &gzip, whole.clone()).await.1, Some(Code::Unimplemented));
         let key = [grpc[0], ("idempotency-key", "")];
         assert_eq!(line.post(&stream, &key, whole).await.1, Some(Code::InvalidArgument));
-        assert_eq!((world.gateway.gateway.counts().taken, world.arrivals("read")), (0, 0));
+        assert_eq!((world.gateway.gateway.counts().accepted, world.arrivals("read")), (0, 0));
         let seen = line.ask(&chat(3)).await;
         assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
         world.clean().await;
@@ -302,7 +302,7 @@
             let seen = question.ask(Front::Grpc, world.gateway.at, LONG).await;
             assert_eq!((seen.status, seen.retry_after), (Code::Unauthenticated as u16, None), "{seen:?}");
         }
-        assert_eq!(world.gateway.gateway.counts().taken, 0);
+        assert_eq!(world.gateway.gateway.counts().accepted, 0);
         let seen = world.ask_this(chat(3).with("authorization", "Bearer shop-key"), LONG).await;
         assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
         world.clean().await;
@@ -335,14 +335,14 @@
             };
             for _ in 0..200 {
                 let now = world.gateway.gateway.counts();
-                if now.taken > before.taken {
+                if now.accepted > before.accepted {
                     break;
                 }
                 future::yield_now().await;
             }
             drop(response);
         }
-        let taken = world.gateway.gateway.counts().taken;
+        let taken = world.gateway.gateway.counts().accepted;
         assert!((32..=60).contains(&taken), "{taken} were taken of a flood");
         let refused = chat(3).ask(Front::Grpc, world.gateway.at, LONG).await;
         assert_eq!(refused.code.as_deref(), Some("too_many_withdrawn"), "{refused:?}");
@@ -377,12 +377,12 @@
         raw.send(&raw_call(1, &chat(1000))).await;
         until("it is written", || world.arrivals("write") == 1).await;
         for _ in 0..500 {
-            if world.gateway.gateway.counts().withdrawn == 1 {
+            if world.gateway.gateway.counts().cancelled == 1 {
                 break;
             }
             Timer::after(Duration::from_millis(100)).await;
         }
-        assert_eq!(world.gateway.gateway.counts().withdrawn, 1, "nobody asked whether it is there");
+        assert_eq!(world.gateway.gateway.counts().cancelled, 1, "nobody asked whether it is there");
         world.clean().await;
     });
 }
--- a/e2e/tests/hard_cases.rs
+++ b/e2e/tests/hard_cases.rs
@@ -48,7 +48,7 @@
         assert_eq!((world.arrivals("read"), world.arrivals("write")), (1, 0));
         world.clean().await;
         assert_eq!(world.arrivals("write"), 0);
-        assert_eq!(world.gateway.gateway.counts().withdrawn, 1);
+        assert_eq!(world.gateway.gateway.counts().cancelled, 1);
     });
 }
 
--- a/e2e/tests/world/mod.rs
+++ b/e2e/tests/world/mod.rs
@@ -80,7 +80,7 @@
     pub async fn clean(&self) -> Verdict {
         let left = || {
             let boxes = self.fleet.places.iter().filter_map(|place| place.stand_in.as_ref());
-            self.gateway.gateway.held() + boxes.map(|b| b.states() + b.in_flight()).sum::<usize>()
+            self.gateway.gateway.tracked() + boxes.map(|b| b.states() + b.in_flight()).sum::<usize>()
         };
         for _ in 0..200 {
             if left() == 0 {
@@ -94,7 +94,7 @@
             left(),
             0,
             "left behind: {} in the gateway, {boxes:?} in boxes",
-            self.gateway.gateway.held()
+            self.gateway.gateway.tracked()
         );
         let verdict = judge(&self.fleet.record.entries(), &figures(self.gateway.gateway.settings()));
         assert_eq!(verdict.breaks, [], "rules were broken");
@@ -153,7 +153,7 @@
     /// The same after a client has stalled for as long as it may.
     pub async fn clean_after_stall(&self) {
         for _ in 0..300 {
-            if self.gateway.gateway.in_hand() == 0 {
+            if self.gateway.gateway.unanswered() == 0 {
                 break;
             }
             Timer::after(Duration::from_millis(100)).await;
--- a/engine-client/src/exchange.rs
+++ b/engine-client/src/exchange.rs
@@ -2,14 +2,14 @@
 
 use crate::orca::{self, Load};
 use crate::pool::{Pool, Sender};
-use crate::spawner::Spawner;
 use crate::sse::Events;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::buffered::{Piece, Usage};
+use petrelshore_runtime::Spawner;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
 
 /// What every exchange needs.
 #[derive(Clone, Debug)]
-pub struct WriteRequest {
+pub struct CompletionRequest {
     pub to: SocketAddr,
     pub request_id: String,
     pub model: Rc<str>,
@@ -46,15 +46,15 @@
 
 /// A read state that waits at its reader.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct PrefillResult {
     pub params: Rc<RawValue>,
     pub kept_tokens: f64,
 }
 
 /// What an exchange told, with the load that came along.
 #[derive(Debug)]
-pub struct Heard<T> {
-    pub result: Result<T, Ending>,
+pub struct Reply<T> {
+    pub result: Result<T, AttemptEnd>,
     pub load: Option<Load>,
 }
 
@@ -137,7 +137,7 @@
     }
 
     /// Has a prompt read; its state then waits at the reader.
-    pub async fn read(&self, request: &WriteRequest) -> Heard<Held> {
+    pub async fn prefill(&self, request: &CompletionRequest) -> Reply<PrefillResult> {
         let asked = RawValue::from_string(
             r#"{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}"#
                 .to_owned(),
@@ -154,7 +154,7 @@
         };
         let (response, sender) = match self.ask(request, &body).await {
             Ok(answered) => answered,
-            Err(ending) => return Heard { result: Err(ending), load: None },
+            Err(ending) => return Reply { result: Err(ending), load: None },
         };
         let load = load_of(&response);
         let result = async {
@@ -163,16 +163,16 @@
                 return Err(refusal(status, &bytes));
             }
             self.pool.keep(request.to, sender);
-            let answer: ReadAnswer = serde_json::from_slice(&bytes).map_err(|_| Ending::Malformed)?;
+            let answer: ReadAnswer = serde_json::from_slice(&bytes).map_err(|_| AttemptEnd::Malformed)?;
             let kept = answer.usage.prompt_tokens_details.and_then(|details| details.cached_tokens);
             let kept_tokens = kept.unwrap_or(0) as f64;
-            Ok(Held { params: Rc::from(answer.kv_transfer_params), kept_tokens })
+            Ok(PrefillResult { params: Rc::from(answer.kv_transfer_params), kept_tokens })
         };
-        Heard { result: result.await, load }
+        Reply { result: result.await, load }
     }
 
     /// Has an answer written, from a held state or from the prompt itself.
-    pub async fn write(&self, request: &WriteRequest) -> Heard<Writing> {
+    pub async fn decode(&self, request: &CompletionRequest) -> Reply<DecodeStream> {
         let body = Completion {
             model: &request.model,
             prompt: &request.prompt,
@@ -185,14 +185,14 @@
         };
         let (response, sender) = match self.ask(request, &body).await {
             Ok(answered) => answered,
-            Err(ending) => return Heard { result: Err(ending), load: None },
+            Err(ending) => return Reply { result: Err(ending), load: None },
         };
         let load = load_of(&response);
         if response.status() != StatusCode::OK {
             let refused = whole(response).await.map(|(status, bytes)| refusal(status, &bytes));
-            return Heard { result: Err(refused.unwrap_or_else(|ending| ending)), load };
+            return Reply { result: Err(refused.unwrap_or_else(|ending| ending)), load };
         }
-        let writing = Writing {
+        let writing = DecodeStream {
             to: request.to,
             pool: self.pool.clone(),
             sender: Some(sender),
@@ -201,11 +201,16 @@
             ready: VecDeque::new(),
             finished: false,
         };
-        Heard { result: Ok(writing), load }
+        Reply { result: Ok(writing), load }
     }
 
     /// Tells a reader once to let go of what it holds for a request. An error says how the exchange ended.
-    pub async fn release(&self, to: SocketAddr, request_id: &str, within: Duration) -> Result<(), Ending> {
+    pub async fn release(
+        &self,
+        to: SocketAddr,
+        request_id: &str,
+        within: Duration,
+    ) -> Result<(), AttemptEnd> {
         let body = serde_json::json!({ "request_id": request_id }).to_string();
         let told = async {
             let sender = match self.pool.pooled(to) {
@@ -213,30 +218,34 @@
                 None => self.pool.connect(to, within).await?,
             };
             let request = self.post(to, RELEASE, request_id, None, Bytes::from(body))?;
-            let (response, sender) = send(sender, request).await.map_err(|_| Ending::Reset)?;
+            let (response, sender) = send(sender, request).await.map_err(|_| AttemptEnd::Reset)?;
             let (status, _) = whole(response).await?;
             self.pool.keep(to, sender);
-            if status.is_success() { Ok(()) } else { Err(Ending::Refused { status: status.as_u16() }) }
+            if status.is_success() {
+                Ok(())
+            } else {
+                Err(AttemptEnd::ErrorStatus { status: status.as_u16() })
+            }
         };
         let late = async {
             async_io::Timer::after(within).await;
-            Err(Ending::TimedOut)
+            Err(AttemptEnd::TimedOut)
         };
         futures_lite::future::or(told, late).await
     }
 
     /// Drops connections to servers that are no longer listed.
-    pub fn keep_only(&self, listed: impl Fn(&SocketAddr) -> bool) {
+    pub fn retain_endpoints(&self, listed: impl Fn(&SocketAddr) -> bool) {
         self.pool.keep_only(listed);
     }
 
     /// Sends one request. On a pooled connection that hands it back unwritten, a new one carries it.
     async fn ask(
         &self,
-        request: &WriteRequest,
+        request: &CompletionRequest,
         body: &Completion<'_>,
-    ) -> Result<(Response<Incoming>, Sender), Ending> {
-        let body = Bytes::from(serde_json::to_vec(body).map_err(|_| Ending::HandedBack)?);
+    ) -> Result<(Response<Incoming>, Sender), AttemptEnd> {
+        let body = Bytes::from(serde_json::to_vec(body).map_err(|_| AttemptEnd::ReturnedUnsent)?);
         let key = request.idempotency_key.as_deref();
         let mut message = self.post(request.to, COMPLETIONS, &request.request_id, key, body)?;
         let pooled = if request.fresh { None } else { self.pool.pooled(request.to) };
@@ -249,12 +258,13 @@
                 Err(Some(unwritten)) => message = unwritten,
                 Err(None) => {
                     self.pool.broke(request.to, idle);
-                    return Err(Ending::Reset);
+                    return Err(AttemptEnd::Reset);
                 }
             }
         }
         let sender = self.pool.connect(request.to, request.connect_within).await?;
-        let unsent = |back: Option<_>| if back.is_some() { Ending::HandedBack } else { Ending::Reset };
+        let unsent =
+            |back: Option<_>| if back.is_some() { AttemptEnd::ReturnedUnsent } else { AttemptEnd::Reset };
         send(sender, message).await.map_err(unsent)
     }
 
@@ -265,7 +275,7 @@
         id: &str,
         key: Option<&str>,
         body: Bytes,
-    ) -> Result<Message, Ending> {
+    ) -> Result<Message, AttemptEnd> {
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(path)
@@ -277,7 +287,7 @@
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
         }
-        request.body(Full::new(body)).map_err(|_| Ending::HandedBack)
+        request.body(Full::new(body)).map_err(|_| AttemptEnd::ReturnedUnsent)
     }
 }
 
@@ -296,28 +306,28 @@
     Some(orca::parse(header.to_str().ok()?))
 }
 
-async fn whole(response: Response<Incoming>) -> Result<(StatusCode, Bytes), Ending> {
+async fn whole(response: Response<Incoming>) -> Result<(StatusCode, Bytes), AttemptEnd> {
     let status = response.status();
     let body = Limited::new(response.into_body(), ANSWER).collect().await;
     let body = body.map_err(|error| match error.downcast_ref::<http_body_util::LengthLimitError>() {
-        Some(_) => Ending::Malformed,
-        None => Ending::Reset,
+        Some(_) => AttemptEnd::Malformed,
+        None => AttemptEnd::Reset,
     })?;
     Ok((status, body.to_bytes()))
 }
 
 /// A refusal proves something only by both its status and its code, so that a proxy's bare 503 proves nothing.
-fn refusal(status: StatusCode, body: &[u8]) -> Ending {
+fn refusal(status: StatusCode, body: &[u8]) -> AttemptEnd {
     let code = serde_json::from_slice::<ErrorAnswer>(body).ok().and_then(|answer| answer.error.code);
     match (status, code.as_ref().and_then(serde_json::Value::as_str)) {
-        (StatusCode::SERVICE_UNAVAILABLE, Some("full")) => Ending::RefusedFull,
-        (StatusCode::CONFLICT, Some("state_missing")) => Ending::StateMissing,
-        _ => Ending::Refused { status: status.as_u16() },
+        (StatusCode::SERVICE_UNAVAILABLE, Some("full")) => AttemptEnd::AtCapacity,
+        (StatusCode::CONFLICT, Some("state_missing")) => AttemptEnd::KvCacheMissing,
+        _ => AttemptEnd::ErrorStatus { status: status.as_u16() },
     }
 }
 
 /// An answer that is being written.
-pub struct Writing {
+pub struct DecodeStream {
     to: SocketAddr,
     pool: Rc<Pool>,
     sender: Option<Sender>,
@@ -327,16 +337,16 @@
     finished: bool,
 }
 
-impl Writing {
+impl DecodeStream {
     /// The next piece; none once the answer is whole.
-    pub async fn next(&mut self) -> Result<Option<Piece>, Ending> {
+    pub async fn next(&mut self) -> Result<Option<Piece>, AttemptEnd> {
         loop {
             if let Some(piece) = self.ready.pop_front() {
                 return Ok(Some(piece));
             }
-            while let Some(data) = self.events.next_event().map_err(|_| Ending::Malformed)? {
+            while let Some(data) = self.events.next_event().map_err(|_| AttemptEnd::Malformed)? {
                 if data == "[DONE]" {
-                    return if self.finished { Ok(None) } else { Err(Ending::Malformed) };
+                    return if self.finished { Ok(None) } else { Err(AttemptEnd::Malformed) };
                 }
                 self.decode(&data)?;
                 if !self.ready.is_empty() {
@@ -349,18 +359,18 @@
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let bytes = frame.into_data().unwrap_or_default();
-                    self.events.feed(&bytes).map_err(|_| Ending::Malformed)?;
+                    self.events.feed(&bytes).map_err(|_| AttemptEnd::Malformed)?;
                 }
-                Some(Err(_)) => return Err(Ending::Reset),
-                None => return Err(Ending::Malformed),
+                Some(Err(_)) => return Err(AttemptEnd::Reset),
+                None => return Err(AttemptEnd::Malformed),
             }
         }
     }
 
-    fn decode(&mut self, data: &str) -> Result<(), Ending> {
-        let chunk: Chunk = serde_json::from_str(data).map_err(|_| Ending::Malformed)?;
+    fn decode(&mut self, data: &str) -> Result<(), AttemptEnd> {
+        let chunk: Chunk = serde_json::from_str(data).map_err(|_| AttemptEnd::Malformed)?;
         if chunk.error.is_some() {
-            return Err(Ending::Refused { status: 500 });
+            return Err(AttemptEnd::ErrorStatus { status: 500 });
         }
         for choice in chunk.choices {
             if !choice.text.is_empty() {
--- a/engine-client/src/lib.rs
+++ b/engine-client/src/lib.rs
@@ -2,16 +2,15 @@
 //! `kv_transfer_params` handed from the reader to the writer, load in `endpoint-load-metrics` headers.
 //!
 //! [`Client::read`] and [`Client::write`] make one exchange each and say how it ended; what an ending proves is
-//! decided in the conductor. Dropping either future, or a [`Writing`], breaks the exchange off by closing its
+//! decided in the request manager. Dropping either future, or a [`DecodeStream`], breaks the exchange off by closing its
 //! connection. `docs/engine.md` says what of the wire is published and what was added.
 
 mod exchange;
 mod orca;
 mod pool;
-mod spawner;
 mod sse;
 
-pub use exchange::{Client, Heard, Held, WriteRequest, Writing};
+pub use exchange::{Client, CompletionRequest, DecodeStream, PrefillResult, Reply};
 pub use orca::{Load, parse as parse_load};
-pub use spawner::Spawner;
+pub use petrelshore_runtime::Spawner;
 pub use sse::{Events, Oversized};
--- a/engine-client/src/pool.rs
+++ b/engine-client/src/pool.rs
@@ -1,15 +1,15 @@
 //! Connections to model servers, kept open between exchanges.
 
-use crate::spawner::Spawner;
 use async_net::TcpStream;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use petrelshore::interface::Nanos;
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::connection_pool::Connections;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::connection_pool::ConnectionPool;
 use petrelshore_http1::connecting::{Unconnected, connect};
 use petrelshore_http1::system_calls::Persistent;
+use petrelshore_runtime::Spawner;
 use smol_hyper::rt::FuturesIo;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 pub struct Pool {
     spawner: Spawner,
     started: Instant,
-    idle: RefCell<Connections<SocketAddr, Sender>>,
+    idle: RefCell<ConnectionPool<SocketAddr, Sender>>,
 }
 
 impl Pool {
@@ -37,31 +37,31 @@
 
     /// A connection that was used before and is open as far as can be told, and how long it was idle.
     pub fn pooled(&self, to: SocketAddr) -> Option<(Sender, Nanos)> {
-        self.idle.borrow_mut().take(self.now(), to, Sender::is_ready)
+        self.idle.borrow_mut().check_out(self.now(), to, Sender::is_ready)
     }
 
     /// An answer has come on a pooled connection.
     pub fn held(&self) {
-        self.idle.borrow_mut().held(self.now());
+        self.idle.borrow_mut().reuse_succeeded(self.now());
     }
 
     /// A pooled connection broke under its request.
     pub fn broke(&self, to: SocketAddr, idle: Nanos) {
-        self.idle.borrow_mut().broke(self.now(), to, idle);
+        self.idle.borrow_mut().reuse_failed(self.now(), to, idle);
     }
 
     /// A new connection, or none within the time.
-    pub async fn connect(&self, to: SocketAddr, within: Duration) -> Result<Sender, Ending> {
+    pub async fn connect(&self, to: SocketAddr, within: Duration) -> Result<Sender, AttemptEnd> {
         let stream = connect(to, within).await.map_err(|why| match why {
-            Unconnected::Scarce => Ending::NotSent,
-            Unconnected::Peer => Ending::NotConnected,
+            Unconnected::Scarce => AttemptEnd::NotSent,
+            Unconnected::Peer => AttemptEnd::NotConnected,
         })?;
         let stream = TcpStream::from(stream);
         // Tokens are small and must not wait for each other.
         let _ = stream.set_nodelay(true);
         let mut builder = http1::Builder::new();
         let handshake = builder.max_buf_size(HEAD).handshake(FuturesIo::new(Persistent::new(stream))).await;
-        let (sender, connection) = handshake.map_err(|_| Ending::NotConnected)?;
+        let (sender, connection) = handshake.map_err(|_| AttemptEnd::NotConnected)?;
         let driven = async move {
             // Its end shows at the exchange that runs on it.
             let _ = connection.await;
@@ -77,12 +77,12 @@
     /// Takes a connection back whose exchange is over.
     pub fn keep(&self, to: SocketAddr, sender: Sender) {
         if !sender.is_closed() {
-            self.idle.borrow_mut().keep(self.now(), to, sender);
+            self.idle.borrow_mut().check_in(self.now(), to, sender);
         }
     }
 
     /// Drops what is kept for servers that are no longer listed.
     pub fn keep_only(&self, listed: impl Fn(&SocketAddr) -> bool) {
-        self.idle.borrow_mut().forget(|address| !listed(address));
+        self.idle.borrow_mut().remove(|address| !listed(address));
     }
 }
--- a/engine-client/tests/endings.rs
+++ b/engine-client/tests/endings.rs
@@ -3,15 +3,15 @@
 use async_executor::LocalExecutor;
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use petrelshore_engine_client::{Client, Spawner, WriteRequest};
-use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_engine_client::{Client, CompletionRequest, Spawner};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::buffered::Piece;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-fn request(to: SocketAddr, fresh: bool) -> WriteRequest {
-    WriteRequest {
+fn request(to: SocketAddr, fresh: bool) -> CompletionRequest {
+    CompletionRequest {
         to,
         request_id: "1-0".to_owned(),
         model: Rc::from("m"),
@@ -84,9 +84,9 @@
 }
 
 /// Writes until the end, and says how it ended.
-async fn written(client: &Client, request: &WriteRequest) -> (String, Result<(), Ending>) {
+async fn written(client: &Client, request: &CompletionRequest) -> (String, Result<(), AttemptEnd>) {
     let mut text = String::new();
-    let mut writing = match client.write(request).await.result {
+    let mut writing = match client.decode(request).await.result {
         Ok(writing) => writing,
         Err(ending) => return (text, Err(ending)),
     };
@@ -106,26 +106,30 @@
 #[test]
 fn each_refusal_is_classed_by_status_and_code_together() {
     let rows = [
-        (error("503 x", "full"), Ending::RefusedFull, true),
-        (error("409 x", "state_missing"), Ending::StateMissing, true),
+        (error("503 x", "full"), AttemptEnd::AtCapacity, true),
+        (error("409 x", "state_missing"), AttemptEnd::KvCacheMissing, true),
         // The status alone, or the code alone, proves nothing: a proxy may have made it up.
-        (answer("503 x", "busy"), Ending::Refused { status: 503 }, false),
-        (error("500 x", "full"), Ending::Refused { status: 500 }, false),
-        (error("409 x", "other"), Ending::Refused { status: 409 }, false),
-        (answer("429 x", "{}"), Ending::Refused { status: 429 }, false),
-        (String::new(), Ending::Reset, false),
-        ("HTTP/1.1 200 OK\r\ncontent-len".to_owned(), Ending::Reset, false),
-        ("nonsense\r\n\r\n".to_owned(), Ending::Reset, false),
-        (answer("200 OK", EVENTS).replace("data: [DONE]", "data: {}    "), Ending::Malformed, false),
-        (answer("200 OK", "data: {]\n\n"), Ending::Malformed, false),
-        (answer("200 OK", "data: [DONE]\n\n"), Ending::Malformed, false),
-        (answer("200 OK", &format!("data: {}", "x".repeat(600 << 10))), Ending::Malformed, false),
+        (answer("503 x", "busy"), AttemptEnd::ErrorStatus { status: 503 }, false),
+        (error("500 x", "full"), AttemptEnd::ErrorStatus { status: 500 }, false),
+        (error("409 x", "other"), AttemptEnd::ErrorStatus { status: 409 }, false),
+        (answer("429 x", "{}"), AttemptEnd::ErrorStatus { status: 429 }, false),
+        (String::new(), AttemptEnd::Reset, false),
+        ("HTTP/1.1 200 OK\r\ncontent-len".to_owned(), AttemptEnd::Reset, false),
+        ("nonsense\r\n\r\n".to_owned(), AttemptEnd::Reset, false),
+        (answer("200 OK", EVENTS).replace("data: [DONE]", "data: {}    "), AttemptEnd::Malformed, false),
+        (answer("200 OK", "data: {]\n\n"), AttemptEnd::Malformed, false),
+        (answer("200 OK", "data: [DONE]\n\n"), AttemptEnd::Malformed, false),
+        (answer("200 OK", &format!("data: {}", "x".repeat(600 << 10))), AttemptEnd::Malformed, false),
         (
             answer("200 OK", "data: {\"error\":{\"message\":\"x\"}}\n\n"),
-            Ending::Refused { status: 500 },
+            AttemptEnd::ErrorStatus { status: 500 },
+            false,
+        ),
+        (
+            answer("200 OK", EVENTS).replace("content-length: 1", "content-length: 9"),
+            AttemptEnd::Reset,
             false,
         ),
-        (answer("200 OK", EVENTS).replace("content-length: 1", "content-length: 9"), Ending::Reset, false),
     ];
     for (text, ending, proven) in rows {
         run(|executor, client| async move {
@@ -134,7 +138,7 @@
             let (_, ended) = written(&client, &request(to, true)).await;
             // A body that is longer than its events ends well at its closing mark.
             assert_eq!(ended.err(), if cut { None } else { Some(ending) }, "{text:.200}");
-            assert_eq!(ending.proves_unrun(), proven, "{text:.200}");
+            assert_eq!(ending.proves_not_run(), proven, "{text:.200}");
         });
     }
 }
@@ -146,8 +150,8 @@
         let to = unused.local_addr().unwrap();
         drop(unused);
         let (_, ended) = written(&client, &request(to, false)).await;
-        assert_eq!(ended, Err(Ending::NotConnected));
-        assert!(Ending::NotConnected.proves_unrun());
+        assert_eq!(ended, Err(AttemptEnd::NotConnected));
+        assert!(AttemptEnd::NotConnected.proves_not_run());
     });
 }
 
@@ -159,8 +163,8 @@
         async_io::Timer::after(Duration::from_millis(30)).await;
         // The peer reads the second request whole, and closes: it may have run.
         let (_, ended) = written(&client, &request(to, false)).await;
-        assert_eq!(ended, Err(Ending::Reset));
-        assert!(!Ending::Reset.proves_unrun());
+        assert_eq!(ended, Err(AttemptEnd::Reset));
+        assert!(!AttemptEnd::Reset.proves_not_run());
     });
 }
 
@@ -187,10 +191,10 @@
         let fresh = request(to, true);
         let late = async {
             async_io::Timer::after(Duration::from_millis(300)).await;
-            (String::new(), Err(Ending::TimedOut))
+            (String::new(), Err(AttemptEnd::TimedOut))
         };
         let (_, ended) = future::or(written(&client, &fresh), late).await;
-        assert_eq!(ended, Err(Ending::TimedOut));
+        assert_eq!(ended, Err(AttemptEnd::TimedOut));
     });
 }
 
@@ -201,10 +205,10 @@
     for (body, kept) in [(good, Some(7.0)), (r#"{"usage":{}}"#, None), ("[]", None)] {
         run(|executor, client| async move {
             let to = peer(&executor, vec![vec![answer("200 OK", body)]]).await;
-            let heard = client.read(&request(to, false)).await;
+            let heard = client.prefill(&request(to, false)).await;
             match kept {
                 Some(kept) => assert_eq!(heard.result.unwrap().kept_tokens, kept),
-                None => assert_eq!(heard.result.err(), Some(Ending::Malformed)),
+                None => assert_eq!(heard.result.err(), Some(AttemptEnd::Malformed)),
             }
         });
     }
--- a/gateway-core/src/attempt_outcome.rs
+++ b/gateway-core/src/attempt_outcome.rs
@@ -7,23 +7,23 @@
 
 /// How an exchange with a model server ended, as its socket showed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum AttemptEnd {
     /// The whole answer came, with its closing mark.
-    Generated,
+    Completed,
     /// The prompt is read; so many of its tokens had been kept.
-    ReadDone { kept: f64 },
+    PrefillDone { cached_tokens: f64 },
     /// No connection was made, so no byte of the request went out.
     NotConnected,
     /// The request came back from the connection unwritten, and no other connection was to be had.
-    HandedBack,
+    ReturnedUnsent,
     /// The gateway itself did not send it: what was told meanwhile forbids it, or all of its own connections are taken.
     NotSent,
     /// The server said, by its documented code, that it has no room and has not begun.
-    RefusedFull,
+    AtCapacity,
     /// The server said, by its documented code, that the read state it was to fetch is not there.
-    StateMissing,
+    KvCacheMissing,
     /// Any other error status. It may have come after some work.
-    Refused { status: u16 },
+    ErrorStatus { status: u16 },
     /// The connection broke after bytes of the request may have gone out, fresh or pooled alike.
     Reset,
     /// The answer is not what the protocol allows: cut short, oversized, or garbage.
@@ -34,54 +34,54 @@
     Cancelled,
 }
 
-impl Ending {
+impl AttemptEnd {
     /// The outcome that the decisions are told; `began` once a token has come.
     pub fn outcome(self, began: bool) -> Outcome {
-        if began && self.proves_unrun() {
+        if began && self.proves_not_run() {
             return Outcome::Error; // what has answered has run, whatever it says later
         }
         match self {
-            Ending::Generated => Outcome::Completed,
-            Ending::ReadDone { kept } => Outcome::PrefillDone { cached_tokens: kept },
-            Ending::NotConnected => Outcome::ConnectFailed,
-            Ending::HandedBack | Ending::NotSent => Outcome::NeverSent,
-            Ending::RefusedFull => Outcome::AtCapacity,
-            Ending::StateMissing => Outcome::KvCacheMissing,
-            Ending::Refused { .. } | Ending::Malformed => Outcome::Error,
-            Ending::Reset => Outcome::Reset,
-            Ending::TimedOut => Outcome::TimedOut,
-            Ending::Cancelled => Outcome::Cancelled,
+            AttemptEnd::Completed => Outcome::Completed,
+            AttemptEnd::PrefillDone { cached_tokens: kept } => Outcome::PrefillDone { cached_tokens: kept },
+            AttemptEnd::NotConnected => Outcome::ConnectFailed,
+            AttemptEnd::ReturnedUnsent | AttemptEnd::NotSent => Outcome::NeverSent,
+            AttemptEnd::AtCapacity => Outcome::AtCapacity,
+            AttemptEnd::KvCacheMissing => Outcome::KvCacheMissing,
+            AttemptEnd::ErrorStatus { .. } | AttemptEnd::Malformed => Outcome::Error,
+            AttemptEnd::Reset => Outcome::Reset,
+            AttemptEnd::TimedOut => Outcome::TimedOut,
+            AttemptEnd::Cancelled => Outcome::Cancelled,
         }
     }
 
     /// Whether its server said something.
-    pub fn answered(self) -> bool {
+    pub fn server_answered(self) -> bool {
         !matches!(
             self,
-            Ending::NotConnected
-                | Ending::HandedBack
-                | Ending::NotSent
-                | Ending::Reset
-                | Ending::TimedOut
-                | Ending::Cancelled
+            AttemptEnd::NotConnected
+                | AttemptEnd::ReturnedUnsent
+                | AttemptEnd::NotSent
+                | AttemptEnd::Reset
+                | AttemptEnd::TimedOut
+                | AttemptEnd::Cancelled
         )
     }
 
     /// Whether the attempt provably never ran.
-    pub fn proves_unrun(self) -> bool {
+    pub fn proves_not_run(self) -> bool {
         match self {
-            Ending::NotConnected
-            | Ending::HandedBack
-            | Ending::NotSent
-            | Ending::RefusedFull
-            | Ending::StateMissing => true,
-            Ending::Generated
-            | Ending::ReadDone { .. }
-            | Ending::Refused { .. }
-            | Ending::Reset
-            | Ending::Malformed
-            | Ending::TimedOut
-            | Ending::Cancelled => false,
+            AttemptEnd::NotConnected
+            | AttemptEnd::ReturnedUnsent
+            | AttemptEnd::NotSent
+            | AttemptEnd::AtCapacity
+            | AttemptEnd::KvCacheMissing => true,
+            AttemptEnd::Completed
+            | AttemptEnd::PrefillDone { .. }
+            | AttemptEnd::ErrorStatus { .. }
+            | AttemptEnd::Reset
+            | AttemptEnd::Malformed
+            | AttemptEnd::TimedOut
+            | AttemptEnd::Cancelled => false,
         }
     }
 }
--- a/gateway-core/src/cache_releases.rs
+++ b/gateway-core/src/cache_releases.rs
@@ -35,26 +35,26 @@
 
 /// What is known of the state that is to be let go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum CacheState {
     /// The reader has said that it holds it.
     Held,
     /// Its read was cut off: it may be held, never be held, or be held a moment later.
-    CutOff,
+    Uncertain,
 }
 
 /// What came of telling a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    Answered,
+pub enum ReleaseOutcome {
+    Acknowledged,
     /// It provably does not run, or is not known any more.
-    Gone,
+    ServerGone,
 }
 
 /// Tells a reader to let go of what it holds for a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Release {
+pub struct CacheRelease {
     pub server: ServerId,
-    pub request: String,
+    pub request_id: String,
 }
 
 struct Owed {
@@ -67,30 +67,30 @@
 }
 
 /// All that this gateway owes.
-pub struct Releases {
+pub struct CacheReleases {
     within: Nanos,
-    owed: BTreeMap<Release, Owed>,
-    due: BTreeSet<(Nanos, Release)>,
+    owed: BTreeMap<CacheRelease, Owed>,
+    due: BTreeSet<(Nanos, CacheRelease)>,
     lost: u64,
 }
 
-impl Releases {
+impl CacheReleases {
     /// `within` is the time in which a state must be let go.
     pub fn new(within: Nanos) -> Self {
-        Releases { within, owed: BTreeMap::new(), due: BTreeSet::new(), lost: 0 }
+        CacheReleases { within, owed: BTreeMap::new(), due: BTreeSet::new(), lost: 0 }
     }
 
     /// A state is to be let go of: tell its reader now, whatever it was told before: a second read may have left
     /// another one there.
-    pub fn owe(&mut self, now: Nanos, release: &Release, state: State) {
+    pub fn add(&mut self, now: Nanos, release: &CacheRelease, state: CacheState) {
         self.settled(release);
         if self.owed.len() >= MOST {
             self.drop_oldest();
         }
-        let wait = self.answer_within();
+        let wait = self.answer_timeout();
         let settles_from = match state {
-            State::Held => now,
-            State::CutOff => now.saturating_add(ON_ITS_WAY),
+            CacheState::Held => now,
+            CacheState::Uncertain => now.saturating_add(ON_ITS_WAY),
         };
         self.due.insert((now + wait, release.clone()));
         self.owed
@@ -98,39 +98,40 @@
     }
 
     /// Takes back what is owed for a request: the readers that may still hold something.
-    pub fn take_back(&mut self, request: &str) -> Vec<ServerId> {
-        let owed: Vec<Release> = self.owed.keys().filter(|owed| owed.request == request).cloned().collect();
+    pub fn revoke(&mut self, request: &str) -> Vec<ServerId> {
+        let owed: Vec<CacheRelease> =
+            self.owed.keys().filter(|owed| owed.request_id == request).cloned().collect();
         owed.iter().for_each(|release| self.settled(release));
         owed.into_iter().map(|release| release.server).collect()
     }
 
     /// Its reader has answered, or provably runs no more.
-    pub fn told(&mut self, now: Nanos, release: &Release, word: Word) {
+    pub fn finished(&mut self, now: Nanos, release: &CacheRelease, word: ReleaseOutcome) {
         let early = self.owed.get(release).is_some_and(|owed| now < owed.settles_from);
-        if word == Word::Gone || !early {
+        if word == ReleaseOutcome::ServerGone || !early {
             self.settled(release);
         }
     }
 
-    fn settled(&mut self, release: &Release) {
+    fn settled(&mut self, release: &CacheRelease) {
         if let Some(owed) = self.owed.remove(release) {
             self.due.remove(&(owed.next, release.clone()));
         }
     }
 
     /// How long a reader may take to answer before it is told again.
-    pub fn answer_within(&self) -> Nanos {
+    pub fn answer_timeout(&self) -> Nanos {
         (self.within / FIRST).max(1)
     }
 
     /// How long an answer is awaited before the next server is told as well.
-    pub fn another_after(&self) -> Nanos {
-        (self.answer_within() / NEXT).max(1)
+    pub fn relay_interval(&self) -> Nanos {
+        (self.answer_timeout() / NEXT).max(1)
     }
 
     /// By way of whom else a reader that can't be had is told: of the servers that should be there, given with when
     /// they were last heard of, the ones heard last, others with each try, since those may be lost too.
-    pub fn by_way_of(&self, release: &Release, ready: &[(Nanos, ServerId)]) -> Vec<ServerId> {
+    pub fn relays(&self, release: &CacheRelease, ready: &[(Nanos, ServerId)]) -> Vec<ServerId> {
         let mut others: Vec<_> = ready.iter().filter(|(_, id)| *id != release.server).copied().collect();
         others.sort_unstable_by_key(|(heard, id)| (Reverse(*heard), *id));
         let tries = self.owed.get(release).map_or(0, |owed| owed.tries);
@@ -139,12 +140,12 @@
         others.into_iter().take(OTHERS).map(|(_, id)| id).collect()
     }
 
-    pub fn next_due(&self) -> Option<Nanos> {
+    pub fn next_timeout(&self) -> Option<Nanos> {
         self.due.first().map(|(at, _)| *at)
     }
 
     /// What is to be told again by now.
-    pub fn due(&mut self, now: Nanos) -> Vec<Release> {
+    pub fn on_timeout(&mut self, now: Nanos) -> Vec<CacheRelease> {
         let mut again = Vec::new();
         while let Some((at, release)) = self.due.first().cloned().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, release.clone()));
@@ -166,16 +167,16 @@
     }
 
     /// Since when that one is owed.
-    pub fn owed_since(&self, release: &Release) -> Option<Nanos> {
+    pub fn pending_since(&self, release: &CacheRelease) -> Option<Nanos> {
         self.owed.get(release).map(|owed| owed.since)
     }
 
-    pub fn owed(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.owed.len()
     }
 
     /// How many were given up without an answer.
-    pub fn lost(&self) -> u64 {
+    pub fn abandoned(&self) -> u64 {
         self.lost
     }
 
--- a/gateway-core/src/cancellation_limits.rs
+++ b/gateway-core/src/cancellation_limits.rs
@@ -42,13 +42,13 @@
 }
 
 #[derive(Default)]
-pub struct Withdrawals {
+pub struct CancellationLimits {
     clients: BTreeMap<Client, Seen>,
 }
 
-impl Withdrawals {
+impl CancellationLimits {
     /// Whether a client may ask for more; if not, when it may.
-    pub fn may_ask(&self, now: Nanos, client: Client) -> Result<(), Nanos> {
+    pub fn check(&self, now: Nanos, client: Client) -> Result<(), Nanos> {
         let Some(seen) = self.clients.get(&client).filter(|seen| seen.over(now) >= 0.0) else {
             return Ok(());
         };
@@ -59,14 +59,14 @@
     }
 
     /// A client withdrew a sequence with no token yet, so long after it had come.
-    pub fn withdrew(&mut self, now: Nanos, client: Client, after: Nanos) {
+    pub fn cancelled(&mut self, now: Nanos, client: Client, after: Nanos) {
         if after < PATIENT {
             self.seen(now, client).withdrawn.add(now, 1.0);
         }
     }
 
     /// A client stayed for the first token of its answer.
-    pub fn stayed(&mut self, now: Nanos, client: Client) {
+    pub fn first_token(&mut self, now: Nanos, client: Client) {
         // Who never withdraws needs no credit, and no memory.
         if self.clients.contains_key(&client) {
             self.seen(now, client).stayed.add(now, 1.0);
--- a/gateway-core/src/capacity.rs
+++ b/gateway-core/src/capacity.rs
@@ -24,14 +24,14 @@
 pub const WHOLE_ANSWER: usize = 8 << 20;
 
 /// What each traffic type is worth against the highest.
-pub fn values(types: &[TrafficType]) -> Vec<f64> {
+pub fn relative_priorities(types: &[TrafficType]) -> Vec<f64> {
     let highest = types.iter().map(|t| t.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
     types.iter().map(|t| t.priority_weight / highest).collect()
 }
 
 /// Room for sequences in hand, counted over all fronts of the gateway.
 #[derive(Debug)]
-pub struct Room {
+pub struct CapacityLimit {
     most: usize,
     held: usize,
     /// Places that something else than sequences takes up.
@@ -45,15 +45,15 @@
 
 /// Why there was no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoRoom {
+pub enum CapacityError {
     Gateway,
     Client,
 }
 
-impl Room {
+impl CapacityLimit {
     pub fn new(now: Nanos, most: usize) -> Self {
         let empty = DecayingSum::new(LEAVING);
-        Room {
+        CapacityLimit {
             most,
             held: 0,
             also: 0,
@@ -65,13 +65,13 @@
     }
 
     /// Takes room for a sequence of such a value, 1 for the highest; `client` tells who asks.
-    pub fn take(&mut self, now: Nanos, client: u64, value: f64) -> Result<(), NoRoom> {
+    pub fn acquire(&mut self, now: Nanos, client: u64, value: f64) -> Result<(), CapacityError> {
         let open = self.most as f64 * (1.0 - RESERVE * (1.0 - value.clamp(0.0, 1.0)));
         let own = self.by_client.get(&client).copied().unwrap_or(0);
         let no_room = if (self.held + self.also) as f64 >= open {
-            NoRoom::Gateway
+            CapacityError::Gateway
         } else if own >= self.one_client() {
-            NoRoom::Client
+            CapacityError::Client
         } else {
             self.held += 1;
             *self.by_client.entry(client).or_insert(0) += 1;
@@ -82,12 +82,12 @@
     }
 
     /// So many places are taken up by something else now.
-    pub fn also_taken(&mut self, places: usize) {
+    pub fn set_otherwise_used(&mut self, places: usize) {
         self.also = places;
     }
 
     /// Gives the room of one sequence back.
-    pub fn leave(&mut self, now: Nanos, client: u64) {
+    pub fn release(&mut self, now: Nanos, client: u64) {
         self.held = self.held.saturating_sub(1);
         if let Some(own) = self.by_client.get_mut(&client) {
             *own = own.saturating_sub(1);
@@ -99,13 +99,13 @@
     }
 
     /// When to come back: once as many have left as were turned away of late, within `longest`.
-    pub fn come_back(&self, now: Nanos, longest: Option<Nanos>) -> Nanos {
+    pub fn retry_after(&self, now: Nanos, longest: Option<Nanos>) -> Nanos {
         let leaving = self.left.per_second(now, self.started) + HOPED;
         let wait = (self.turned_away.read(now).max(1.0) / leaving * 1e9) as Nanos;
         wait.clamp(SOONEST, longest.unwrap_or(LATEST).max(SOONEST))
     }
 
-    pub fn held(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.held
     }
 
--- a/gateway-core/src/client_connections.rs
+++ b/gateway-core/src/client_connections.rs
@@ -62,7 +62,7 @@
 
     /// A client has connected. In a crowded table somebody may have to leave for it, of those on whose connections
     /// nothing has come (`rests`).
-    pub fn enter(
+    pub fn accept(
         &mut self,
         now: Nanos,
         rests: impl Fn(ConnectionId) -> bool,
@@ -87,33 +87,33 @@
 
     /// A request begins to come. On a kept connection its client is not to lose it from here on; a new one has to
     /// bring it whole first, or half requests would fill the table.
-    pub fn begins(&mut self, id: ConnectionId) {
+    pub fn request_started(&mut self, id: ConnectionId) {
         if matches!(self.connections.get(&id), Some(Phase::Idle(_))) {
-            self.asks(id);
+            self.request_received(id);
         }
     }
 
     /// A whole request has come.
-    pub fn asks(&mut self, id: ConnectionId) {
+    pub fn request_received(&mut self, id: ConnectionId) {
         self.set(id, Phase::Asking);
     }
 
     /// Its answer is written, and the connection waits for the next.
-    pub fn idles(&mut self, now: Nanos, id: ConnectionId) {
+    pub fn idle(&mut self, now: Nanos, id: ConnectionId) {
         self.set(id, Phase::Idle(now));
     }
 
     /// Its last answer is written.
-    pub fn ends(&mut self, id: ConnectionId) {
+    pub fn closing(&mut self, id: ConnectionId) {
         self.set(id, Phase::Ended);
     }
 
-    pub fn leave(&mut self, id: ConnectionId) {
+    pub fn closed(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
     /// For how long a connection may wait for the first byte of its next request.
-    pub fn may_idle(&self, id: ConnectionId) -> Nanos {
+    pub fn idle_deadline(&self, id: ConnectionId) -> Nanos {
         match self.connections.get(&id) {
             Some(Phase::New(_)) => HEAD_WITHIN,
             _ => IDLE_FOR,
@@ -122,7 +122,7 @@
 
     /// From when on a gateway that leaves may end a connection that rests. One that has just come will bring its own
     /// request: it is answered.
-    pub fn leaves_from(&self, id: ConnectionId) -> Nanos {
+    pub fn keep_open_until(&self, id: ConnectionId) -> Nanos {
         match self.connections.get(&id) {
             Some(Phase::New(since)) => since.saturating_add(SILENT_LEAST),
             _ => 0,
--- a/gateway-core/src/connection_pool.rs
+++ b/gateway-core/src/connection_pool.rs
@@ -53,7 +53,7 @@
 }
 
 /// Open connections that wait for their next exchange. `S` tells servers apart, `C` is the connection.
-pub struct Connections<S, C> {
+pub struct ConnectionPool<S, C> {
     servers: BTreeMap<S, Idle<C>>,
     /// Since when a connection of which server is idle, the longest first; those that are idle no more stay until it
     /// is gone through.
@@ -67,18 +67,18 @@
     broken: DecayingSum,
 }
 
-impl<S: Ord + Copy, C> Default for Connections<S, C> {
+impl<S: Ord + Copy, C> Default for ConnectionPool<S, C> {
     fn default() -> Self {
         // Where a library owns the connection: it is used again at once.
-        Connections { rested: 0, ..Self::bounded(IDLE_FOR, IDLE_ALL) }
+        ConnectionPool { rested: 0, ..Self::bounded(IDLE_FOR, IDLE_ALL) }
     }
 }
 
-impl<S: Ord + Copy, C> Connections<S, C> {
+impl<S: Ord + Copy, C> ConnectionPool<S, C> {
     /// Where servers tell for how long they keep an idle connection, and descriptors are few.
     pub fn bounded(idle_for: Nanos, idle_all: usize) -> Self {
         let idle_for = idle_for.saturating_sub(CLOSED_AHEAD).clamp(IDLE_LEAST, IDLE_FOR);
-        Connections {
+        ConnectionPool {
             servers: BTreeMap::new(),
             by_age: VecDeque::new(),
             all: 0,
@@ -91,7 +91,7 @@
     }
 
     /// Drops the connection that was idle for longest; false where none is.
-    pub fn shed(&mut self) -> bool {
+    pub fn close_oldest_idle(&mut self) -> bool {
         while let Some((since, server)) = self.by_age.pop_front() {
             let idle = self.servers.get_mut(&server).filter(|idle| idle.longest() == Some(since));
             if let Some(idle) = idle {
@@ -106,7 +106,7 @@
     /// The connection to use for an exchange, with how long it was idle. Ones that are closed (`open` tells) or were
     /// idle for too long are dropped on the way. The one used last that has rested goes first, so that the others can
     /// run out.
-    pub fn take(&mut self, now: Nanos, server: S, open: impl Fn(&C) -> bool) -> Option<(C, Nanos)> {
+    pub fn check_out(&mut self, now: Nanos, server: S, open: impl Fn(&C) -> bool) -> Option<(C, Nanos)> {
         if self.breaks(now) {
             return None;
         }
@@ -123,17 +123,17 @@
     }
 
     /// An answer has come on a connection that was used before.
-    pub fn held(&mut self, now: Nanos) {
+    pub fn reuse_succeeded(&mut self, now: Nanos) {
         self.held.add(now, 1.0);
     }
 
     /// An exchange has ended well: its connection may serve another.
-    pub fn keep(&mut self, now: Nanos, server: S, connection: C) {
+    pub fn check_in(&mut self, now: Nanos, server: S, connection: C) {
         self.rest(now, now.saturating_add(self.rested), server, connection);
     }
 
     /// A connection that came up and carried nothing yet.
-    pub fn spare(&mut self, now: Nanos, server: S, connection: C) {
+    pub fn check_in_unused(&mut self, now: Nanos, server: S, connection: C) {
         self.rest(now, now, server, connection);
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// A connection broke under its request after it had been idle for so long. All others idle that long go too.
-    pub fn broke(&mut self, now: Nanos, server: S, waited: Nanos) {
+    pub fn reuse_failed(&mut self, now: Nanos, server: S, waited: Nanos) {
         self.broken.add(now, 1.0);
         let Some(idle) = self.servers.get_mut(&server) else { return };
         idle.trusted_for = ((waited as f64 * TRUST_AFTER_BREAK) as Nanos).clamp(IDLE_LEAST, IDLE_FOR);
@@ -175,7 +175,7 @@
     }
 
     /// Nothing listens there any more, or the list no longer has it.
-    pub fn forget(&mut self, gone: impl Fn(&S) -> bool) {
+    pub fn remove(&mut self, gone: impl Fn(&S) -> bool) {
         let all = &mut self.all;
         self.servers.retain(|server, idle| {
             let keep = !gone(server);
--- a/gateway-core/src/error_response.rs
+++ b/gateway-core/src/error_response.rs
@@ -4,9 +4,9 @@
 //! retry is called harmless only where nothing ran. An abort promises nothing, and no front may word it as something
 //! that clients send again by themselves.
 
-use crate::Reason;
-use crate::buffered::{Final, Refusal};
-use crate::ingress_limits::Shut;
+use crate::FailureReason;
+use crate::buffered::{FinalAnswer, Rejection};
+use crate::ingress_limits::IngressError;
 use petrelshore::interface::Nanos;
 use std::fmt;
 
@@ -27,127 +27,137 @@
 
 /// Why a request was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    Rejected(Reason),
-    Aborted(Reason),
+pub enum ErrorCause {
+    Rejected(FailureReason),
+    Aborted(FailureReason),
     /// The gateway holds all that it may.
-    GatewayFull,
+    GatewayAtCapacity,
     /// This client holds all that one may.
-    ClientFull,
+    ClientAtCapacity,
     /// This client withdraws what it asks before it is answered.
-    Withdrawing,
+    TooManyCancelled,
     /// Too many bodies of requests are being read.
-    Reading,
+    IngressAtCapacity,
     Draining,
-    KeyInHand,
+    KeyInFlight,
     KeyReused,
     /// The client's time is too short for any answer.
-    NoTime,
+    DeadlineTooShort,
     /// The request is larger than any may be.
     TooLarge,
 }
 
-impl Cause {
+impl ErrorCause {
     /// One word for programs, the same in every front.
     pub fn code(self) -> &'static str {
         match self {
-            Cause::Rejected(_) => "rejected",
-            Cause::Aborted(_) => "aborted",
-            Cause::GatewayFull | Cause::Reading => "overloaded",
-            Cause::ClientFull => "too_many_in_hand",
-            Cause::Withdrawing => "too_many_withdrawn",
-            Cause::Draining => "draining",
-            Cause::KeyInHand => "idempotency_key_in_use",
-            Cause::KeyReused => "idempotency_key_reused",
-            Cause::NoTime => "no_time",
-            Cause::TooLarge => "too_large",
+            ErrorCause::Rejected(_) => "rejected",
+            ErrorCause::Aborted(_) => "aborted",
+            ErrorCause::GatewayAtCapacity | ErrorCause::IngressAtCapacity => "overloaded",
+            ErrorCause::ClientAtCapacity => "too_many_in_hand",
+            ErrorCause::TooManyCancelled => "too_many_withdrawn",
+            ErrorCause::Draining => "draining",
+            ErrorCause::KeyInFlight => "idempotency_key_in_use",
+            ErrorCause::KeyReused => "idempotency_key_reused",
+            ErrorCause::DeadlineTooShort => "no_time",
+            ErrorCause::TooLarge => "too_large",
         }
     }
 
     /// The field of the request's head that is to blame, if one is.
     pub fn field(self) -> Option<&'static str> {
-        matches!(self, Cause::KeyInHand | Cause::KeyReused).then_some("Idempotency-Key")
+        matches!(self, ErrorCause::KeyInFlight | ErrorCause::KeyReused).then_some("Idempotency-Key")
     }
 }
 
 /// A request's end without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unanswered {
-    pub cause: Cause,
+pub struct ErrorResponse {
+    pub cause: ErrorCause,
     pub retry: Retry,
 }
 
-impl Unanswered {
+impl ErrorResponse {
     /// Of a final answer; none for one that was generated.
-    pub fn of(last: &Final) -> Option<Unanswered> {
+    pub fn from_final_answer(last: &FinalAnswer) -> Option<ErrorResponse> {
         match last {
-            Final::Generated { .. } => None,
-            Final::Rejected { retry_after, reason } => Some(Unanswered {
-                cause: Cause::Rejected(*reason),
+            FinalAnswer::Completed { .. } => None,
+            FinalAnswer::Rejected { retry_after, reason } => Some(ErrorResponse {
+                cause: ErrorCause::Rejected(*reason),
                 retry: Retry::After(retry_after.unwrap_or(SOON)),
             }),
-            Final::Aborted { reason } => {
-                Some(Unanswered { cause: Cause::Aborted(*reason), retry: Retry::Never })
+            FinalAnswer::Aborted { reason } => {
+                Some(ErrorResponse { cause: ErrorCause::Aborted(*reason), retry: Retry::Never })
             }
         }
     }
 }
 
-impl From<Refusal> for Unanswered {
-    fn from(refusal: Refusal) -> Unanswered {
+impl From<Rejection> for ErrorResponse {
+    fn from(refusal: Rejection) -> ErrorResponse {
         let (cause, retry) = match refusal {
-            Refusal::GatewayFull { retry_after } => (Cause::GatewayFull, Retry::After(retry_after)),
-            Refusal::ClientFull { retry_after } => (Cause::ClientFull, Retry::After(retry_after)),
-            Refusal::Withdrawing { retry_after } => (Cause::Withdrawing, Retry::After(retry_after)),
-            Refusal::Draining { retry_after } => (Cause::Draining, Retry::After(retry_after)),
-            Refusal::KeyInHand { retry_after } => (Cause::KeyInHand, Retry::After(retry_after)),
-            Refusal::KeyReused => (Cause::KeyReused, Retry::Mended),
-            Refusal::NoTime => (Cause::NoTime, Retry::Mended),
+            Rejection::GatewayAtCapacity { retry_after } => {
+                (ErrorCause::GatewayAtCapacity, Retry::After(retry_after))
+            }
+            Rejection::ClientAtCapacity { retry_after } => {
+                (ErrorCause::ClientAtCapacity, Retry::After(retry_after))
+            }
+            Rejection::TooManyCancelled { retry_after } => {
+                (ErrorCause::TooManyCancelled, Retry::After(retry_after))
+            }
+            Rejection::Draining { retry_after } => (ErrorCause::Draining, Retry::After(retry_after)),
+            Rejection::KeyInFlight { retry_after } => (ErrorCause::KeyInFlight, Retry::After(retry_after)),
+            Rejection::KeyReused => (ErrorCause::KeyReused, Retry::Mended),
+            Rejection::DeadlineTooShort => (ErrorCause::DeadlineTooShort, Retry::Mended),
         };
-        Unanswered { cause, retry }
+        ErrorResponse { cause, retry }
     }
 }
 
-impl From<Shut> for Unanswered {
-    fn from(shut: Shut) -> Unanswered {
+impl From<IngressError> for ErrorResponse {
+    fn from(shut: IngressError) -> ErrorResponse {
         match shut {
-            Shut::TooLarge => Unanswered { cause: Cause::TooLarge, retry: Retry::Mended },
-            Shut::Full | Shut::AddressFull => Unanswered { cause: Cause::Reading, retry: Retry::After(SOON) },
+            IngressError::TooLarge => ErrorResponse { cause: ErrorCause::TooLarge, retry: Retry::Mended },
+            IngressError::AtCapacity | IngressError::AddressAtCapacity => {
+                ErrorResponse { cause: ErrorCause::IngressAtCapacity, retry: Retry::After(SOON) }
+            }
         }
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::NoRoom => "no model server can take it in time",
-            Reason::Failed => "the model servers failed at it",
-            Reason::OutOfTime => "it was not answered in time",
-            Reason::Broken => "the answer broke off",
-            Reason::Stalled => "the client took nothing of its answer",
-            Reason::Draining => "this gateway is stopping",
-            Reason::TooLong => "the answer is larger than a whole answer may be",
-            Reason::Repeated => "a request with this idempotency key ended before and its answer is not kept",
+            FailureReason::AtCapacity => "no model server can take it in time",
+            FailureReason::AttemptsExhausted => "the model servers failed at it",
+            FailureReason::DeadlineExceeded => "it was not answered in time",
+            FailureReason::StreamBroken => "the answer broke off",
+            FailureReason::ClientStalled => "the client took nothing of its answer",
+            FailureReason::ShuttingDown => "this gateway is stopping",
+            FailureReason::AnswerTooLarge => "the answer is larger than a whole answer may be",
+            FailureReason::AlreadyRan => {
+                "a request with this idempotency key ended before and its answer is not kept"
+            }
         })
     }
 }
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for ErrorResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.cause {
-            Cause::Rejected(reason) => write!(f, "rejected: {reason}; trying again is harmless"),
-            Cause::Aborted(reason) => write!(f, "aborted: {reason}; the work may have run"),
-            Cause::GatewayFull => f.write_str("the gateway holds all that it may"),
-            Cause::ClientFull => f.write_str("too many requests of yours are in hand"),
-            Cause::Withdrawing => {
+            ErrorCause::Rejected(reason) => write!(f, "rejected: {reason}; trying again is harmless"),
+            ErrorCause::Aborted(reason) => write!(f, "aborted: {reason}; the work may have run"),
+            ErrorCause::GatewayAtCapacity => f.write_str("the gateway holds all that it may"),
+            ErrorCause::ClientAtCapacity => f.write_str("too many requests of yours are in hand"),
+            ErrorCause::TooManyCancelled => {
                 f.write_str("too many requests of yours were withdrawn before their answer")
             }
-            Cause::Reading => f.write_str("too many requests are being read"),
-            Cause::Draining => f.write_str("this gateway is stopping"),
-            Cause::KeyInHand => f.write_str("a request with this idempotency key is still running"),
-            Cause::KeyReused => f.write_str("this idempotency key stands for another request"),
-            Cause::NoTime => f.write_str("the time given is too short for any answer"),
-            Cause::TooLarge => f.write_str("the request is larger than any may be"),
+            ErrorCause::IngressAtCapacity => f.write_str("too many requests are being read"),
+            ErrorCause::Draining => f.write_str("this gateway is stopping"),
+            ErrorCause::KeyInFlight => f.write_str("a request with this idempotency key is still running"),
+            ErrorCause::KeyReused => f.write_str("this idempotency key stands for another request"),
+            ErrorCause::DeadlineTooShort => f.write_str("the time given is too short for any answer"),
+            ErrorCause::TooLarge => f.write_str("the request is larger than any may be"),
         }
     }
 }
--- a/gateway-core/src/flow_control.rs
+++ b/gateway-core/src/flow_control.rs
@@ -25,7 +25,7 @@
 pub type StreamId = u32;
 
 #[derive(Debug)]
-pub struct Windows {
+pub struct FlowControl {
     /// The connection's window when nothing is out, as far as the peer has told.
     whole: i64,
     /// Bytes sent that the peer has not given back to the connection.
@@ -36,25 +36,25 @@
     still_since: Option<Nanos>,
 }
 
-impl Default for Windows {
+impl Default for FlowControl {
     fn default() -> Self {
-        Windows { whole: DEFAULT, out: 0, streams: BTreeMap::new(), still_since: None }
+        FlowControl { whole: DEFAULT, out: 0, streams: BTreeMap::new(), still_since: None }
     }
 }
 
-impl Windows {
-    pub fn opened(&mut self, stream: StreamId) {
+impl FlowControl {
+    pub fn stream_opened(&mut self, stream: StreamId) {
         self.streams.insert(stream, 0);
     }
 
     /// Bytes that a stream may send now, as far as the others are concerned; the protocol's windows bound it too.
-    pub fn room(&self, stream: StreamId) -> usize {
+    pub fn sendable(&self, stream: StreamId) -> usize {
         let holds = self.streams.get(&stream).copied().unwrap_or(0);
         ((self.whole as f64 * HOLDS) as i64 - holds).max(0) as usize
     }
 
     /// A stream has sent so many bytes.
-    pub fn sent(&mut self, now: Nanos, stream: StreamId, bytes: usize) {
+    pub fn data_sent(&mut self, now: Nanos, stream: StreamId, bytes: usize) {
         self.out += bytes as i64;
         if let Some(out) = self.streams.get_mut(&stream) {
             *out += bytes as i64;
@@ -65,7 +65,7 @@
     }
 
     /// The peer gave back so many bytes, of a stream or, for stream 0, of the connection.
-    pub fn given(&mut self, now: Nanos, stream: StreamId, bytes: u32) {
+    pub fn window_update(&mut self, now: Nanos, stream: StreamId, bytes: u32) {
         let bytes = i64::from(bytes);
         if stream != 0 {
             if let Some(out) = self.streams.get_mut(&stream) {
@@ -81,17 +81,17 @@
     }
 
     /// A stream is over. What it had out counts against the connection until the peer gives it back.
-    pub fn closed(&mut self, stream: StreamId) {
+    pub fn stream_closed(&mut self, stream: StreamId) {
         self.streams.remove(&stream);
     }
 
-    /// When [`Windows::to_end`] may next name a stream.
-    pub fn next_due(&self) -> Option<Nanos> {
+    /// When [`FlowControl::to_end`] may next name a stream.
+    pub fn next_timeout(&self) -> Option<Nanos> {
         self.still_since.map(|since| since + STANDSTILL)
     }
 
     /// The stream to be ended by now, so that the others can go on. None where no single one is the cause.
-    pub fn to_end(&mut self, now: Nanos) -> Option<StreamId> {
+    pub fn stream_to_reset(&mut self, now: Nanos) -> Option<StreamId> {
         let since = self.still_since.filter(|since| now >= since + STANDSTILL)?;
         // Ending one must have had its time to help before the next goes.
         self.still_since = Some(now.max(since));
--- a/gateway-core/src/graceful_shutdown.rs
+++ b/gateway-core/src/graceful_shutdown.rs
@@ -35,44 +35,49 @@
 const MOVED_HERE: f64 = 0.25;
 
 /// Who has come for the rest of a stream that broke elsewhere.
-pub struct Arrivals {
+pub struct ResumeRate {
     resumed: DecayingSum,
 }
 
-impl Default for Arrivals {
+impl Default for ResumeRate {
     fn default() -> Self {
-        Arrivals { resumed: DecayingSum::new(AWAY) }
+        ResumeRate { resumed: DecayingSum::new(AWAY) }
     }
 }
 
-impl Arrivals {
-    pub fn resumed(&mut self, now: Nanos) {
+impl ResumeRate {
+    pub fn record(&mut self, now: Nanos) {
         self.resumed.add(now, 1.0);
     }
 
     /// Whether another gateway seems to have left just now, with so many sequences in hand here.
-    pub fn another_left(&self, now: Nanos, in_hand: usize) -> bool {
+    pub fn another_gateway_stopped(&self, now: Nanos, in_hand: usize) -> bool {
         self.resumed.read(now) > MOVED_HERE * in_hand.max(1) as f64
     }
 }
 
 /// Times from the word to stop on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct ShutdownPlan {
     /// From when to when streams that run are ended for their clients to ask for the rest elsewhere.
-    pub move_streams: Option<(Nanos, Nanos)>,
+    pub migrate_streams: Option<(Nanos, Nanos)>,
     /// Until then what comes is taken.
-    pub serve_until: Nanos,
+    pub accept_until: Nanos,
     /// When what still runs is ended; none where it runs on.
-    pub end_all_at: Option<Nanos>,
+    pub terminate_at: Option<Nanos>,
     /// When the process is to have ended, whatever is left then; none where everything runs on.
-    pub gone_by: Option<Nanos>,
+    pub exit_by: Option<Nanos>,
 }
 
 /// `alone` where no other gateway seems to be there now.
-pub fn leaving(longest_abandon: Nanos, clients_resume: bool, alone: bool) -> Leaving {
+pub fn plan_shutdown(longest_abandon: Nanos, clients_resume: bool, alone: bool) -> ShutdownPlan {
     if !clients_resume {
-        return Leaving { move_streams: None, serve_until: STILL_COMING, end_all_at: None, gone_by: None };
+        return ShutdownPlan {
+            migrate_streams: None,
+            accept_until: STILL_COMING,
+            terminate_at: None,
+            exit_by: None,
+        };
     }
     let kill = longest_abandon.min(MOST) + KILL_AFTER;
     let before = |time: Nanos| kill.saturating_sub(time).max(STILL_COMING);
@@ -80,18 +85,18 @@
         true => (before(MOVED_BEFORE), before(MOVED_LATE_BEFORE)),
         false => (STILL_COMING, before(MOVED_BEFORE)),
     };
-    Leaving {
-        move_streams: Some(move_streams),
-        serve_until: before(SHUT_BEFORE),
-        end_all_at: Some(before(ENDED_BEFORE)),
-        gone_by: Some(before(GONE_BEFORE)),
+    ShutdownPlan {
+        migrate_streams: Some(move_streams),
+        accept_until: before(SHUT_BEFORE),
+        terminate_at: Some(before(ENDED_BEFORE)),
+        exit_by: Some(before(GONE_BEFORE)),
     }
 }
 
-impl Leaving {
+impl ShutdownPlan {
     /// How many of the streams that run are to be ended by now, where the next time to ask is `next`.
-    pub fn to_move(&self, at: Nanos, next: Nanos, running: usize) -> usize {
-        match self.move_streams {
+    pub fn streams_to_migrate(&self, at: Nanos, next: Nanos, running: usize) -> usize {
+        match self.migrate_streams {
             Some((from, until)) if at >= from => {
                 let left = until.saturating_sub(at).max(1);
                 let part = (next.saturating_sub(at) as f64 / left as f64).min(1.0);
--- a/gateway-core/src/http2_abuse.rs
+++ b/gateway-core/src/http2_abuse.rs
@@ -29,7 +29,7 @@
 
 /// What a peer sent, as far as manners go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum PeerFrame {
     Ping,
     Settings,
     Reset,
@@ -41,7 +41,7 @@
 
 /// Why a connection is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum Abuse {
     Pings,
     Settings,
     Resets,
@@ -50,13 +50,13 @@
 
 /// What is due on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum KeepaliveAction {
     /// Ask the peer whether it is there.
-    Ask,
+    Ping,
     /// It has not answered: it is gone.
-    Gone,
+    PeerGone,
     /// Nothing has run on it for long.
-    Close,
+    CloseIdle,
 }
 
 /// So many at once, and so many a second.
@@ -94,7 +94,7 @@
 }
 
 #[derive(Debug)]
-pub struct Manners {
+pub struct AbuseDetector {
     pings: Credit,
     settings: Credit,
     resets: Credit,
@@ -105,14 +105,14 @@
     asked: Option<Nanos>,
     calls: usize,
     empty_since: Nanos,
-    bad: Option<Bad>,
+    bad: Option<Abuse>,
 }
 
-impl Manners {
+impl AbuseDetector {
     /// Of a connection that has just been made and may carry so many calls at once.
     pub fn new(now: Nanos, most_calls: usize) -> Self {
         let resets = Allowance::of(most_calls as f64 * RESETS_FOR_EACH_STREAM, RESETS_A_SECOND);
-        Manners {
+        AbuseDetector {
             pings: Credit::new(now, PINGS),
             settings: Credit::new(now, SETTINGS),
             resets: Credit::new(now, resets),
@@ -128,14 +128,14 @@
     }
 
     /// The peer sent a frame.
-    pub fn heard(&mut self, now: Nanos, what: Heard) {
+    pub fn frame_received(&mut self, now: Nanos, what: PeerFrame) {
         (self.heard, self.asked) = (now, None);
         let bad = match what {
-            Heard::Call => return,
-            Heard::Ping => (!self.ping(now)).then_some(Bad::Pings),
-            Heard::Settings => (!self.settings.uses(now)).then_some(Bad::Settings),
-            Heard::Reset => (!self.resets.uses(now)).then_some(Bad::Resets),
-            Heard::Small => (!self.small.uses(now)).then_some(Bad::SmallFrames),
+            PeerFrame::Call => return,
+            PeerFrame::Ping => (!self.ping(now)).then_some(Abuse::Pings),
+            PeerFrame::Settings => (!self.settings.uses(now)).then_some(Abuse::Settings),
+            PeerFrame::Reset => (!self.resets.uses(now)).then_some(Abuse::Resets),
+            PeerFrame::Small => (!self.small.uses(now)).then_some(Abuse::SmallFrames),
         };
         self.bad = self.bad.or(bad);
     }
@@ -147,28 +147,28 @@
     }
 
     /// Something was sent to the peer for a call.
-    pub fn sent(&mut self) {
+    pub fn frame_sent(&mut self) {
         self.strikes = 0;
     }
 
     /// A call has begun on it.
-    pub fn opened(&mut self) {
+    pub fn call_started(&mut self) {
         self.calls += 1;
     }
 
     /// A call on it is over.
-    pub fn closed(&mut self, now: Nanos) {
+    pub fn call_ended(&mut self, now: Nanos) {
         self.calls = self.calls.saturating_sub(1);
         self.empty_since = now;
     }
 
     /// Why the connection is to be ended, once it is.
-    pub fn bad(&self) -> Option<Bad> {
+    pub fn detected(&self) -> Option<Abuse> {
         self.bad
     }
 
-    /// When [`Manners::due`] next has something to say.
-    pub fn next_due(&self) -> Nanos {
+    /// When [`AbuseDetector::due`] next has something to say.
+    pub fn next_timeout(&self) -> Nanos {
         match (self.calls, self.asked) {
             (0, _) => self.empty_since.max(self.heard) + IDLE,
             (_, Some(asked)) => asked + ANSWER_WITHIN,
@@ -177,16 +177,16 @@
     }
 
     /// What is to be done by now.
-    pub fn due(&mut self, now: Nanos) -> Option<Due> {
-        if now < self.next_due() {
+    pub fn on_timeout(&mut self, now: Nanos) -> Option<KeepaliveAction> {
+        if now < self.next_timeout() {
             return None;
         }
         Some(match (self.calls, self.asked) {
-            (0, _) => Due::Close,
-            (_, Some(_)) => Due::Gone,
+            (0, _) => KeepaliveAction::CloseIdle,
+            (_, Some(_)) => KeepaliveAction::PeerGone,
             (_, None) => {
                 self.asked = Some(now);
-                Due::Ask
+                KeepaliveAction::Ping
             }
         })
     }
--- a/gateway-core/src/idempotency.rs
+++ b/gateway-core/src/idempotency.rs
@@ -22,7 +22,7 @@
 
 /// How a request with a key ended. `E` is the front's final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended<E> {
+pub enum CompletedRequest<E> {
     /// With its whole text.
     Answered { text: Rc<str>, end: E },
     /// It ended so, but its text was too large to keep: it can't be told again, and must not run again.
@@ -31,68 +31,68 @@
 
 /// What to do with a request that has a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Known<E> {
+pub enum KeyStatus<E> {
     /// It is new, and now in hand.
     New,
     /// Its first one is still running.
-    InHand,
+    InFlight,
     /// Its first one ended so.
-    Ended(Ended<E>),
+    Completed(CompletedRequest<E>),
     /// The key stands for another request.
-    OtherRequest,
+    DifferentRequest,
 }
 
 enum Entry<E> {
     InHand { fingerprint: u64 },
-    Ended { fingerprint: u64, until: Nanos, bytes: usize, ended: Ended<E> },
+    Ended { fingerprint: u64, until: Nanos, bytes: usize, ended: CompletedRequest<E> },
 }
 
-pub struct Replays<E> {
+pub struct IdempotencyStore<E> {
     entries: BTreeMap<Key, Entry<E>>,
     /// Ended keys, the oldest first.
     order: VecDeque<(Nanos, Key)>,
     bytes: usize,
 }
 
-impl<E: Clone> Default for Replays<E> {
+impl<E: Clone> Default for IdempotencyStore<E> {
     fn default() -> Self {
-        Replays { entries: BTreeMap::new(), order: VecDeque::new(), bytes: 0 }
+        IdempotencyStore { entries: BTreeMap::new(), order: VecDeque::new(), bytes: 0 }
     }
 }
 
-impl<E: Clone> Replays<E> {
+impl<E: Clone> IdempotencyStore<E> {
     /// A request with a key has come; `fingerprint` tells requests apart.
-    pub fn come(&mut self, now: Nanos, key: &Key, fingerprint: u64) -> Known<E> {
+    pub fn begin(&mut self, now: Nanos, key: &Key, fingerprint: u64) -> KeyStatus<E> {
         self.age(now);
         match self.entries.get(key) {
             Some(Entry::InHand { fingerprint: first } | Entry::Ended { fingerprint: first, .. })
                 if *first != fingerprint =>
             {
-                Known::OtherRequest
+                KeyStatus::DifferentRequest
             }
-            Some(Entry::InHand { .. }) => Known::InHand,
-            Some(Entry::Ended { ended, .. }) => Known::Ended(ended.clone()),
+            Some(Entry::InHand { .. }) => KeyStatus::InFlight,
+            Some(Entry::Ended { ended, .. }) => KeyStatus::Completed(ended.clone()),
             None => {
                 self.entries.insert(key.clone(), Entry::InHand { fingerprint });
-                Known::New
+                KeyStatus::New
             }
         }
     }
 
     /// A request with a key ended with nothing run, or was never taken: the key is free again.
-    pub fn free(&mut self, key: &Key) {
+    pub fn remove(&mut self, key: &Key) {
         if matches!(self.entries.get(key), Some(Entry::InHand { .. })) {
             self.entries.remove(key);
         }
     }
 
     /// A request with a key has ended, and something may have run. It is known for `window`.
-    pub fn ended(&mut self, now: Nanos, key: &Key, text: &str, end: E, window: Nanos) {
+    pub fn complete(&mut self, now: Nanos, key: &Key, text: &str, end: E, window: Nanos) {
         let Some(Entry::InHand { fingerprint }) = self.entries.get(key) else { return };
         let fingerprint = *fingerprint;
         let (bytes, ended) = match text.len() <= ONE {
-            true => (text.len(), Ended::Answered { text: Rc::from(text), end }),
-            false => (0, Ended::TooLarge),
+            true => (text.len(), CompletedRequest::Answered { text: Rc::from(text), end }),
+            false => (0, CompletedRequest::TooLarge),
         };
         let until = now.saturating_add(window);
         self.bytes += bytes;
@@ -122,7 +122,7 @@
         while self.bytes > BYTES && at < self.order.len() {
             if let Some(Entry::Ended { bytes, ended, .. }) = self.entries.get_mut(&self.order[at].1) {
                 self.bytes -= std::mem::take(bytes);
-                *ended = Ended::TooLarge;
+                *ended = CompletedRequest::TooLarge;
             }
             at += 1;
         }
--- a/gateway-core/src/ingress_limits.rs
+++ b/gateway-core/src/ingress_limits.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Debug)]
-pub struct Doors {
+pub struct IngressLimits {
     most_connections: usize,
     most_bytes: usize,
     largest: usize,
@@ -28,23 +28,23 @@
 
 /// Why the door stays shut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shut {
+pub enum IngressError {
     /// This one body is larger than any may be.
     TooLarge,
     /// There is no room now.
-    Full,
+    AtCapacity,
     /// This address has its part already.
-    AddressFull,
+    AddressAtCapacity,
 }
 
-impl Doors {
+impl IngressLimits {
     pub fn new(connections: usize, largest_body: usize) -> Self {
         Self::bounded(connections, largest_body, largest_body.saturating_mul(BODIES))
     }
 
     /// With so many bytes of bodies in all, where memory is small.
     pub fn bounded(connections: usize, largest_body: usize, most_bytes: usize) -> Self {
-        Doors {
+        IngressLimits {
             most_connections: connections,
             most_bytes,
             largest: largest_body,
@@ -53,37 +53,37 @@
         }
     }
 
-    pub fn connect(&mut self, address: u64) -> Result<(), Shut> {
+    pub fn acquire_connection(&mut self, address: u64) -> Result<(), IngressError> {
         if self.all.connections >= self.most_connections {
-            return Err(Shut::Full);
+            return Err(IngressError::AtCapacity);
         }
         let part = ((self.most_connections as f64 * ONE_ADDRESS) as usize).max(FEW);
         let own = self.by_address.entry(address).or_default();
         if own.connections >= part {
-            return Err(Shut::AddressFull);
+            return Err(IngressError::AddressAtCapacity);
         }
         own.connections += 1;
         self.all.connections += 1;
         Ok(())
     }
 
-    pub fn leave(&mut self, address: u64) {
+    pub fn release_connection(&mut self, address: u64) {
         self.all.connections = self.all.connections.saturating_sub(1);
         self.change(address, |own| own.connections = own.connections.saturating_sub(1));
     }
 
     /// More bytes of a body have come, or its length was told; `so_far` are those it holds already.
-    pub fn more(&mut self, address: u64, so_far: usize, bytes: usize) -> Result<(), Shut> {
+    pub fn acquire_bytes(&mut self, address: u64, so_far: usize, bytes: usize) -> Result<(), IngressError> {
         if so_far.saturating_add(bytes) > self.largest {
-            return Err(Shut::TooLarge);
+            return Err(IngressError::TooLarge);
         }
         if self.all.bytes + bytes > self.most_bytes {
-            return Err(Shut::Full);
+            return Err(IngressError::AtCapacity);
         }
         let part = ((self.most_bytes as f64 * ONE_ADDRESS) as usize).max(self.largest);
         let own = self.by_address.entry(address).or_default();
         if own.bytes + bytes > part {
-            return Err(Shut::AddressFull);
+            return Err(IngressError::AddressAtCapacity);
         }
         own.bytes += bytes;
         self.all.bytes += bytes;
@@ -91,7 +91,7 @@
     }
 
     /// A body is understood or dropped.
-    pub fn less(&mut self, address: u64, bytes: usize) {
+    pub fn release_bytes(&mut self, address: u64, bytes: usize) {
         self.all.bytes = self.all.bytes.saturating_sub(bytes);
         self.change(address, |own| own.bytes = own.bytes.saturating_sub(bytes));
     }
--- a/gateway-core/src/lib.rs
+++ b/gateway-core/src/lib.rs
@@ -42,4 +42,4 @@
 pub mod token_estimate;
 
 pub use policy::Chooser;
-pub use request_manager::{Action, Conductor, Counts, Dispatch, NewSequence, Reason, Relay};
+pub use request_manager::{Action, Counts, Dispatch, FailureReason, NewSequence, Relay, RequestManager};
--- a/gateway-core/src/policy.rs
+++ b/gateway-core/src/policy.rs
@@ -5,10 +5,10 @@
 
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore::{Scheduler, held_since};
+use petrelshore::{Scheduler, cache_held_since};
 use std::collections::BTreeMap;
 
-/// Which policy a conductor asks.
+/// Which policy a request manager asks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Chooser {
     #[default]
@@ -33,75 +33,82 @@
     }
 
     /// Servers looked at so far; none for the baseline.
-    pub fn examined(&self) -> u64 {
+    pub fn servers_examined(&self) -> u64 {
         match self {
-            Policy::Decisions(scheduler) => scheduler.examined(),
+            Policy::Decisions(scheduler) => scheduler.servers_examined(),
             Policy::Baseline(_) => 0,
         }
     }
 
-    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
+    pub fn update_endpoints(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
         match self {
-            Policy::Decisions(scheduler) => scheduler.listed(now, scope, entries),
-            Policy::Baseline(baseline) => baseline.listed(scope, entries),
+            Policy::Decisions(scheduler) => scheduler.update_endpoints(now, scope, entries),
+            Policy::Baseline(baseline) => baseline.update_endpoints(scope, entries),
         }
     }
 
-    pub fn refused(&mut self) -> Nanos {
+    pub fn endpoint_poll_failed(&mut self) -> Nanos {
         match self {
-            Policy::Decisions(scheduler) => scheduler.refused(),
+            Policy::Decisions(scheduler) => scheduler.endpoint_poll_failed(),
             Policy::Baseline(baseline) => baseline.deployment.max_poll_interval / 2,
         }
     }
 
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
+    pub fn load_reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         if let Policy::Decisions(scheduler) = self {
-            scheduler.reported(now, server, report);
+            scheduler.load_reported(now, server, report);
         }
     }
 
-    pub fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Decision {
+    pub fn schedule(&mut self, now: Nanos, sequence: &mut Sequence) -> Decision {
         match self {
-            Policy::Decisions(scheduler) => scheduler.schedule(now, seq),
-            Policy::Baseline(baseline) => baseline.schedule(now, seq),
+            Policy::Decisions(scheduler) => scheduler.schedule(now, sequence),
+            Policy::Baseline(baseline) => baseline.schedule(now, sequence),
         }
     }
 
-    pub fn settle(&mut self, now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
+    pub fn attempt_finished(
+        &mut self,
+        now: Nanos,
+        sequence: &mut Sequence,
+        n: usize,
+        got: Outcome,
+        last: bool,
+    ) -> NextStep {
         match self {
-            Policy::Decisions(scheduler) => scheduler.settle(now, seq, n, got, last),
-            Policy::Baseline(_) => Baseline::settle(now, seq, n, got, last),
+            Policy::Decisions(scheduler) => scheduler.attempt_finished(now, sequence, n, got, last),
+            Policy::Baseline(_) => Baseline::attempt_finished(now, sequence, n, got, last),
         }
     }
 
-    pub fn wait(&self, now: Nanos, seq: &Sequence) -> Nanos {
+    pub fn next_timeout(&self, now: Nanos, sequence: &Sequence) -> Nanos {
         match self {
-            Policy::Decisions(scheduler) => scheduler.wait(now, seq),
-            Policy::Baseline(baseline) => baseline.wait(now, seq),
+            Policy::Decisions(scheduler) => scheduler.next_timeout(now, sequence),
+            Policy::Baseline(baseline) => baseline.next_timeout(now, sequence),
         }
     }
 
-    pub fn held_until(&self, seq: &Sequence) -> Option<Nanos> {
+    pub fn cache_release_deadline(&self, sequence: &Sequence) -> Option<Nanos> {
         match self {
-            Policy::Decisions(scheduler) => scheduler.held_until(seq),
-            Policy::Baseline(baseline) => baseline.held_until(seq),
+            Policy::Decisions(scheduler) => scheduler.cache_release_deadline(sequence),
+            Policy::Baseline(baseline) => baseline.cache_release_deadline(sequence),
         }
     }
 
-    pub fn send_by(&self, seq: &Sequence) -> Option<Nanos> {
+    pub fn send_deadline(&self, sequence: &Sequence) -> Option<Nanos> {
         match self {
-            Policy::Decisions(scheduler) => scheduler.send_by(seq),
+            Policy::Decisions(scheduler) => scheduler.send_deadline(sequence),
             // It takes nothing that may not be repeated at any time.
             Policy::Baseline(_) => None,
         }
     }
 
-    pub fn began(&mut self, now: Nanos, seq: &mut Sequence, n: usize) {
+    pub fn first_token(&mut self, now: Nanos, sequence: &mut Sequence, n: usize) {
         match self {
-            Policy::Decisions(scheduler) => scheduler.began(now, seq, n),
+            Policy::Decisions(scheduler) => scheduler.first_token(now, sequence, n),
             Policy::Baseline(_) => {
-                if let Some(attempt) = seq.attempts.get_mut(n) {
-                    (attempt.status, seq.kv_cache, seq.cache_held_since) =
+                if let Some(attempt) = sequence.attempts.get_mut(n) {
+                    (attempt.status, sequence.kv_cache, sequence.cache_held_since) =
                         (AttemptStatus::Streaming, None, None);
                 }
             }
@@ -124,24 +131,26 @@
         Baseline { deployment, chance: Rand64::new(seed.into()), servers: BTreeMap::new() }
     }
 
-    fn listed(&mut self, scope: SnapshotKind, entries: &[Endpoint]) {
+    fn update_endpoints(&mut self, scope: SnapshotKind, entries: &[Endpoint]) {
         if scope != SnapshotKind::Delta {
             self.servers.clear();
         }
         self.servers.extend(entries.iter().map(|entry| (entry.server, entry.clone())));
     }
 
-    fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Decision {
-        if seq.completed || seq.attempts.iter().any(|a| !matches!(a.status, AttemptStatus::Finished(_))) {
+    fn schedule(&mut self, now: Nanos, sequence: &mut Sequence) -> Decision {
+        if sequence.completed
+            || sequence.attempts.iter().any(|a| !matches!(a.status, AttemptStatus::Finished(_)))
+        {
             return Decision::Wait;
         }
-        let effect = self.deployment.types[seq.traffic.0].idempotency;
-        let spent = seq.attempts.len() >= self.deployment.max_attempts;
-        let may_repeat = effect == Idempotency::Idempotent || !may_have_run(seq);
-        if now + RECHECK >= seq.first_token_deadline || spent || !may_repeat {
-            return Self::give_up(seq, may_repeat);
+        let effect = self.deployment.types[sequence.traffic.0].idempotency;
+        let spent = sequence.attempts.len() >= self.deployment.max_attempts;
+        let may_repeat = effect == Idempotency::Idempotent || !may_have_run(sequence);
+        if now + RECHECK >= sequence.first_token_deadline || spent || !may_repeat {
+            return Self::give_up(sequence, may_repeat);
         }
-        let kv_cache = seq.kv_cache.filter(|held| {
+        let kv_cache = sequence.kv_cache.filter(|held| {
             let endpoint = self.servers.get(&held.server);
             endpoint.is_some_and(|e| e.state != EndpointState::Gone && e.started_at <= held.since)
         });
@@ -152,18 +161,18 @@
                     (writer, if cell(writer) == cell(reader) { Step::Decode } else { Step::MigratedDecode })
                 })
             }
-            None if seq.attempts.len() + 2 > self.deployment.max_attempts => None,
+            None if sequence.attempts.len() + 2 > self.deployment.max_attempts => None,
             None => self.any(|role| role != Role::Decode).map(|server| {
                 let reads = self.role(&self.servers[&server]) == Role::Prefill;
                 (server, if reads { Step::Prefill } else { Step::Combined })
             }),
         };
-        let pinned = self.held_until(seq).is_some_and(|until| now + RECHECK >= until);
+        let pinned = self.cache_release_deadline(sequence).is_some_and(|until| now + RECHECK >= until);
         match picked.filter(|_| !pinned) {
             Some((server, step)) => {
-                let tokens = seq.prompt_tokens;
-                seq.admitted = true;
-                seq.attempts.push(Attempt {
+                let tokens = sequence.prompt_tokens;
+                sequence.admitted = true;
+                sequence.attempts.push(Attempt {
                     server,
                     sent_at: now,
                     step,
@@ -175,55 +184,55 @@
                 Decision::Send(server)
             }
             None if !pinned => Decision::Wait,
-            None => Self::give_up(seq, true),
+            None => Self::give_up(sequence, true),
         }
     }
 
-    fn held_until(&self, seq: &Sequence) -> Option<Nanos> {
-        seq.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
+    fn cache_release_deadline(&self, sequence: &Sequence) -> Option<Nanos> {
+        sequence.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
     }
 
-    fn give_up(seq: &mut Sequence, harmless: bool) -> Decision {
-        let release = !seq.attempts.is_empty();
-        (seq.completed, seq.kv_cache, seq.cache_held_since) = (true, None, None);
+    fn give_up(sequence: &mut Sequence, harmless: bool) -> Decision {
+        let release = !sequence.attempts.is_empty();
+        (sequence.completed, sequence.kv_cache, sequence.cache_held_since) = (true, None, None);
         match harmless {
             true => Decision::Reject { retry_after: None, release },
             false => Decision::Abort { release },
         }
     }
 
-    fn settle(now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
+    fn attempt_finished(now: Nanos, sequence: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
         let Some(attempt) =
-            seq.attempts.get_mut(n).filter(|a| !matches!(a.status, AttemptStatus::Finished(_)))
+            sequence.attempts.get_mut(n).filter(|a| !matches!(a.status, AttemptStatus::Finished(_)))
         else {
             return NextStep::Wait;
         };
         attempt.status = AttemptStatus::Finished(got);
         let (server, attempt) = (attempt.server, attempt.clone());
-        if last || seq.completed {
-            seq.completed = true;
+        if last || sequence.completed {
+            sequence.completed = true;
             return NextStep::Complete { release: got != Outcome::Completed };
         }
         match got {
-            Outcome::PrefillDone { .. } => seq.kv_cache = Some(KvCacheLocation { server, since: now }),
-            Outcome::KvCacheMissing => seq.kv_cache = None,
+            Outcome::PrefillDone { .. } => sequence.kv_cache = Some(KvCacheLocation { server, since: now }),
+            Outcome::KvCacheMissing => sequence.kv_cache = None,
             _ => {}
         }
-        seq.cache_held_since = held_since(now, seq, &attempt, got);
+        sequence.cache_held_since = cache_held_since(now, sequence, &attempt, got);
         NextStep::Schedule
     }
 
-    fn wait(&self, now: Nanos, seq: &Sequence) -> Nanos {
-        let left = seq.first_token_deadline.saturating_sub(now);
-        match seq.attempts.last().filter(|a| a.status == AttemptStatus::InFlight) {
+    fn next_timeout(&self, now: Nanos, sequence: &Sequence) -> Nanos {
+        let left = sequence.first_token_deadline.saturating_sub(now);
+        match sequence.attempts.last().filter(|a| a.status == AttemptStatus::InFlight) {
             None => RECHECK.min(left),
-            Some(attempt) if attempt.step != Step::Prefill && !self.repeatable(seq) => left,
+            Some(attempt) if attempt.step != Step::Prefill && !self.repeatable(sequence) => left,
             Some(_) => left / 2,
         }
     }
 
-    fn repeatable(&self, seq: &Sequence) -> bool {
-        self.deployment.types[seq.traffic.0].idempotency == Idempotency::Idempotent
+    fn repeatable(&self, sequence: &Sequence) -> bool {
+        self.deployment.types[sequence.traffic.0].idempotency == Idempotency::Idempotent
     }
 
     fn role(&self, endpoint: &Endpoint) -> Role {
@@ -241,10 +250,10 @@
     }
 }
 
-fn may_have_run(seq: &Sequence) -> bool {
+fn may_have_run(sequence: &Sequence) -> bool {
     use Outcome::*;
     let proven = |a: &Attempt| {
         matches!(a.status, AttemptStatus::Finished(AtCapacity | KvCacheMissing | ConnectFailed | NeverSent))
     };
-    seq.attempts.iter().any(|attempt| attempt.step != Step::Prefill && !proven(attempt))
+    sequence.attempts.iter().any(|attempt| attempt.step != Step::Prefill && !proven(attempt))
 }
--- a/gateway-core/src/send_gate.rs
+++ b/gateway-core/src/send_gate.rs
@@ -10,7 +10,7 @@
 
 /// Why an attempt may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Denial {
+pub enum SendDenial {
     /// Its client has closed its connection, or ended its sending.
     ClientLeft,
     /// Its sequence has its final answer, or goes by another attempt.
@@ -20,58 +20,63 @@
     /// Its server is listed no more.
     Gone,
     /// Its server is reached elsewhere now.
-    Moved,
+    AddressChanged,
     /// Its server has started anew since: what was reckoned of it holds no more.
-    StartedAnew,
+    Restarted,
     /// The servers that know the sequence's mark forget it by now.
-    WindowOver,
+    KeyExpired,
     /// Nothing is left of its own time.
-    OutOfTime,
+    DeadlineExceeded,
 }
 
 /// An attempt whose connection has come up.
 #[derive(Clone, Copy, Debug)]
-pub struct Due<'a> {
+pub struct PendingSend<'a> {
     pub dispatch: &'a Dispatch,
     /// When it was decided on.
-    pub ordered: Nanos,
+    pub decided_at: Nanos,
     /// Where it would go, and its server's start as listed when it was decided on.
-    pub to: SocketAddr,
-    pub server_start: Option<Nanos>,
+    pub address: SocketAddr,
+    pub server_started_at: Option<Nanos>,
     pub client_left: bool,
 }
 
 /// Where a server is listed now.
 #[derive(Clone, Copy, Debug)]
-pub struct ListedNow {
+pub struct CurrentEndpoint {
     pub address: SocketAddr,
-    pub condition: EndpointState,
-    pub start: Nanos,
+    pub state: EndpointState,
+    pub started_at: Nanos,
 }
 
 /// Whether it may begin; `current` where it is the attempt that its sequence has out.
-pub fn may_begin(now: Nanos, due: &Due, current: bool, listed: Option<ListedNow>) -> Result<(), Denial> {
+pub fn check_send(
+    now: Nanos,
+    due: &PendingSend,
+    current: bool,
+    listed: Option<CurrentEndpoint>,
+) -> Result<(), SendDenial> {
     if due.client_left {
-        return Err(Denial::ClientLeft);
+        return Err(SendDenial::ClientLeft);
     }
     if !current {
-        return Err(Denial::Superseded);
+        return Err(SendDenial::Superseded);
     }
-    let server = listed.filter(|listed| listed.condition != EndpointState::Gone).ok_or(Denial::Gone)?;
-    if server.condition != EndpointState::Ready {
-        return Err(Denial::Draining);
+    let server = listed.filter(|listed| listed.state != EndpointState::Gone).ok_or(SendDenial::Gone)?;
+    if server.state != EndpointState::Ready {
+        return Err(SendDenial::Draining);
     }
-    if server.address != due.to {
-        return Err(Denial::Moved);
+    if server.address != due.address {
+        return Err(SendDenial::AddressChanged);
     }
-    if Some(server.start) != due.server_start {
-        return Err(Denial::StartedAnew);
+    if Some(server.started_at) != due.server_started_at {
+        return Err(SendDenial::Restarted);
     }
-    if now >= due.dispatch.send_by {
-        return Err(Denial::WindowOver);
+    if now >= due.dispatch.send_deadline {
+        return Err(SendDenial::KeyExpired);
     }
-    if now >= due.ordered.saturating_add(due.dispatch.limit) {
-        return Err(Denial::OutOfTime);
+    if now >= due.decided_at.saturating_add(due.dispatch.timeout) {
+        return Err(SendDenial::DeadlineExceeded);
     }
     Ok(())
 }
--- a/gateway-core/src/settings_validation.rs
+++ b/gateway-core/src/settings_validation.rs
@@ -4,7 +4,7 @@
 use petrelshore::interface::{Deployment, Idempotency, KeyScope, Nanos, Role, TrafficTypeId};
 use std::fmt;
 
-/// A state needs two looks of the conductor, and an answer of its reader, to be let go in time.
+/// A state needs two looks of the request manager, and an answer of its reader, to be let go in time.
 const RELEASE_LEAST: Nanos = 100_000_000;
 /// A client's time must hold a read and a write, with a connection each, and the way back.
 const ABANDON_LEAST: Nanos = 100_000_000;
@@ -96,7 +96,7 @@
             // Repeats by the gateway end at its own give-up time; a client's own come later, to any server.
             let needed = match scope {
                 KeyScope::Fleet => abandon.saturating_mul(2),
-                KeyScope::Zone | KeyScope::Cell => timeouts::give_up_at(0, abandon),
+                KeyScope::Zone | KeyScope::Cell => timeouts::first_token_deadline(0, abandon),
             };
             if window < needed {
                 say(Some(2), About::WindowTooShort { traffic: id, needed });
--- a/gateway-core/src/stream_resumption.rs
+++ b/gateway-core/src/stream_resumption.rs
@@ -17,22 +17,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BrokenStream {
     /// How often it has gone on already.
-    pub went_on: usize,
-    pub tokens: f64,
-    pub max_out: f64,
+    pub resumptions: usize,
+    pub tokens_received: f64,
+    pub max_output_tokens: f64,
     /// When the whole answer must have ended.
-    pub ends_by: Nanos,
+    pub deadline: Nanos,
 }
 
 /// Until when the next token must come for the stream to go on; none where it ends here.
-pub fn go_on(now: Nanos, traffic: &TrafficType, broken: &BrokenStream) -> Option<Nanos> {
-    let left = broken.max_out - broken.tokens;
+pub fn resume_deadline(now: Nanos, traffic: &TrafficType, broken: &BrokenStream) -> Option<Nanos> {
+    let left = broken.max_output_tokens - broken.tokens_received;
     if traffic.idempotency != Idempotency::Idempotent
-        || broken.went_on >= MOST
+        || broken.resumptions >= MOST
         || left < FEW
-        || now >= broken.ends_by
+        || now >= broken.deadline
     {
         return None;
     }
-    Some(now.saturating_add(timeouts::silent_for(traffic)).min(broken.ends_by))
+    Some(now.saturating_add(timeouts::silence_timeout(traffic)).min(broken.deadline))
 }
--- a/gateway-core/src/timeouts.rs
+++ b/gateway-core/src/timeouts.rs
@@ -31,38 +31,38 @@
 const CONNECT_MOST: Nanos = SECOND;
 
 /// When a sequence with no token yet is given up, for a client that waits for `budget` from `arrived`.
-pub fn give_up_at(arrived: Nanos, budget: Nanos) -> Nanos {
+pub fn first_token_deadline(arrived: Nanos, budget: Nanos) -> Nanos {
     arrived.saturating_add(budget - ANSWER_BEFORE.min(budget / ANSWER_PART))
 }
 
 /// Whether a client's time holds any answer at all: a read and a write, and what is left of it now.
-pub fn worth_taking(now: Nanos, arrived: Nanos, budget: Nanos) -> bool {
-    budget >= LEAST && now < give_up_at(arrived, budget)
+pub fn has_time_left(now: Nanos, arrived: Nanos, budget: Nanos) -> bool {
+    budget >= LEAST && now < first_token_deadline(arrived, budget)
 }
 
 /// When a sequence is broken off although its stream runs. Guards against a writer that trickles for ever.
-pub fn ends_by(abandon_at: Nanos, traffic: &TrafficType, most_tokens: f64) -> Nanos {
+pub fn stream_deadline(abandon_at: Nanos, traffic: &TrafficType, most_tokens: f64) -> Nanos {
     let stream = (most_tokens.max(0.0) as u64).saturating_mul(traffic.token_interval).saturating_mul(WHOLE);
     abandon_at.saturating_add(stream.max(WHOLE_LEAST))
 }
 
 /// The same for a stream that is passed on: it ends only once each of its tokens could have come at the last moment.
-pub fn passed_ends_by(abandon_at: Nanos, most_tokens: f64) -> Nanos {
+pub fn passthrough_deadline(abandon_at: Nanos, most_tokens: f64) -> Nanos {
     abandon_at.saturating_add((most_tokens.max(1.0) as u64).saturating_mul(PASSED_SILENT))
 }
 
 /// The longest pause of a stream that is passed on.
-pub fn passed_silent_for() -> Nanos {
+pub fn passthrough_silence_timeout() -> Nanos {
     PASSED_SILENT
 }
 
 /// The longest pause of a running stream before its writer counts as lost.
-pub fn silent_for(traffic: &TrafficType) -> Nanos {
+pub fn silence_timeout(traffic: &TrafficType) -> Nanos {
     traffic.token_interval.saturating_mul(SILENT_TOKENS).max(SILENT_LEAST)
 }
 
 /// The longest time for which a client may take nothing of its stream.
-pub fn stalled_for() -> Nanos {
+pub fn stall_timeout() -> Nanos {
     STALLED
 }
 
@@ -70,7 +70,7 @@
 /// that nothing ran, which an attempt's own time-out does not; a whole lost attempt would tell less, later. While it
 /// is made, the time of a state that waits at a reader runs on: it may take a part of what is left of that, so that
 /// another server can be tried after it, and the state be let go.
-pub fn connect_within(limit: Nanos, held_for: Option<Nanos>) -> Nanos {
+pub fn connect_timeout(limit: Nanos, held_for: Option<Nanos>) -> Nanos {
     let time = limit.min(held_for.unwrap_or(Nanos::MAX));
     (time / CONNECT_PART).clamp(CONNECT_LEAST.min(limit), CONNECT_MOST)
 }
--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -5,8 +5,8 @@
 use common::*;
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::{Action, Conductor, NewSequence, Relay};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::{Action, NewSequence, Relay, RequestManager};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Pairs of a reader and a writer, and prompt tokens that a reader reads a second.
@@ -43,7 +43,7 @@
     Began(usize, SequenceId, usize),
     Whole(usize, SequenceId, usize),
     /// A gateway's own timer.
-    Due(usize),
+    PendingSend(usize),
 }
 
 /// One request of a session, by its prompt, and whether it was answered.
@@ -55,7 +55,7 @@
 }
 
 struct World {
-    gateways: Vec<Conductor>,
+    gateways: Vec<RequestManager>,
     events: BTreeSet<(Nanos, u64, Event)>,
     drawn: u64,
     /// Until when each reader is busy with what it was sent.
@@ -84,8 +84,8 @@
                 self.later(now + 60 * MS, Event::Began(gateway, id, attempt));
             }
         }
-        if let Some(due) = self.gateways[gateway].next_due() {
-            self.later(due.max(now), Event::Due(gateway));
+        if let Some(due) = self.gateways[gateway].next_timeout() {
+            self.later(due.max(now), Event::PendingSend(gateway));
         }
     }
 }
@@ -103,9 +103,9 @@
     };
     let fleet: Vec<Endpoint> = (0..2 * PAIRS).map(entry).collect();
     let start = |n: usize| {
-        let mut conductor = Conductor::new(START, two_types(gateways), seed + n as u64);
-        conductor.listed(START, SnapshotKind::Full, &fleet);
-        conductor
+        let mut manager = RequestManager::new(START, two_types(gateways), seed + n as u64);
+        manager.update_endpoints(START, SnapshotKind::Full, &fleet);
+        manager
     };
     let mut world = World {
         gateways: (0..gateways).map(start).collect(),
@@ -151,36 +151,44 @@
                     prefix: None,
                     prompt_tokens: prompt,
                     prefix_tokens: 0.0,
-                    max_out: 400.0,
-                    hint: None,
+                    max_output_tokens: 400.0,
+                    output_length_hint: None,
                     resumed: false,
                     relay: Relay::Passthrough,
-                    abandon_at: now + [6, 10][traffic] * S,
-                    whole_by: None,
+                    first_token_deadline: now + [6, 10][traffic] * S,
+                    completion_deadline: None,
                 };
-                world.gateways[gateway].take(now, new, &mut out);
+                world.gateways[gateway].accept(now, new, &mut out);
                 gateway
             }
             Event::Read(gateway, id, attempt) => {
-                world.gateways[gateway].ended(now, id, attempt, Ending::ReadDone { kept: 0.0 }, &mut out);
+                world.gateways[gateway].attempt_ended(
+                    now,
+                    id,
+                    attempt,
+                    AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+                    &mut out,
+                );
                 gateway
             }
             Event::Began(gateway, id, attempt) => {
-                world.gateways[gateway].began(now, id, attempt);
+                world.gateways[gateway].first_token(now, id, attempt);
                 world.later(now + 2 * S, Event::Whole(gateway, id, attempt));
                 gateway
             }
             Event::Whole(gateway, id, attempt) => {
-                world.gateways[gateway].ended(now, id, attempt, Ending::Generated, &mut out);
-                if out.iter().any(|action| matches!(action, Action::Over { outcome: Outcome::Completed, .. }))
+                world.gateways[gateway].attempt_ended(now, id, attempt, AttemptEnd::Completed, &mut out);
+                if out
+                    .iter()
+                    .any(|action| matches!(action, Action::Complete { outcome: Outcome::Completed, .. }))
                 {
                     let asked = world.by_id[&id];
                     world.asked[asked].answered = true;
                 }
                 gateway
             }
-            Event::Due(gateway) => {
-                world.gateways[gateway].due(now, &mut out);
+            Event::PendingSend(gateway) => {
+                world.gateways[gateway].on_timeout(now, &mut out);
                 gateway
             }
         };
--- a/gateway-core/tests/buffered.rs
+++ b/gateway-core/tests/buffered.rs
@@ -1,18 +1,19 @@
-//! The desk without sockets: keys, states, usage over a break, room.
+//! The request table without sockets: keys, states, usage over a break, room.
 
 use petrelshore::interface::*;
-use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::buffered::{
-    Desk, Final, Order, Piece, Refusal, Request, Sending, Taken, Usage, request_id,
+    Admission, BufferedRequests, Command, FinalAnswer, OutgoingAttempt, Piece, Rejection, Request, Usage,
+    request_id,
 };
-use petrelshore_gateway_core::cache_releases::Word;
+use petrelshore_gateway_core::cache_releases::ReleaseOutcome;
 use petrelshore_gateway_core::token_estimate::{Message, estimate_prompt};
-use petrelshore_gateway_core::{Chooser, Reason, Relay};
+use petrelshore_gateway_core::{Chooser, FailureReason, Relay};
 use std::rc::Rc;
 
 const MS: Nanos = 1_000_000;
 
-fn desk(most: usize) -> Desk<u8> {
+fn requests(most: usize) -> BufferedRequests<u8> {
     let traffic = TrafficType {
         priority_weight: 1.0,
         latency_slo: 1_000 * MS,
@@ -52,9 +53,9 @@
         started_at: 0,
         state: EndpointState::Ready,
     };
-    let mut desk = Desk::new(0, deployment, 5, most, Chooser::Decisions);
-    desk.listed(0, SnapshotKind::Full, &(0..4).map(endpoint).collect::<Vec<_>>());
-    desk
+    let mut requests = BufferedRequests::new(0, deployment, 5, most, Chooser::Decisions);
+    requests.update_endpoints(0, SnapshotKind::Full, &(0..4).map(endpoint).collect::<Vec<_>>());
+    requests
 }
 
 fn request(traffic: usize, key: Option<&str>) -> Request {
@@ -69,144 +70,150 @@
         idempotency_key: key.map(Rc::from),
         relay: Relay::Streamed,
         client: 1,
-        budget: 5_000 * MS,
-        whole_within: None,
-        arrived: 0,
+        first_token_budget: 5_000 * MS,
+        completion_budget: None,
+        arrived_at: 0,
     }
 }
 
-fn sending(orders: &[Order<u8>]) -> &Sending<u8> {
+fn sending(orders: &[Command<u8>]) -> &OutgoingAttempt<u8> {
     let found = orders.iter().find_map(|order| match order {
-        Order::Send(sending) => Some(sending.as_ref()),
+        Command::Send(sending) => Some(sending.as_ref()),
         _ => None,
     });
     found.unwrap_or_else(|| panic!("nothing is sent: {orders:?}"))
 }
 
 /// Takes a request and has its prompt read; what is sent to the writer.
-fn read(desk: &mut Desk<u8>, request: Request) -> (SequenceId, Sending<u8>) {
+fn read(requests: &mut BufferedRequests<u8>, request: Request) -> (SequenceId, OutgoingAttempt<u8>) {
     let mut out = Vec::new();
-    let Taken::Accepted(id) = desk.take(0, request, &mut out) else { panic!("not taken") };
+    let Admission::Accepted(id) = requests.accept(0, request, &mut out) else { panic!("not taken") };
     let reads = sending(&out).clone();
     out.clear();
-    desk.read_done(MS, &reads.dispatch, 0.0, 7, &mut out);
+    requests.prefill_done(MS, &reads.dispatch, 0.0, 7, &mut out);
     (id, sending(&out).clone())
 }
 
 #[test]
 fn a_stream_that_goes_on_has_its_text_read_and_its_tokens_counted_once() {
-    let mut desk = desk(10);
-    let (id, first) = read(&mut desk, request(0, None));
-    assert_eq!((first.state, &*first.prompt, first.max_tokens), (Some(7), "why", 10));
-    desk.began(2 * MS, &first.dispatch, &mut Vec::new());
-    desk.piece(id, Piece::Text("a ".to_owned()));
-    desk.progressed(3 * MS, id);
-    desk.piece(id, Piece::Text("b ".to_owned()));
+    let mut requests = requests(10);
+    let (id, first) = read(&mut requests, request(0, None));
+    assert_eq!((first.transfer_params, &*first.prompt, first.max_tokens), (Some(7), "why", 10));
+    requests.first_token(2 * MS, &first.dispatch, &mut Vec::new());
+    requests.receive_piece(id, Piece::Text("a ".to_owned()));
+    requests.token_received(3 * MS, id);
+    requests.receive_piece(id, Piece::Text("b ".to_owned()));
     let mut out = Vec::new();
-    desk.ended(4 * MS, &first.dispatch, Ending::Reset, &mut out);
+    requests.attempt_ended(4 * MS, &first.dispatch, AttemptEnd::Reset, &mut out);
     let again = sending(&out).clone();
     assert_eq!((again.dispatch.step, &*again.prompt, again.max_tokens), (Step::Prefill, "whya b ", 8));
     out.clear();
-    desk.read_done(5 * MS, &again.dispatch, 0.0, 8, &mut out);
+    requests.prefill_done(5 * MS, &again.dispatch, 0.0, 8, &mut out);
     let writes = sending(&out).clone();
-    desk.began(6 * MS, &writes.dispatch, &mut Vec::new());
-    desk.piece(id, Piece::Finish("stop".to_owned()));
-    desk.piece(id, Piece::Usage(Usage { prompt_tokens: 12, completion_tokens: 8 }));
+    requests.first_token(6 * MS, &writes.dispatch, &mut Vec::new());
+    requests.receive_piece(id, Piece::Finish("stop".to_owned()));
+    requests.receive_piece(id, Piece::Usage(Usage { prompt_tokens: 12, completion_tokens: 8 }));
     out.clear();
-    desk.ended(7 * MS, &writes.dispatch, Ending::Generated, &mut out);
+    requests.attempt_ended(7 * MS, &writes.dispatch, AttemptEnd::Completed, &mut out);
     let usage = Usage { prompt_tokens: 10, completion_tokens: 10 };
-    assert_eq!(out, [Order::Answer { id, last: Final::Generated { finish: "stop".to_owned(), usage } }]);
-    desk.left(8 * MS, id, true, &mut out);
-    assert_eq!((desk.held(), desk.in_hand(), desk.next_due()), (0, 0, None));
+    assert_eq!(
+        out,
+        [Command::Answer { id, last: FinalAnswer::Completed { finish_reason: "stop".to_owned(), usage } }]
+    );
+    requests.client_left(8 * MS, id, true, &mut out);
+    assert_eq!((requests.tracked(), requests.unanswered(), requests.next_timeout()), (0, 0, None));
 }
 
 #[test]
 fn a_prompt_that_is_read_anew_leaves_no_state_behind_at_its_first_reader() {
-    let mut desk = desk(10);
-    let (id, first) = read(&mut desk, request(0, None));
+    let mut requests = requests(10);
+    let (id, first) = read(&mut requests, request(0, None));
     let mut out = Vec::new();
     // Its writer breaks before it has fetched the state.
-    desk.ended(2 * MS, &first.dispatch, Ending::Reset, &mut out);
+    requests.attempt_ended(2 * MS, &first.dispatch, AttemptEnd::Reset, &mut out);
     let again = sending(&out).clone();
     assert_eq!(again.dispatch.step, Step::Prefill);
     out.clear();
-    desk.read_done(3 * MS, &again.dispatch, 0.0, 8, &mut out);
+    requests.prefill_done(3 * MS, &again.dispatch, 0.0, 8, &mut out);
     let writes = sending(&out).clone();
-    assert_eq!(writes.state, Some(8));
+    assert_eq!(writes.transfer_params, Some(8));
     out.clear();
-    desk.began(4 * MS, &writes.dispatch, &mut out);
-    let at = first.dispatch.reader.unwrap();
+    requests.first_token(4 * MS, &writes.dispatch, &mut out);
+    let at = first.dispatch.prefill_server.unwrap();
     assert!(
-        matches!(&out[..], [Order::LetGo(release)] if release.server == at && release.request == request_id(id, 0)),
+        matches!(&out[..], [Command::Release(release)] if release.server == at && release.request_id == request_id(id, 0)),
         "{out:?}"
     );
 }
 
 #[test]
 fn a_reader_that_could_not_be_connected_to_in_time_may_still_hold_what_it_was_told_to_let_go() {
-    let mut desk = desk(10);
-    let (id, writes) = read(&mut desk, request(0, None));
+    let mut requests = requests(10);
+    let (id, writes) = read(&mut requests, request(0, None));
     let mut out = Vec::new();
-    desk.left(2 * MS, id, false, &mut out);
-    desk.cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
-    assert_eq!(desk.releases_owed(), 1);
+    requests.client_left(2 * MS, id, false, &mut out);
+    requests.attempt_cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
+    assert_eq!(requests.pending_releases(), 1);
     for tried in 3..6 {
         out.clear();
-        assert!(matches!(desk.take(tried * MS, request(0, None), &mut out), Taken::Accepted(_)));
+        assert!(matches!(requests.accept(tried * MS, request(0, None), &mut out), Admission::Accepted(_)));
         let reads = sending(&out).dispatch;
-        desk.ended(tried * MS, &reads, Ending::NotConnected, &mut out);
+        requests.attempt_ended(tried * MS, &reads, AttemptEnd::NotConnected, &mut out);
     }
-    assert_eq!(desk.releases_owed(), 1, "a connection that does not come up proves nothing");
+    assert_eq!(requests.pending_releases(), 1, "a connection that does not come up proves nothing");
 }
 
 #[test]
 fn a_client_that_leaves_has_its_state_let_go_until_the_reader_has_answered() {
-    let mut desk = desk(10);
-    let (id, writes) = read(&mut desk, request(1, Some("k")));
+    let mut requests = requests(10);
+    let (id, writes) = read(&mut requests, request(1, Some("k")));
     let mut out = Vec::new();
-    desk.left(2 * MS, id, false, &mut out);
-    assert!(out.contains(&Order::Cancel { id, attempt: writes.dispatch.attempt }), "{out:?}");
-    desk.cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
+    requests.client_left(2 * MS, id, false, &mut out);
+    assert!(out.contains(&Command::Cancel { id, attempt: writes.dispatch.attempt }), "{out:?}");
+    requests.attempt_cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
     let told = out.iter().find_map(|order| match order {
-        Order::LetGo(release) => Some(release.clone()),
+        Command::Release(release) => Some(release.clone()),
         _ => None,
     });
     let release = told.unwrap_or_else(|| panic!("nothing is let go: {out:?}"));
-    assert_eq!((desk.held(), desk.releases_owed()), (0, 1));
-    desk.let_go(3 * MS, &release, Word::Answered);
-    assert_eq!(desk.releases_owed(), 0);
+    assert_eq!((requests.tracked(), requests.pending_releases()), (0, 1));
+    requests.release_finished(3 * MS, &release, ReleaseOutcome::Acknowledged);
+    assert_eq!(requests.pending_releases(), 0);
     // Its writer may have run: the key must not run it again.
-    let last = Final::Aborted { reason: Reason::Repeated };
+    let last = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
     assert!(
-        matches!(desk.take(3 * MS, request(1, Some("k")), &mut out), Taken::Replayed { last: l, .. } if l == last)
+        matches!(requests.accept(3 * MS, request(1, Some("k")), &mut out), Admission::Replayed { last: l, .. } if l == last)
     );
 }
 
 #[test]
 fn what_is_refused_leaves_nothing_behind() {
-    let mut desk = desk(1);
+    let mut requests = requests(1);
     let mut out = Vec::new();
-    assert!(matches!(desk.take(0, request(0, Some("a")), &mut out), Taken::Accepted(_)));
+    assert!(matches!(requests.accept(0, request(0, Some("a")), &mut out), Admission::Accepted(_)));
     assert!(matches!(
-        desk.take(0, request(0, Some("a")), &mut out),
-        Taken::Refused(Refusal::KeyInHand { .. })
+        requests.accept(0, request(0, Some("a")), &mut out),
+        Admission::Rejected(Rejection::KeyInFlight { .. })
     ));
     assert!(matches!(
-        desk.take(0, request(0, Some("b")), &mut out),
-        Taken::Refused(Refusal::GatewayFull { .. })
+        requests.accept(0, request(0, Some("b")), &mut out),
+        Admission::Rejected(Rejection::GatewayAtCapacity { .. })
     ));
     // A refusal frees the key that it looked at.
     assert!(matches!(
-        desk.take(0, request(0, Some("b")), &mut out),
-        Taken::Refused(Refusal::GatewayFull { .. })
+        requests.accept(0, request(0, Some("b")), &mut out),
+        Admission::Rejected(Rejection::GatewayAtCapacity { .. })
+    ));
+    requests.drain();
+    assert!(matches!(
+        requests.accept(0, request(0, None), &mut out),
+        Admission::Rejected(Rejection::Draining { .. })
     ));
-    desk.drain();
-    assert!(matches!(desk.take(0, request(0, None), &mut out), Taken::Refused(Refusal::Draining { .. })));
     out.clear();
-    desk.finish_all(MS, &mut out);
+    requests.terminate_all(MS, &mut out);
     assert!(
-        out.iter().any(|order| matches!(order, Order::Answer { last: Final::Rejected { .. }, .. })),
+        out.iter().any(|order| matches!(order, Command::Answer { last: FinalAnswer::Rejected { .. }, .. })),
         "{out:?}"
     );
-    assert_eq!(desk.in_hand(), 0);
+    assert_eq!(requests.unanswered(), 0);
 }
--- a/gateway-core/tests/invariants.rs
+++ b/gateway-core/tests/invariants.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::invariants::{Audit, Breach};
+use petrelshore_gateway_core::invariants::{InvariantChecks, Violation};
 
 const WINDOW: Nanos = 2_000 * MS;
 const TOKENED: Idempotency = Idempotency::Keyed { scope: KeyScope::Fleet, window: WINDOW };
@@ -21,7 +21,7 @@
     }
 }
 
-fn sequence(attempts: Vec<Attempt>, ended: bool) -> Sequence {
+fn new_sequence(attempts: Vec<Attempt>, ended: bool) -> Sequence {
     Sequence {
         id: SequenceId(1),
         traffic: TrafficTypeId(0),
@@ -43,8 +43,8 @@
     }
 }
 
-fn only(audit: &Audit, breach: Breach) {
-    assert_eq!(audit.breaches().iter().collect::<Vec<_>>(), [(&breach, &1)]);
+fn only(audit: &InvariantChecks, breach: Violation) {
+    assert_eq!(audit.violations().iter().collect::<Vec<_>>(), [(&breach, &1)]);
 }
 
 #[test]
@@ -53,43 +53,44 @@
     let unrun = AttemptStatus::Finished(Outcome::ConnectFailed);
     let write = |sent, status| attempt(Step::Decode, sent, status);
     let now = START + 100 * MS;
-    let judged = |seq: &Sequence, now, effect| {
-        let mut audit = Audit::default();
-        audit.attempt(now, seq, effect);
+    let judged = |sequence: &Sequence, now, effect| {
+        let mut audit = InvariantChecks::default();
+        audit.attempt_sent(now, sequence, effect);
         audit
     };
-    let repeated = sequence(vec![write(START, reset), write(now, AttemptStatus::InFlight)], false);
-    let proven = sequence(vec![write(START, unrun), write(now, AttemptStatus::InFlight)], false);
-    for (seq, effect) in
+    let repeated = new_sequence(vec![write(START, reset), write(now, AttemptStatus::InFlight)], false);
+    let proven = new_sequence(vec![write(START, unrun), write(now, AttemptStatus::InFlight)], false);
+    for (sequence, effect) in
         [(&repeated, Idempotency::Idempotent), (&repeated, TOKENED), (&proven, Idempotency::AtMostOnce)]
     {
-        assert!(judged(seq, now, effect).breaches().is_empty(), "{effect:?}");
+        assert!(judged(sequence, now, effect).violations().is_empty(), "{effect:?}");
     }
-    only(&judged(&repeated, now, Idempotency::AtMostOnce), Breach::RepeatedEffect);
-    only(&judged(&repeated, START + WINDOW, TOKENED), Breach::RepeatedEffect);
+    only(&judged(&repeated, now, Idempotency::AtMostOnce), Violation::RepeatedEffect);
+    only(&judged(&repeated, START + WINDOW, TOKENED), Violation::RepeatedEffect);
     let two =
-        sequence(vec![write(START, AttemptStatus::InFlight), write(now, AttemptStatus::InFlight)], false);
-    only(&judged(&two, now, Idempotency::Idempotent), Breach::SecondCopy);
-    let over = sequence(vec![write(now, AttemptStatus::InFlight)], true);
-    only(&judged(&over, now, Idempotency::Idempotent), Breach::SentAfterEnd);
+        new_sequence(vec![write(START, AttemptStatus::InFlight), write(now, AttemptStatus::InFlight)], false);
+    only(&judged(&two, now, Idempotency::Idempotent), Violation::ConcurrentAttempts);
+    let over = new_sequence(vec![write(now, AttemptStatus::InFlight)], true);
+    only(&judged(&over, now, Idempotency::Idempotent), Violation::SentAfterCompletion);
 }
 
 #[test]
 fn answers_and_releases_against_the_rules_are_counted_and_others_are_not() {
-    let ran = sequence(vec![attempt(Step::Decode, START, AttemptStatus::Finished(Outcome::TimedOut))], true);
-    let mut audit = Audit::default();
-    audit.rejection(START + MS, &ran, Idempotency::Idempotent);
-    audit.rejection(START + MS, &ran, TOKENED);
-    audit.final_answer(START + 3_000 * MS, &ran);
-    audit.release(START + 500 * MS, Some(START), 400 * MS);
-    audit.release(START + 10_000 * MS, None, 400 * MS);
-    assert!(audit.breaches().is_empty(), "{:?}", audit.breaches());
-    audit.rejection(START + MS, &ran, Idempotency::AtMostOnce);
-    only(&audit, Breach::FalseRejection);
-    let mut audit = Audit::default();
-    audit.final_answer(START + 3_600 * MS, &ran);
-    only(&audit, Breach::LateAnswer);
-    let mut audit = Audit::default();
-    audit.release(START + 800 * MS, Some(START), 400 * MS);
-    only(&audit, Breach::HeldTooLong);
+    let ran =
+        new_sequence(vec![attempt(Step::Decode, START, AttemptStatus::Finished(Outcome::TimedOut))], true);
+    let mut audit = InvariantChecks::default();
+    audit.rejected(START + MS, &ran, Idempotency::Idempotent);
+    audit.rejected(START + MS, &ran, TOKENED);
+    audit.answered(START + 3_000 * MS, &ran);
+    audit.cache_released(START + 500 * MS, Some(START), 400 * MS);
+    audit.cache_released(START + 10_000 * MS, None, 400 * MS);
+    assert!(audit.violations().is_empty(), "{:?}", audit.violations());
+    audit.rejected(START + MS, &ran, Idempotency::AtMostOnce);
+    only(&audit, Violation::UnsafeRejection);
+    let mut audit = InvariantChecks::default();
+    audit.answered(START + 3_600 * MS, &ran);
+    only(&audit, Violation::LateAnswer);
+    let mut audit = InvariantChecks::default();
+    audit.cache_released(START + 800 * MS, Some(START), 400 * MS);
+    only(&audit, Violation::LateRelease);
 }
