--- a/gateway-core/tests/rules.rs
+++ b/gateway-core/tests/rules.rs
@@ -1,9 +1,9 @@
-//! The conductor under generated courses of events: whatever happens, the rules hold in its actions.
+//! The request manager under generated courses of events: whatever happens, the rules hold in its actions.
 
 use oorandom::Rand64;
 use petrelshore::interface::*;
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::{Action, Conductor, Dispatch, NewSequence, Relay};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::{Action, Dispatch, NewSequence, Relay, RequestManager};
 use quickcheck::{QuickCheck, TestResult};
 use std::collections::BTreeMap;
 
@@ -111,7 +111,7 @@
     }
 }
 
-fn sequence(id: SequenceId, traffic: usize, abandon_at: Nanos) -> NewSequence {
+fn new_sequence(id: SequenceId, traffic: usize, abandon_at: Nanos) -> NewSequence {
     NewSequence {
         id,
         traffic: TrafficTypeId(traffic),
@@ -120,12 +120,12 @@
         prefix: None,
         prompt_tokens: 100.0,
         prefix_tokens: 0.0,
-        max_out: 50.0,
-        hint: None,
+        max_output_tokens: 50.0,
+        output_length_hint: None,
         resumed: false,
         relay: Relay::Passthrough,
-        abandon_at,
-        whole_by: None,
+        first_token_deadline: abandon_at,
+        completion_deadline: None,
     }
 }
 
@@ -149,7 +149,7 @@
 
 struct World {
     build: Build,
-    conductor: Conductor,
+    manager: RequestManager,
     courses: BTreeMap<SequenceId, Course>,
     closed: [bool; 6],
     chance: Rand64,
@@ -177,7 +177,7 @@
                             "rule 1: sent after its client's time",
                         ),
                         (
-                            !course.seen && dispatch.limit + self.now > course.abandon_at,
+                            !course.seen && dispatch.timeout + self.now > course.abandon_at,
                             "rule 1: an attempt outlasts its client",
                         ),
                         (
@@ -185,7 +185,7 @@
                             "rule 2: once-only sent again",
                         ),
                         (
-                            course.traffic == 1 && writes && !dispatch.fresh,
+                            course.traffic == 1 && writes && !dispatch.new_connection,
                             "rule 2: once-only not on a fresh connection",
                         ),
                     ];
@@ -239,10 +239,10 @@
                         return Err(format!("rule 2: {id:?} was rejected though it may have run"));
                     }
                 }
-                Action::Abort { id, .. } | Action::Over { id, .. } => {
+                Action::Abort { id, .. } | Action::Complete { id, .. } => {
                     self.courses.get_mut(&id).ok_or("an end for nobody")?.finals += 1;
                 }
-                Action::AskAt { .. } | Action::AskList { .. } => {}
+                Action::WakeAt { .. } | Action::PollEndpoints { .. } => {}
             }
         }
         for (id, course) in &self.courses {
@@ -271,18 +271,18 @@
         self.build.deployment.types[traffic].delivery == Delivery::Buffered
     }
 
-    fn ending(&mut self, dispatch: &Dispatch, began: bool) -> Ending {
+    fn ending(&mut self, dispatch: &Dispatch, began: bool) -> AttemptEnd {
         match self.chance.rand_range(0..10) {
-            0 => Ending::NotConnected,
-            1 => Ending::RefusedFull,
-            2 if dispatch.step != Step::Prefill => Ending::StateMissing,
-            3 => Ending::Reset,
-            4 => Ending::Refused { status: 500 },
-            5 => Ending::Malformed,
-            6 => Ending::HandedBack,
-            _ if dispatch.step == Step::Prefill => Ending::ReadDone { kept: 0.0 },
-            _ if began || self.whole(dispatch.id) => Ending::Generated,
-            _ => Ending::Reset,
+            0 => AttemptEnd::NotConnected,
+            1 => AttemptEnd::AtCapacity,
+            2 if dispatch.step != Step::Prefill => AttemptEnd::KvCacheMissing,
+            3 => AttemptEnd::Reset,
+            4 => AttemptEnd::ErrorStatus { status: 500 },
+            5 => AttemptEnd::Malformed,
+            6 => AttemptEnd::ReturnedUnsent,
+            _ if dispatch.step == Step::Prefill => AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+            _ if began || self.whole(dispatch.id) => AttemptEnd::Completed,
+            _ => AttemptEnd::Reset,
         }
     }
 
@@ -291,7 +291,7 @@
         let late = self.chance.rand_range(0..self.build.deployment.timer_resolution.max(1));
         self.now = self.now.max(due + late);
         let mut out = Vec::new();
-        self.conductor.due(self.now, &mut out);
+        self.manager.on_timeout(self.now, &mut out);
         self.carry_out(out)
     }
 
@@ -315,14 +315,19 @@
                 let course = Course { traffic, relay: relay_of, abandon_at, whole_by, ..Course::default() };
                 self.courses.insert(id, course);
                 let session = Some(SessionId(number % 5));
-                let new = NewSequence { session, relay, whole_by, ..sequence(id, traffic, abandon_at) };
-                self.conductor.take(self.now, new, &mut out);
+                let new = NewSequence {
+                    session,
+                    relay,
+                    completion_deadline: whole_by,
+                    ..new_sequence(id, traffic, abandon_at)
+                };
+                self.manager.accept(self.now, new, &mut out);
             }
             3..5 => {
                 if let Some((id, dispatch, false)) =
                     picked.filter(|(id, d, _)| d.step != Step::Prefill && !self.whole(*id))
                 {
-                    self.conductor.began(self.now, id, dispatch.attempt);
+                    self.manager.first_token(self.now, id, dispatch.attempt);
                     let course = self.courses.get_mut(&id).ok_or("gone")?;
                     (course.began, course.left) = (true, 0);
                     course.seen |= course.relay == Some(Relay::Streamed);
@@ -333,19 +338,19 @@
                     let ending = self.ending(&dispatch, began);
                     let course = self.courses.get_mut(&id).ok_or("gone")?;
                     course.out = None;
-                    let read = dispatch.step == Step::Prefill && !ending.proves_unrun();
-                    let missing = ending == Ending::StateMissing;
+                    let read = dispatch.step == Step::Prefill && !ending.proves_not_run();
+                    let missing = ending == AttemptEnd::KvCacheMissing;
                     course.left = (course.left + usize::from(read)).saturating_sub(usize::from(missing));
                     course.state = (course.left > 0).then_some(self.now);
                     match ending {
-                        proven if proven.proves_unrun() && !began => {
+                        proven if proven.proves_not_run() && !began => {
                             // The observer forgets an attempt that provably never ran.
                             let own = |(.., attempt): &(ServerId, Nanos, usize)| *attempt == dispatch.attempt;
                             course.may_have_run = course.may_have_run.filter(|first| !own(first));
                         }
                         _ => {}
                     }
-                    self.conductor.ended(self.now, id, dispatch.attempt, ending, &mut out);
+                    self.manager.attempt_ended(self.now, id, dispatch.attempt, ending, &mut out);
                 }
             }
             8 => {
@@ -355,11 +360,11 @@
                     queued_prompt_tokens: Some(share * 1e4),
                     in_flight: None,
                 };
-                self.conductor.reported(self.now, server, report);
+                self.manager.load_reported(self.now, server, report);
                 if let Some((id, ..)) = picked {
                     let course = self.courses.get_mut(&id).ok_or("gone")?;
                     course.finals += 1; // nobody is left to be answered
-                    self.conductor.withdrawn(id, &mut out);
+                    self.manager.client_cancelled(id, &mut out);
                 }
             }
             9 => {
@@ -367,7 +372,7 @@
                 let condition =
                     [EndpointState::Ready, EndpointState::Draining][self.chance.rand_range(0..2) as usize];
                 self.closed[server as usize] = condition != EndpointState::Ready;
-                self.conductor.listed(
+                self.manager.update_endpoints(
                     self.now,
                     SnapshotKind::Delta,
                     &[self.build.endpoint(server, condition)],
@@ -376,7 +381,7 @@
             _ => {
                 // Time never jumps over a timer, as in a shell that keeps them.
                 let most = self.now + self.chance.rand_range(0..400) * MS;
-                while let Some(due) = self.conductor.next_due().filter(|due| *due <= most) {
+                while let Some(due) = self.manager.next_timeout().filter(|due| *due <= most) {
                     self.pass_timer(due)?;
                 }
                 self.now = self.now.max(most);
@@ -387,11 +392,11 @@
 }
 
 fn world(seed: u64, build: Build) -> World {
-    let mut conductor = Conductor::new(0, build.deployment.clone(), seed);
+    let mut manager = RequestManager::new(0, build.deployment.clone(), seed);
     let list: Vec<Endpoint> = (0..6).map(|number| build.endpoint(number, EndpointState::Ready)).collect();
-    conductor.listed(0, SnapshotKind::Full, &list);
+    manager.update_endpoints(0, SnapshotKind::Full, &list);
     let chance = Rand64::new(seed.into());
-    World { build, conductor, courses: BTreeMap::new(), closed: [false; 6], chance, now: MS }
+    World { build, manager, courses: BTreeMap::new(), closed: [false; 6], chance, now: MS }
 }
 
 fn course(seed: u64, build: Build) -> Result<(), String> {
@@ -401,14 +406,14 @@
     }
     // Every timer runs out: whatever is in hand ends by itself.
     for _ in 0..100_000 {
-        let Some(due) = world.conductor.next_due() else { break };
+        let Some(due) = world.manager.next_timeout() else { break };
         world.pass_timer(due)?;
     }
     // And nothing is held after the end, however long nobody looks.
     world.now += 2 * world.build.deployment.release_timeout;
     world.carry_out(Vec::new())?;
     let unanswered = world.courses.values().filter(|course| course.finals != 1).count();
-    if unanswered + world.conductor.in_hand() > 0 {
+    if unanswered + world.manager.unanswered() > 0 {
         return Err(format!("rule 1: {unanswered} without a final answer"));
     }
     Ok(())
@@ -439,34 +444,39 @@
             world.step(number).unwrap();
         }
         let mut out = Vec::new();
-        world.conductor.finish_all(world.now, &mut out);
+        world.manager.terminate_all(world.now, &mut out);
         world.carry_out(out).unwrap();
         assert!(world.courses.values().all(|course| course.finals == 1), "seed {seed}");
-        assert_eq!((world.conductor.in_hand(), world.conductor.next_due()), (0, None));
+        assert_eq!((world.manager.unanswered(), world.manager.next_timeout()), (0, None));
     }
 }
 
-/// Where a conductor stands just before it gives a sequence up, and the event that makes it.
-type Cause = fn(&mut Conductor, &mut Vec<Action>) -> Nanos;
+/// Where a request manager stands just before it gives a sequence up, and the event that makes it.
+type ErrorCause = fn(&mut RequestManager, &mut Vec<Action>) -> Nanos;
 
 /// A sequence of this traffic type whose client waits for four seconds; the attempts that went out are ended so,
 /// each 10 ms after the one before.
-fn tried(conductor: &mut Conductor, traffic: usize, endings: &[Ending], out: &mut Vec<Action>) -> Nanos {
-    conductor.take(0, sequence(SequenceId(1), traffic, 4_000 * MS), out);
+fn tried(
+    manager: &mut RequestManager,
+    traffic: usize,
+    endings: &[AttemptEnd],
+    out: &mut Vec<Action>,
+) -> Nanos {
+    manager.accept(0, new_sequence(SequenceId(1), traffic, 4_000 * MS), out);
     let mut now = 0;
     for (attempt, ending) in endings.iter().enumerate() {
         now += 10 * MS;
-        conductor.ended(now, SequenceId(1), attempt, *ending, out);
+        manager.attempt_ended(now, SequenceId(1), attempt, *ending, out);
     }
     now
 }
 
 /// Timers up to the first that is not before `until`.
-fn pass(conductor: &mut Conductor, until: Nanos, out: &mut Vec<Action>) -> Nanos {
-    while let Some(due) = conductor.next_due() {
+fn pass(manager: &mut RequestManager, until: Nanos, out: &mut Vec<Action>) -> Nanos {
+    while let Some(due) = manager.next_timeout() {
         out.clear();
-        conductor.due(due, out);
-        if due >= until || conductor.next_due().is_none() {
+        manager.on_timeout(due, out);
+        if due >= until || manager.next_timeout().is_none() {
             return due;
         }
     }
@@ -475,59 +485,64 @@
 
 #[test]
 fn whatever_gives_a_sequence_up_answers_it_in_the_same_step() {
-    let causes: [(&str, Cause); 8] = [
+    let causes: [(&str, ErrorCause); 8] = [
         ("attempts are used up", |c, out| {
             tried(
                 c,
                 2,
-                &[Ending::RefusedFull, Ending::NotConnected, Ending::RefusedFull, Ending::NotConnected],
+                &[
+                    AttemptEnd::AtCapacity,
+                    AttemptEnd::NotConnected,
+                    AttemptEnd::AtCapacity,
+                    AttemptEnd::NotConnected,
+                ],
                 out,
             )
         }),
         ("once-only work may have run", |c, out| {
-            tried(c, 1, &[Ending::ReadDone { kept: 0.0 }, Ending::Reset], out)
+            tried(c, 1, &[AttemptEnd::PrefillDone { cached_tokens: 0.0 }, AttemptEnd::Reset], out)
         }),
         ("the stream broke", |c, out| {
-            tried(c, 0, &[Ending::ReadDone { kept: 0.0 }], out);
-            c.began(20 * MS, SequenceId(1), 1);
-            c.ended(30 * MS, SequenceId(1), 1, Ending::Reset, out);
+            tried(c, 0, &[AttemptEnd::PrefillDone { cached_tokens: 0.0 }], out);
+            c.first_token(20 * MS, SequenceId(1), 1);
+            c.attempt_ended(30 * MS, SequenceId(1), 1, AttemptEnd::Reset, out);
             30 * MS
         }),
         ("no server comes", |c, out| {
-            c.listed(0, SnapshotKind::Full, &[]);
+            c.update_endpoints(0, SnapshotKind::Full, &[]);
             tried(c, 0, &[], out);
             pass(c, 4_000 * MS, out)
         }),
         ("nobody can take the state in time", |c, out| {
             let writers: Vec<Endpoint> = (2..6).map(|n| endpoint(n, EndpointState::Gone)).collect();
-            c.listed(0, SnapshotKind::Delta, &writers);
-            tried(c, 0, &[Ending::ReadDone { kept: 0.0 }], out);
+            c.update_endpoints(0, SnapshotKind::Delta, &writers);
+            tried(c, 0, &[AttemptEnd::PrefillDone { cached_tokens: 0.0 }], out);
             pass(c, 4_000 * MS, out)
         }),
         ("the client's time is up under an attempt", |c, out| {
-            tried(c, 1, &[Ending::ReadDone { kept: 0.0 }], out);
+            tried(c, 1, &[AttemptEnd::PrefillDone { cached_tokens: 0.0 }], out);
             pass(c, 4_000 * MS, out)
         }),
         ("the gateway stops", |c, out| {
-            tried(c, 0, &[Ending::ReadDone { kept: 0.0 }], out);
-            c.finish_all(20 * MS, out);
+            tried(c, 0, &[AttemptEnd::PrefillDone { cached_tokens: 0.0 }], out);
+            c.terminate_all(20 * MS, out);
             20 * MS
         }),
         ("all writers are full", |c, out| {
             let full = LoadReport { memory_share: Some(1.0), queued_prompt_tokens: None, in_flight: None };
-            (2..6).for_each(|n| c.reported(0, ServerId(n), full));
+            (2..6).for_each(|n| c.load_reported(0, ServerId(n), full));
             tried(c, 0, &[], out)
         }),
     ];
     for (why, cause) in causes {
-        let mut conductor = world(5, Build::usual()).conductor;
+        let mut manager = world(5, Build::usual()).manager;
         let mut out = Vec::new();
-        let now = cause(&mut conductor, &mut out);
+        let now = cause(&mut manager, &mut out);
         let last =
-            |a: &&Action| matches!(a, Action::Reject { .. } | Action::Abort { .. } | Action::Over { .. });
+            |a: &&Action| matches!(a, Action::Reject { .. } | Action::Abort { .. } | Action::Complete { .. });
         assert_eq!(out.iter().filter(last).count(), 1, "{why}: {out:?}");
         assert_eq!(
-            (conductor.next_due(), conductor.in_hand()),
+            (manager.next_timeout(), manager.unanswered()),
             (None, 0),
             "{why}: nothing is left to wait for"
         );
--- a/grpc-api/src/connection.rs
+++ b/grpc-api/src/connection.rs
@@ -14,8 +14,8 @@
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::Gateway;
 use petrelshore_gateway_core::flow_control::StreamId;
-use petrelshore_gateway_core::http2_abuse::{Bad, Due, Manners};
-use petrelshore_ingress::entrance::{Entrance, Inside, Listening, stalled_for};
+use petrelshore_gateway_core::http2_abuse::{Abuse, AbuseDetector, KeepaliveAction};
+use petrelshore_ingress::listener::{ClientGuard, Ingress, Listener, stall_timeout};
 use petrelshore_ingress::stall::StallGuard;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -38,14 +38,14 @@
 type Socket = Compat<Watch<StallGuard>>;
 
 /// Serves clients for as long as it is polled. Connections run where the gateway's tasks run.
-pub async fn serve(listening: Listening, entrance: Entrance) {
-    let (gateway, described) = (entrance.gateway.clone(), Rc::new(Described::new()));
+pub async fn serve(listener: Listener, ingress: Ingress) {
+    let (gateway, described) = (ingress.gateway.clone(), Rc::new(Described::new()));
     let connected = move |stream, inside| connection(stream, inside, gateway.clone(), described.clone());
-    entrance.take(listening, connected, turn_away).await;
+    ingress.serve(listener, connected, reject).await;
 }
 
 /// More clients than the gateway may hold are told so: a GOAWAY before any call, so that none was taken.
-async fn turn_away(mut stream: TcpStream) {
+async fn reject(mut stream: TcpStream) {
     const SETTINGS: [u8; 9] = [0, 0, 0, 4, 0, 0, 0, 0, 0];
     const ENHANCE_YOUR_CALM: u8 = 11;
     let goaway = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, ENHANCE_YOUR_CALM];
@@ -56,7 +56,7 @@
 /// What the calls of a connection share.
 pub struct Line {
     pub gateway: Gateway,
-    pub inside: Inside,
+    pub inside: ClientGuard,
     pub known: Rc<Known>,
     pub described: Rc<Described>,
     calls: RefCell<BTreeMap<StreamId, Rc<Cut>>>,
@@ -88,8 +88,8 @@
 impl Place {
     fn new(line: Rc<Line>, id: StreamId) -> Self {
         let cut = Rc::new(Cut::default());
-        line.known.manners.borrow_mut().opened();
-        line.known.windows.borrow_mut().opened(id);
+        line.known.abuse.borrow_mut().call_started();
+        line.known.windows.borrow_mut().stream_opened(id);
         line.calls.borrow_mut().insert(id, cut.clone());
         Place { line, id, cut }
     }
@@ -98,8 +98,8 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let known = &self.line.known;
-        known.manners.borrow_mut().closed(known.clock.now());
-        known.windows.borrow_mut().closed(self.id);
+        known.abuse.borrow_mut().call_ended(known.clock.now());
+        known.windows.borrow_mut().stream_closed(self.id);
         self.line.calls.borrow_mut().remove(&self.id);
     }
 }
@@ -108,22 +108,22 @@
 enum Next {
     Call(Box<Request<RecvStream>>, SendResponse<Bytes>),
     Draining,
-    Misbehaves(Bad),
-    Due,
+    Misbehaves(Abuse),
+    KeepaliveAction,
     Over(Option<h2::Error>),
 }
 
-async fn connection(stream: TcpStream, inside: Inside, gateway: Gateway, described: Rc<Described>) {
+async fn connection(stream: TcpStream, inside: ClientGuard, gateway: Gateway, described: Rc<Described>) {
     let limits = gateway.settings().limits;
     let clock = gateway.clock();
-    let manners = Manners::new(clock.now(), limits.streams as usize);
+    let abuse = AbuseDetector::new(clock.now(), limits.streams as usize);
     let known = Rc::new(Known {
         clock,
-        manners: RefCell::new(manners),
+        abuse: RefCell::new(abuse),
         windows: RefCell::default(),
         given: Event::new(),
     });
-    let socket = Watch::new(StallGuard::new(stream, stalled_for()), known.clone()).compat();
+    let socket = Watch::new(StallGuard::new(stream, stall_timeout()), known.clone()).compat();
     let mut builder = Builder::new();
     builder
         .max_concurrent_streams(limits.streams)
@@ -163,10 +163,10 @@
                 debug!(?bad, %peer, "connection ended for its manners");
                 return farewell(h2, Reason::ENHANCE_YOUR_CALM).await;
             }
-            Next::Due => match line.due(&mut pings) {
-                Some(Due::Close) => return farewell(h2, Reason::NO_ERROR).await,
-                Some(Due::Gone) => return debug!(%peer, "connection's client is gone"),
-                Some(Due::Ask) | None => {}
+            Next::KeepaliveAction => match line.due(&mut pings) {
+                Some(KeepaliveAction::CloseIdle) => return farewell(h2, Reason::NO_ERROR).await,
+                Some(KeepaliveAction::PeerGone) => return debug!(%peer, "connection's client is gone"),
+                Some(KeepaliveAction::Ping) | None => {}
             },
             Next::Over(error) => return debug!(?error, %peer, "client connection ended"),
         }
@@ -195,7 +195,7 @@
                 let _ = pings.poll_pong(context);
             }
             let accepted = h2.poll_accept(context);
-            if let Some(bad) = self.known.manners.borrow().bad() {
+            if let Some(bad) = self.known.abuse.borrow().detected() {
                 return Poll::Ready(Next::Misbehaves(bad));
             }
             match accepted {
@@ -210,27 +210,27 @@
                 at = self.next_due();
                 timer.set_at(self.known.clock.instant(at));
             }
-            pin!(&mut timer).poll(context).map(|_| Next::Due)
+            pin!(&mut timer).poll(context).map(|_| Next::KeepaliveAction)
         })
         .await
     }
 
     fn next_due(&self) -> Nanos {
-        let windows = self.known.windows.borrow().next_due().unwrap_or(Nanos::MAX);
-        self.known.manners.borrow().next_due().min(windows)
+        let windows = self.known.windows.borrow().next_timeout().unwrap_or(Nanos::MAX);
+        self.known.abuse.borrow().next_timeout().min(windows)
     }
 
-    fn due(&self, pings: &mut Option<PingPong>) -> Option<Due> {
+    fn due(&self, pings: &mut Option<PingPong>) -> Option<KeepaliveAction> {
         let now = self.known.clock.now();
-        if let Some(id) = self.known.windows.borrow_mut().to_end(now)
+        if let Some(id) = self.known.windows.borrow_mut().stream_to_reset(now)
             && let Some(cut) = self.calls.borrow().get(&id)
         {
             debug!(stream = id, peer = %self.inside.peer, "ended so that its connection goes on");
             cut.told.set(true);
             cut.event.notify(usize::MAX);
         }
-        let due = self.known.manners.borrow_mut().due(now);
-        if due == Some(Due::Ask)
+        let due = self.known.abuse.borrow_mut().on_timeout(now);
+        if due == Some(KeepaliveAction::Ping)
             && let Some(pings) = pings
         {
             // One that is still out asks as well as a new one.
--- a/grpc-api/src/exchange.rs
+++ b/grpc-api/src/exchange.rs
@@ -11,10 +11,10 @@
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header, request::Parts};
 use petrelshore::interface::Nanos;
-use petrelshore_chat_gateway::{Answer, Final, Next, Usage};
+use petrelshore_chat_gateway::{Answer, FinalAnswer, Next, Usage};
 use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
-use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
-use petrelshore_gateway_core::{Reason, Relay, timeouts};
+use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
+use petrelshore_gateway_core::{FailureReason, Relay, timeouts};
 use petrelshore_ingress::call::{self, Fault, Wrong};
 use prost::Message;
 use std::task::{Context, Poll};
@@ -28,7 +28,7 @@
 pub async fn run(place: Place, request: Request<RecvStream>, respond: SendResponse<Bytes>) {
     let arrived = place.line.known.clock.now();
     let (parts, body) = request.into_parts();
-    let incoming = Incoming::new(body, place.line.inside.reading());
+    let incoming = Incoming::new(body, place.line.inside.reserve_body());
     let mut reply = Reply { place, respond, sending: None, whole_by: None };
     if !parts
         .headers
@@ -78,7 +78,7 @@
     let settings = gateway.settings();
     let head = request::head(headers)?;
     let tenant = call::caller(settings, &head)?;
-    reply.whole_by = head.whole_within.map(|whole| timeouts::give_up_at(arrived, whole));
+    reply.whole_by = head.whole_within.map(|whole| timeouts::first_token_deadline(arrived, whole));
     let asked: v1::ChatRequest = reply.one(&mut incoming).await?;
     let call = request::call(asked, relay)?;
     let ask = call::ask(settings, &head, tenant, reply.place.line.inside.client, arrived, call)?;
@@ -87,7 +87,7 @@
     future::yield_now().await;
     reply.there()?;
     let model = ask.request.model.to_string();
-    let answer = gateway.take(ask)?;
+    let answer = gateway.accept(ask)?;
     let (id, created) = (format!("{:016x}", answer.id().0), call::seconds(arrived) as i64);
     match relay {
         Relay::Streamed | Relay::Passthrough => stream(reply, answer, v1::Begun { id, model, created }).await,
@@ -99,8 +99,8 @@
 async fn stream(reply: &mut Reply, mut answer: Answer, begun: v1::Begun) -> Result<(), Told> {
     // The head waits for the first token: a sequence that is rejected must not look begun.
     let mut next = reply.unless_gone(answer.next()).await?;
-    if let Some(Next::Final(last)) = &next
-        && let Some(unanswered) = Unanswered::of(last)
+    if let Some(Next::FinalAnswer(last)) = &next
+        && let Some(unanswered) = ErrorResponse::from_final_answer(last)
     {
         return Err(unanswered.into());
     }
@@ -112,24 +112,25 @@
         while let Some(came) = next {
             match came {
                 Next::Text(text) => message::put(&mut part, &event(Event::Text(text))),
-                Next::Final(end) => {
+                Next::FinalAnswer(end) => {
                     last = Some(end);
                     break;
                 }
             }
             next = answer.ready();
         }
-        if let Some(Final::Generated { finish, usage }) = &last {
+        if let Some(FinalAnswer::Completed { finish_reason: finish, usage }) = &last {
             let end = v1::End { finish_reason: finish.clone(), usage: Some(counted(*usage)) };
             message::put(&mut part, &event(Event::End(end)));
         }
         reply.send(part.split().freeze(), Some(&mut answer)).await?;
         if let Some(last) = last {
-            return Unanswered::of(&last).map_or(Ok(()), |unanswered| Err(unanswered.into()));
+            return ErrorResponse::from_final_answer(&last)
+                .map_or(Ok(()), |unanswered| Err(unanswered.into()));
         }
         next = reply.unless_gone(answer.next()).await?;
         if next.is_none() {
-            return Err(aborted(Reason::Broken));
+            return Err(aborted(FailureReason::StreamBroken));
         }
     }
 }
@@ -139,20 +140,21 @@
     while text.len() <= WHOLE_ANSWER {
         match reply.unless_gone(answer.next()).await? {
             Some(Next::Text(more)) => text.push_str(&more),
-            Some(Next::Final(Final::Generated { finish, usage })) => {
+            Some(Next::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage })) => {
                 reply.begin(&begun.id)?;
                 let v1::Begun { id, model, created } = begun;
                 let usage = Some(counted(usage));
                 let answered = v1::ChatAnswer { id, model, created, text, finish_reason: finish, usage };
                 return reply.send(message::encode(&answered), None).await;
             }
-            Some(Next::Final(last)) => {
-                return Err(Unanswered::of(&last).map_or(aborted(Reason::Broken), Told::from));
+            Some(Next::FinalAnswer(last)) => {
+                return Err(ErrorResponse::from_final_answer(&last)
+                    .map_or(aborted(FailureReason::StreamBroken), Told::from));
             }
-            None => return Err(aborted(Reason::Broken)),
+            None => return Err(aborted(FailureReason::StreamBroken)),
         }
     }
-    Err(aborted(Reason::TooLong))
+    Err(aborted(FailureReason::AnswerTooLarge))
 }
 
 fn event(event: Event) -> v1::ChatEvent {
@@ -163,8 +165,8 @@
     v1::Usage { prompt_tokens: usage.prompt_tokens, completion_tokens: usage.completion_tokens }
 }
 
-fn aborted(reason: Reason) -> Told {
-    Unanswered { cause: Cause::Aborted(reason), retry: Retry::Never }.into()
+fn aborted(reason: FailureReason) -> Told {
+    ErrorResponse { cause: ErrorCause::Aborted(reason), retry: Retry::Never }.into()
 }
 
 async fn models(reply: &mut Reply, headers: &HeaderMap, mut incoming: Incoming) -> Result<(), Told> {
@@ -190,7 +192,7 @@
         let state = reply.unless_gone(health::changed(&gateway, &asked.service, last)).await?;
         let message = HealthCheckResponse { status: state.into() };
         reply.send(message::encode(&message), None).await?;
-        if gateway.draining() {
+        if gateway.is_draining() {
             // It would keep the connection open for nothing: this gateway will serve no more.
             return Ok(());
         }
@@ -278,8 +280,8 @@
             let room = self.room(bytes.len(), answer.as_deref_mut()).await?;
             let part = bytes.split_to(room);
             let known = &self.place.line.known;
-            known.windows.borrow_mut().sent(known.clock.now(), self.place.id, part.len());
-            known.manners.borrow_mut().sent();
+            known.windows.borrow_mut().data_sent(known.clock.now(), self.place.id, part.len());
+            known.abuse.borrow_mut().frame_sent();
             let Some(sending) = &mut self.sending else { return Err(Told::Gone) };
             sending.send_data(part, false).map_err(|_| Told::Gone)?;
         }
@@ -289,7 +291,7 @@
     /// How much of so many bytes may go now; one byte at the least.
     async fn room(&mut self, bytes: usize, answer: Option<&mut Answer>) -> Result<usize, Told> {
         let Some(sending) = &mut self.sending else { return Err(Told::Gone) };
-        let shared = self.place.line.known.windows.borrow().room(self.place.id);
+        let shared = self.place.line.known.windows.borrow().sendable(self.place.id);
         sending.reserve_capacity(bytes.min(shared));
         match sending.capacity().min(bytes).min(shared) {
             0 => self.wait_for_room(bytes, answer).await,
@@ -302,14 +304,15 @@
     async fn wait_for_room(&mut self, bytes: usize, answer: Option<&mut Answer>) -> Result<usize, Told> {
         let known = self.place.line.known.clone();
         let clock = known.clock;
-        let stalled_by = clock.now() + timeouts::stalled_for();
+        let stalled_by = clock.now() + timeouts::stall_timeout();
         let by = self.whole_by.unwrap_or(Nanos::MAX).min(stalled_by);
-        let reason = if by < stalled_by { Reason::OutOfTime } else { Reason::Stalled };
+        let reason =
+            if by < stalled_by { FailureReason::DeadlineExceeded } else { FailureReason::ClientStalled };
         let cut = self.place.cut.clone();
         let given = async {
             loop {
                 let given = known.given.listen();
-                let shared = known.windows.borrow().room(self.place.id).min(bytes);
+                let shared = known.windows.borrow().sendable(self.place.id).min(bytes);
                 if shared == 0 {
                     self.unless_gone(given).await?;
                     continue;
@@ -322,11 +325,12 @@
         let given_up = async {
             let Some(answer) = answer else { return future::pending().await };
             let last = answer.given_up().await;
-            Err(Unanswered::of(&last).map_or(aborted(Reason::Broken), Told::from))
+            Err(ErrorResponse::from_final_answer(&last)
+                .map_or(aborted(FailureReason::StreamBroken), Told::from))
         };
         let told = async {
             cut.told().await;
-            Err(aborted(Reason::Stalled))
+            Err(aborted(FailureReason::ClientStalled))
         };
         let late = async {
             Timer::at(clock.instant(by)).await;
--- a/grpc-api/src/health.rs
+++ b/grpc-api/src/health.rs
@@ -15,7 +15,7 @@
 /// The state of a service: of the gateway as a whole, with the empty name, or of the chat service.
 pub fn state(gateway: &Gateway, service: &str) -> Option<ServingStatus> {
     match service {
-        "" | SERVICE if gateway.draining() || gateway.servers() == 0 => Some(ServingStatus::NotServing),
+        "" | SERVICE if gateway.is_draining() || gateway.servers() == 0 => Some(ServingStatus::NotServing),
         "" | SERVICE => Some(ServingStatus::Serving),
         _ => None,
     }
@@ -37,6 +37,6 @@
             Timer::after(LOOK).await;
         };
         // A gateway that drains already tells nothing new.
-        if gateway.draining() { look.await } else { future::or(gateway.until_draining(), look).await }
+        if gateway.is_draining() { look.await } else { future::or(gateway.until_draining(), look).await }
     }
 }
--- a/grpc-api/src/lib.rs
+++ b/grpc-api/src/lib.rs
@@ -23,7 +23,7 @@
 }
 
 pub use connection::serve;
-pub use petrelshore_ingress::entrance::{Entrance, Listening, bind};
+pub use petrelshore_ingress::listener::{Ingress, Listener, bind};
 
 /// The chat service's full name.
 pub const SERVICE: &str = "petrelshore.chat.v1.ChatService";
--- a/grpc-api/src/message.rs
+++ b/grpc-api/src/message.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use h2::RecvStream;
 use petrelshore_ingress::call::{Failed, Fault, Wrong};
-use petrelshore_ingress::entrance::Reading;
+use petrelshore_ingress::listener::BodyReservation;
 use prost::Message;
 use tonic::Status;
 
@@ -32,11 +32,11 @@
 pub struct Incoming {
     stream: RecvStream,
     part: BytesMut,
-    room: Reading,
+    room: BodyReservation,
 }
 
 impl Incoming {
-    pub fn new(stream: RecvStream, room: Reading) -> Self {
+    pub fn new(stream: RecvStream, room: BodyReservation) -> Self {
         Incoming { stream, part: BytesMut::new(), room }
     }
 
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -4,8 +4,8 @@
 //! often UNAVAILABLE and RESOURCE_EXHAUSTED. Those two are given with RetryInfo only where nothing ran; everything
 //! else carries a pushback that forbids a retry, which clients obey whatever the code.
 
-use petrelshore_gateway_core::Reason;
-use petrelshore_gateway_core::error_response::{Cause, Retry, Unanswered};
+use petrelshore_gateway_core::FailureReason;
+use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_ingress::call::{Failed, Fault, Wrong};
 use std::time::Duration;
 use tonic::metadata::{MetadataMap, MetadataValue};
@@ -33,7 +33,7 @@
 pub fn status_of(failed: &Failed) -> Status {
     match failed {
         Failed::Wrong(wrong) => of_wrong(wrong),
-        Failed::Unanswered(unanswered) => of_unanswered(unanswered),
+        Failed::ErrorResponse(unanswered) => of_unanswered(unanswered),
     }
 }
 
@@ -54,17 +54,23 @@
     Status::with_error_details_and_metadata(code, &wrong.message, details, pushback(Retry::Mended))
 }
 
-fn of_unanswered(unanswered: &Unanswered) -> Status {
+fn of_unanswered(unanswered: &ErrorResponse) -> Status {
     let code = match unanswered.cause {
-        Cause::Rejected(_) | Cause::GatewayFull | Cause::Reading | Cause::Draining | Cause::KeyInHand => {
-            Code::Unavailable
+        ErrorCause::Rejected(_)
+        | ErrorCause::GatewayAtCapacity
+        | ErrorCause::IngressAtCapacity
+        | ErrorCause::Draining
+        | ErrorCause::KeyInFlight => Code::Unavailable,
+        ErrorCause::ClientAtCapacity | ErrorCause::TooManyCancelled | ErrorCause::TooLarge => {
+            Code::ResourceExhausted
         }
-        Cause::ClientFull | Cause::Withdrawing | Cause::TooLarge => Code::ResourceExhausted,
-        Cause::Aborted(Reason::OutOfTime) | Cause::NoTime => Code::DeadlineExceeded,
-        Cause::Aborted(Reason::Repeated) => Code::AlreadyExists,
+        ErrorCause::Aborted(FailureReason::DeadlineExceeded) | ErrorCause::DeadlineTooShort => {
+            Code::DeadlineExceeded
+        }
+        ErrorCause::Aborted(FailureReason::AlreadyRan) => Code::AlreadyExists,
         // Not ABORTED: that code tells callers to try again.
-        Cause::Aborted(_) => Code::Internal,
-        Cause::KeyReused => Code::InvalidArgument,
+        ErrorCause::Aborted(_) => Code::Internal,
+        ErrorCause::KeyReused => Code::InvalidArgument,
     };
     let message = unanswered.to_string();
     let reason = unanswered.cause.code().to_uppercase();
--- a/grpc-api/src/status/tests.rs
+++ b/grpc-api/src/status/tests.rs
@@ -1,17 +1,26 @@
 use super::*;
-use petrelshore_chat_gateway::Refusal;
+use petrelshore_chat_gateway::Rejection;
 
 #[test]
 fn only_what_provably_did_not_run_may_be_sent_again() {
-    use Reason::*;
-    let reasons = [NoRoom, Failed, OutOfTime, Broken, Stalled, Draining, TooLong, Repeated];
+    use FailureReason::*;
+    let reasons = [
+        AtCapacity,
+        AttemptsExhausted,
+        DeadlineExceeded,
+        StreamBroken,
+        ClientStalled,
+        ShuttingDown,
+        AnswerTooLarge,
+        AlreadyRan,
+    ];
     let all = reasons.iter().flat_map(|reason| {
         [
-            Unanswered { cause: Cause::Rejected(*reason), retry: Retry::After(5_000_001) },
-            Unanswered { cause: Cause::Aborted(*reason), retry: Retry::Never },
+            ErrorResponse { cause: ErrorCause::Rejected(*reason), retry: Retry::After(5_000_001) },
+            ErrorResponse { cause: ErrorCause::Aborted(*reason), retry: Retry::Never },
         ]
     });
-    for unanswered in all.chain([Refusal::NoTime.into(), Refusal::KeyReused.into()]) {
+    for unanswered in all.chain([Rejection::DeadlineTooShort.into(), Rejection::KeyReused.into()]) {
         let status = of_unanswered(&unanswered);
         let harmless = matches!(unanswered.retry, Retry::After(_));
         let retried = matches!(status.code(), Code::Unavailable | Code::ResourceExhausted | Code::Aborted);
--- a/grpc-api/src/watch.rs
+++ b/grpc-api/src/watch.rs
@@ -7,8 +7,8 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::Clock;
-use petrelshore_gateway_core::flow_control::Windows;
-use petrelshore_gateway_core::http2_abuse::{Heard, Manners};
+use petrelshore_gateway_core::flow_control::FlowControl;
+use petrelshore_gateway_core::http2_abuse::{AbuseDetector, PeerFrame};
 use std::cell::RefCell;
 use std::io::Result;
 use std::pin::Pin;
@@ -22,8 +22,8 @@
 /// What is known of one connection.
 pub struct Known {
     pub clock: Clock,
-    pub manners: RefCell<Manners>,
-    pub windows: RefCell<Windows>,
+    pub abuse: RefCell<AbuseDetector>,
+    pub windows: RefCell<FlowControl>,
     /// Told when the peer gave back of a stream.
     pub given: Event,
 }
@@ -43,7 +43,7 @@
 impl<S: AsyncRead + Unpin> AsyncRead for Watch<S> {
     fn poll_read(mut self: Pin<&mut Self>, context: &mut Context<'_>, buf: &mut [u8]) -> Poll<Result<usize>> {
         let known = self.known.clone();
-        if known.manners.borrow().bad().is_some() {
+        if known.abuse.borrow().detected().is_some() {
             // Nothing more is read of it: its connection's task is about to end it.
             return Poll::Pending;
         }
@@ -73,18 +73,18 @@
 fn note(known: &Known, now: Nanos, frame: &Frame) {
     const ACK: u8 = 1;
     let heard = match (frame.kind, frame.flags & ACK) {
-        (0, _) if frame.length > 0 => Heard::Call,
-        (1, _) => Heard::Call,
-        (3, _) => Heard::Reset,
+        (0, _) if frame.length > 0 => PeerFrame::Call,
+        (1, _) => PeerFrame::Call,
+        (3, _) => PeerFrame::Reset,
         // What the peer answers to ours is no fault of its own.
-        (4 | 6, ACK) => Heard::Call,
-        (4, _) => Heard::Settings,
-        (6, _) => Heard::Ping,
-        _ => Heard::Small,
+        (4 | 6, ACK) => PeerFrame::Call,
+        (4, _) => PeerFrame::Settings,
+        (6, _) => PeerFrame::Ping,
+        _ => PeerFrame::Small,
     };
-    known.manners.borrow_mut().heard(now, heard);
+    known.abuse.borrow_mut().frame_received(now, heard);
     if let (8, Some(increment)) = (frame.kind, frame.increment) {
-        known.windows.borrow_mut().given(now, frame.stream, increment);
+        known.windows.borrow_mut().window_update(now, frame.stream, increment);
         known.given.notify(usize::MAX);
     }
 }
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -3,7 +3,7 @@
 use petrelshore::interface::*;
 use petrelshore_chat_gateway::{Ask, Request};
 use petrelshore_gateway_core::Relay;
-use petrelshore_gateway_core::error_response::Unanswered;
+use petrelshore_gateway_core::error_response::ErrorResponse;
 use petrelshore_gateway_core::fingerprint;
 use petrelshore_gateway_core::token_estimate::{self, Message};
 use petrelshore_settings::Settings;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failed {
     Wrong(Wrong),
-    Unanswered(Unanswered),
+    ErrorResponse(ErrorResponse),
 }
 
 impl From<Wrong> for Failed {
@@ -70,9 +70,9 @@
     }
 }
 
-impl<U: Into<Unanswered>> From<U> for Failed {
+impl<U: Into<ErrorResponse>> From<U> for Failed {
     fn from(unanswered: U) -> Failed {
-        Failed::Unanswered(unanswered.into())
+        Failed::ErrorResponse(unanswered.into())
     }
 }
 
@@ -178,9 +178,9 @@
         idempotency_key,
         relay: call.relay,
         client,
-        budget: head.abandon_time.map_or(kind.abandon_time, |asked| asked.min(kind.abandon_time)),
-        whole_within: head.whole_within,
-        arrived,
+        first_token_budget: head.abandon_time.map_or(kind.abandon_time, |asked| asked.min(kind.abandon_time)),
+        completion_budget: head.whole_within,
+        arrived_at: arrived,
     };
     Ok(Ask { request, stop: call.stop.into(), sampling: Rc::new(call.sampling) })
 }
--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -5,14 +5,14 @@
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
 use petrelshore::interface::{LoadReport, Nanos};
-use petrelshore_chat_gateway::Clock;
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::connection_pool::Connections;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::connection_pool::ConnectionPool;
 use petrelshore_http1::body::Body;
 use petrelshore_http1::connecting::Unconnected;
 use petrelshore_http1::head::AnswerHead;
 use petrelshore_http1::wire::{Broken, Wire};
 use petrelshore_platform_protocol::load::{self, Field};
+use petrelshore_runtime::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -31,45 +31,45 @@
 pub const SET: [&str; 3] = ["Req-Id", "Req-Deadline-Ms", "Content-Type"];
 
 /// A request that goes to a model server as its client sent it.
-pub struct Call {
-    pub to: SocketAddr,
+pub struct AttemptRequest {
+    pub address: SocketAddr,
     pub target: Bytes,
     pub id: Rc<str>,
     /// Header lines of its client, without those of `SET`.
     pub fields: Bytes,
     pub body: Bytes,
     /// How long the gateway will wait from `ordered` on.
-    pub limit: Nanos,
+    pub timeout: Nanos,
     /// When the attempt was decided on: what passed since then is gone from its time.
-    pub ordered: Nanos,
+    pub decided_at: Nanos,
     /// Time for its connection and for writing it.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// Something is held for it meanwhile: its connection, used or new, must prove in the time for a new one that its
     /// server is there.
-    pub held: bool,
+    pub holds_cache: bool,
     /// Never on a connection that was used before.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// Asked right before its first byte goes out.
-    pub may_go: MayGo,
+    pub send_check: SendCheck,
 }
 
 /// What holds of an exchange in the instant in which its first byte would go out. Its connection may have come up late,
 /// and a busy loop may not have got to what was told meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Go {
-    Send,
+pub enum SendPermission {
+    Granted,
     /// The client that it is sent for has left.
     ClientLeft,
     /// It is not to be sent any more: its server drains, has gone, moved or started anew, or its time is over.
-    Overtaken,
+    Denied,
 }
 
-pub type MayGo = Rc<dyn Fn() -> Go>;
+pub type SendCheck = Rc<dyn Fn() -> SendPermission>;
 
 /// What an exchange told, with the load that came along.
 #[derive(Debug)]
-pub struct Heard<T> {
-    pub result: Result<T, Ending>,
+pub struct Reply<T> {
+    pub result: Result<T, AttemptEnd>,
     pub load: Option<LoadReport>,
 }
 
@@ -81,7 +81,7 @@
 
 pub(crate) struct Shared {
     clock: Clock,
-    idle: RefCell<Connections<SocketAddr, PooledConnection>>,
+    idle: RefCell<ConnectionPool<SocketAddr, PooledConnection>>,
     permits: Rc<()>,
     most: usize,
     pub(crate) fields: Vec<Field>,
@@ -94,15 +94,15 @@
     /// At most so many connections are open at once; servers close idle ones after `idle_for`. `fields` are the
     /// names in load reports.
     pub fn new(clock: Clock, most: usize, idle_for: Nanos, fields: Vec<Field>) -> Self {
-        let idle = RefCell::new(Connections::bounded(idle_for, most));
+        let idle = RefCell::new(ConnectionPool::bounded(idle_for, most));
         Client(Rc::new(Shared { clock, idle, permits: Rc::new(()), most, fields }))
     }
 
     /// Has a prompt read; how many of its tokens had been kept. `reached` is called once its server provably has it.
-    pub async fn read(&self, call: &Call, reached: &dyn Fn()) -> Heard<f64> {
+    pub async fn prefill(&self, call: &AttemptRequest, reached: &dyn Fn()) -> Reply<f64> {
         let (head, mut body, mut connection) = match self.ask(call, reached).await {
             Ok(answered) => answered,
-            Err(ending) => return Heard { result: Err(ending), load: None },
+            Err(ending) => return Reply { result: Err(ending), load: None },
         };
         let load = self.0.load_of(&head);
         let result = async {
@@ -111,28 +111,29 @@
                 return Err(refusal(&head));
             }
             let text = text?;
-            self.0.keep(call.to, connection, &head);
-            let answer: serde_json::Value = serde_json::from_slice(&text).map_err(|_| Ending::Malformed)?;
+            self.0.keep(call.address, connection, &head);
+            let answer: serde_json::Value =
+                serde_json::from_slice(&text).map_err(|_| AttemptEnd::Malformed)?;
             Ok(answer["cached_tokens"].as_f64().filter(|kept| kept.is_finite()).unwrap_or(0.0).max(0.0))
         };
-        Heard { result: result.await, load }
+        Reply { result: result.await, load }
     }
 
     /// Has an answer written. `reached` is called once its server provably has the request.
-    pub async fn write(&self, call: &Call, reached: &dyn Fn()) -> Heard<Stream> {
+    pub async fn decode(&self, call: &AttemptRequest, reached: &dyn Fn()) -> Reply<Stream> {
         let (head, mut body, mut connection) = match self.ask(call, reached).await {
             Ok(answered) => answered,
-            Err(ending) => return Heard { result: Err(ending), load: None },
+            Err(ending) => return Reply { result: Err(ending), load: None },
         };
         let load = self.0.load_of(&head);
         if head.status == 200 {
-            let stream = Stream::new(self.0.clone(), call.to, head, body, connection);
-            return Heard { result: Ok(stream), load };
+            let stream = Stream::new(self.0.clone(), call.address, head, body, connection);
+            return Reply { result: Ok(stream), load };
         }
         if whole(&mut connection, &mut body).await.is_ok() {
-            self.0.keep(call.to, connection, &head);
+            self.0.keep(call.address, connection, &head);
         }
-        Heard { result: Err(refusal(&head)), load }
+        Reply { result: Err(refusal(&head)), load }
     }
 
     /// Tells a model server once to let go of everything held for a request.
@@ -142,14 +143,14 @@
         to: SocketAddr,
         id: &str,
         within: Duration,
-        may_go: &dyn Fn() -> Go,
-    ) -> Result<(), Ending> {
+        may_go: &dyn Fn() -> SendPermission,
+    ) -> Result<(), AttemptEnd> {
         let message = || format!("DELETE /kv/leases/{id} HTTP/1.1\r\nHost: {to}\r\n\r\n").into_bytes();
         let told = async {
             let way = Way { to, connect_within: within, held: false, fresh: false, may_go };
             let answered = match self.exchange(&way, &message, &|| {}).await {
                 // A used connection broke under it. It may be told twice.
-                Err(Ending::Reset) => {
+                Err(AttemptEnd::Reset) => {
                     let way = Way { fresh: true, ..way };
                     self.exchange(&way, &message, &|| {}).await
                 }
@@ -158,40 +159,42 @@
             let (head, mut body, mut connection) = answered?;
             whole(&mut connection, &mut body).await?;
             self.0.keep(to, connection, &head);
-            if head.status == 204 { Ok(()) } else { Err(Ending::Refused { status: head.status }) }
+            if head.status == 204 { Ok(()) } else { Err(AttemptEnd::ErrorStatus { status: head.status }) }
         };
         let late = async {
             Timer::after(within).await;
-            Err(Ending::TimedOut)
+            Err(AttemptEnd::TimedOut)
         };
         future::or(told, late).await
     }
 
     /// Drops connections to servers that are no longer listed.
-    pub fn keep_only(&self, listed: impl Fn(&SocketAddr) -> bool) {
-        self.0.idle.borrow_mut().forget(|address| !listed(address));
+    pub fn retain_endpoints(&self, listed: impl Fn(&SocketAddr) -> bool) {
+        self.0.idle.borrow_mut().remove(|address| !listed(address));
     }
 
     /// Connections that are open, and those of them that wait for an exchange.
-    pub fn open(&self) -> (usize, usize) {
+    pub fn connection_counts(&self) -> (usize, usize) {
         (Rc::strong_count(&self.0.permits) - 1, self.0.idle.borrow().idle())
     }
 
-    async fn ask(&self, call: &Call, reached: &dyn Fn()) -> Result<Answered, Ending> {
-        let target = std::str::from_utf8(&call.target).map_err(|_| Ending::NotConnected)?;
-        let (to, id, length) = (call.to, &call.id, call.body.len());
+    async fn ask(&self, call: &AttemptRequest, reached: &dyn Fn()) -> Result<Answered, AttemptEnd> {
+        let target = std::str::from_utf8(&call.target).map_err(|_| AttemptEnd::NotConnected)?;
+        let (to, id, length) = (call.address, &call.id, call.body.len());
         // Told as it goes out: what its task and its connection waited is gone by then.
         let message = || {
             let wait =
-                call.limit.saturating_sub(self.0.clock.now().saturating_sub(call.ordered)) / MILLISECOND;
+                call.timeout.saturating_sub(self.0.clock.now().saturating_sub(call.decided_at)) / MILLISECOND;
             let head = format!(
                 "POST {target} HTTP/1.1\r\nHost: {to}\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {wait}\r\n\
                  Content-Type: application/json\r\nContent-Length: {length}\r\n"
             );
             [head.as_bytes(), &call.fields, b"\r\n", &call.body].concat()
         };
-        let Call { connect_within, held, fresh, .. } = *call;
-        let way = Way { to, connect_within, held, fresh, may_go: &*call.may_go };
+        let AttemptRequest {
+            connect_timeout: connect_within, holds_cache: held, new_connection: fresh, ..
+        } = *call;
+        let way = Way { to, connect_within, held, fresh, may_go: &*call.send_check };
         self.exchange(&way, &message, reached).await
     }
 
@@ -202,15 +205,15 @@
         way: &Way<'_>,
         message: &dyn Fn() -> Vec<u8>,
         reached: &dyn Fn(),
-    ) -> Result<Answered, Ending> {
+    ) -> Result<Answered, AttemptEnd> {
         let Way { to, connect_within, held, fresh, may_go } = *way;
         stopped(may_go())?;
         let pooled = if fresh { None } else { self.0.pooled(to) };
         if let Some((connection, waited)) = pooled {
             let written = written_within(&connection, &message(), connect_within / 2).await;
             if written == Written::Late {
-                self.0.idle.borrow_mut().forget(|server| *server == to);
-                return Err(Ending::NotConnected);
+                self.0.idle.borrow_mut().remove(|server| *server == to);
+                return Err(AttemptEnd::NotConnected);
             }
             if written == Written::Whole {
                 let answered = match held {
@@ -219,24 +222,24 @@
                 };
                 let now = self.0.clock.now();
                 match answered {
-                    Err(Ending::Reset) => self.0.idle.borrow_mut().broke(now, to, waited),
+                    Err(AttemptEnd::Reset) => self.0.idle.borrow_mut().reuse_failed(now, to, waited),
                     Err(_) => {}
-                    Ok(_) => self.0.idle.borrow_mut().held(now),
+                    Ok(_) => self.0.idle.borrow_mut().reuse_succeeded(now),
                 }
                 return answered;
             }
-            self.0.idle.borrow_mut().broke(self.0.clock.now(), to, waited);
+            self.0.idle.borrow_mut().reuse_failed(self.0.clock.now(), to, waited);
         }
         let asked = self.0.clock.now();
         let connection = self.0.connect(to, connect_within).await?;
         let took = self.0.clock.now().saturating_sub(asked);
         if let Err(ending) = stopped(may_go()) {
-            self.0.idle.borrow_mut().spare(self.0.clock.now(), to, connection);
+            self.0.idle.borrow_mut().check_in_unused(self.0.clock.now(), to, connection);
             return Err(ending);
         }
         let left = connect_within.saturating_sub(Duration::from_nanos(took));
         if written_within(&connection, &message(), left).await != Written::Whole {
-            return Err(Ending::NotConnected);
+            return Err(AttemptEnd::NotConnected);
         }
         if held {
             // It may have fallen silent right after it came up.
@@ -250,7 +253,7 @@
             None
         };
         match future::or(async { Some(answer.as_mut().await) }, survived).await {
-            Some(Err(Ending::Reset)) => Err(Ending::Reset),
+            Some(Err(AttemptEnd::Reset)) => Err(AttemptEnd::Reset),
             Some(answered) => {
                 reached();
                 answered
@@ -269,9 +272,9 @@
     async fn proven(
         &self,
         way: &Way<'_>,
-        answer: impl Future<Output = Result<Answered, Ending>>,
+        answer: impl Future<Output = Result<Answered, AttemptEnd>>,
         reached: &dyn Fn(),
-    ) -> Result<Answered, Ending> {
+    ) -> Result<Answered, AttemptEnd> {
         let mut answer = pin!(answer);
         let soon = way.connect_within / 2;
         let proof = async {
@@ -282,20 +285,20 @@
             Ok(answered) => answered,
             Err(Ok(connection)) => {
                 reached();
-                self.0.idle.borrow_mut().spare(self.0.clock.now(), way.to, connection);
+                self.0.idle.borrow_mut().check_in_unused(self.0.clock.now(), way.to, connection);
                 answer.await
             }
             // No connection was free to prove it with, which says nothing of the server. But what is held waits unproven.
-            Err(Err(Ending::NotSent)) => {
+            Err(Err(AttemptEnd::NotSent)) => {
                 let late = async {
                     Timer::after(soon).await;
-                    Err(Ending::Reset)
+                    Err(AttemptEnd::Reset)
                 };
                 future::or(answer, late).await
             }
             Err(Err(_)) => {
-                self.0.idle.borrow_mut().forget(|server| *server == way.to);
-                Err(Ending::Reset)
+                self.0.idle.borrow_mut().remove(|server| *server == way.to);
+                Err(AttemptEnd::Reset)
             }
         }
     }
@@ -308,7 +311,7 @@
     connect_within: Duration,
     held: bool,
     fresh: bool,
-    may_go: &'a dyn Fn() -> Go,
+    may_go: &'a dyn Fn() -> SendPermission,
 }
 
 /// What became of writing a request.
@@ -337,30 +340,30 @@
 
 type Answered = (AnswerHead, Body, PooledConnection);
 
-fn stopped(go: Go) -> Result<(), Ending> {
+fn stopped(go: SendPermission) -> Result<(), AttemptEnd> {
     match go {
-        Go::Send => Ok(()),
-        Go::ClientLeft => Err(Ending::HandedBack),
-        Go::Overtaken => Err(Ending::NotSent),
+        SendPermission::Granted => Ok(()),
+        SendPermission::ClientLeft => Err(AttemptEnd::ReturnedUnsent),
+        SendPermission::Denied => Err(AttemptEnd::NotSent),
     }
 }
 
 impl Shared {
     fn pooled(&self, to: SocketAddr) -> Option<(PooledConnection, Nanos)> {
-        self.idle.borrow_mut().take(self.clock.now(), to, |connection| connection.wire.quiet())
+        self.idle.borrow_mut().check_out(self.clock.now(), to, |connection| connection.wire.quiet())
     }
 
     /// A new connection. Where all permits are taken, the one that was idle for longest makes room; where none was, that
     /// is no fault of the server.
-    async fn connect(&self, to: SocketAddr, within: Duration) -> Result<PooledConnection, Ending> {
+    async fn connect(&self, to: SocketAddr, within: Duration) -> Result<PooledConnection, AttemptEnd> {
         let full = || Rc::strong_count(&self.permits) > self.most;
-        if full() && !self.idle.borrow_mut().shed() {
-            return Err(Ending::NotSent);
+        if full() && !self.idle.borrow_mut().close_oldest_idle() {
+            return Err(AttemptEnd::NotSent);
         }
         let permit = self.permits.clone();
         let wire = Wire::connect(to, within).await.map_err(|why| match why {
-            Unconnected::Scarce => Ending::NotSent,
-            Unconnected::Peer => Ending::NotConnected,
+            Unconnected::Scarce => AttemptEnd::NotSent,
+            Unconnected::Peer => AttemptEnd::NotConnected,
         })?;
         Ok(PooledConnection { wire, _permit: permit })
     }
@@ -368,7 +371,7 @@
     /// Takes a connection back whose exchange is over, unless something came on it unasked.
     pub(crate) fn keep(&self, to: SocketAddr, connection: PooledConnection, head: &AnswerHead) {
         if head.keeps && connection.wire.buffer.is_empty() {
-            self.idle.borrow_mut().keep(self.clock.now(), to, connection);
+            self.idle.borrow_mut().check_in(self.clock.now(), to, connection);
         }
     }
 
@@ -377,25 +380,25 @@
     }
 }
 
-async fn answered(mut connection: PooledConnection) -> Result<Answered, Ending> {
+async fn answered(mut connection: PooledConnection) -> Result<Answered, AttemptEnd> {
     let head = connection.wire.answer().await.map_err(ending)?;
     let body = Body::new(head.framing, LARGEST as u64);
     Ok((head, body, connection))
 }
 
-pub(crate) fn ending(broken: Broken) -> Ending {
+pub(crate) fn ending(broken: Broken) -> AttemptEnd {
     match broken {
-        Broken::Unreadable(_) => Ending::Malformed,
-        Broken::Closed => Ending::Reset,
+        Broken::Unreadable(_) => AttemptEnd::Malformed,
+        Broken::Closed => AttemptEnd::Reset,
     }
 }
 
 /// The whole body of an answer, within its bound.
-async fn whole(connection: &mut PooledConnection, body: &mut Body) -> Result<BytesMut, Ending> {
+async fn whole(connection: &mut PooledConnection, body: &mut Body) -> Result<BytesMut, AttemptEnd> {
     let mut data = BytesMut::new();
-    while !body.decode(&mut connection.wire.buffer, &mut data).map_err(|_| Ending::Malformed)? {
+    while !body.decode(&mut connection.wire.buffer, &mut data).map_err(|_| AttemptEnd::Malformed)? {
         if data.len() > LARGEST {
-            return Err(Ending::Malformed);
+            return Err(AttemptEnd::Malformed);
         }
         match connection.wire.more().await {
             Ok(()) => {}
@@ -407,10 +410,10 @@
 }
 
 /// Only the mark proves that nothing ran, and only with the status that it belongs to.
-fn refusal(head: &AnswerHead) -> Ending {
+fn refusal(head: &AnswerHead) -> AttemptEnd {
     match (head.status, head.fields.only("Srv-Declined")) {
-        (503 | 504, Some("1")) => Ending::RefusedFull,
-        (410, Some("1")) => Ending::StateMissing,
-        (status, _) => Ending::Refused { status },
+        (503 | 504, Some("1")) => AttemptEnd::AtCapacity,
+        (410, Some("1")) => AttemptEnd::KvCacheMissing,
+        (status, _) => AttemptEnd::ErrorStatus { status },
     }
 }
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -3,7 +3,7 @@
 use crate::client::{PooledConnection, Shared, ending};
 use bytes::{Bytes, BytesMut};
 use petrelshore::interface::LoadReport;
-use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_http1::body::{Body, Framing};
 use petrelshore_http1::head::AnswerHead;
 use petrelshore_platform_protocol::load;
@@ -40,16 +40,16 @@
 
     /// The events that have come since, whole and unchanged; none once the stream is whole. Its connection then
     /// serves another exchange, unless more came behind it.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Ending> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
         if self.head.framing != Framing::Chunked {
-            return Err(Ending::Malformed);
+            return Err(AttemptEnd::Malformed);
         }
         loop {
             let Some(connection) = self.connection.as_mut() else { return Ok(None) };
             let over = self
                 .body
                 .decode(&mut connection.wire.buffer, &mut self.data)
-                .map_err(|_| Ending::Malformed)?;
+                .map_err(|_| AttemptEnd::Malformed)?;
             let whole = if over { self.data.len() } else { whole_events(&self.data) };
             if whole > 0 {
                 let events = self.data.split_to(whole).freeze();
@@ -63,18 +63,18 @@
                 return Ok(None);
             }
             if self.data.len() > LARGEST_EVENT {
-                return Err(Ending::Malformed);
+                return Err(AttemptEnd::Malformed);
             }
             connection.wire.more().await.map_err(ending)?;
         }
     }
 
     /// Guards against passing noise on, and takes up the load that a comment tells.
-    fn look_at(&mut self, events: &[u8]) -> Result<(), Ending> {
+    fn look_at(&mut self, events: &[u8]) -> Result<(), AttemptEnd> {
         for line in events.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if !line.is_empty() && !LINES.iter().any(|begin| line.starts_with(begin)) {
-                return Err(Ending::Malformed);
+                return Err(AttemptEnd::Malformed);
             }
             let told = line.strip_prefix(LOAD.as_bytes()).and_then(|text| std::str::from_utf8(text).ok());
             self.load = told.and_then(|text| load::pairs(text.trim(), &self.client.fields)).or(self.load);
--- a/platform-engine-client/tests/manners.rs
+++ b/platform-engine-client/tests/server_behaviour.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 use futures_lite::future;
 use petrelshore::interface::Outcome;
-use petrelshore_chat_gateway::Clock;
 use petrelshore_emulator::platform::{Manner, ModelServer, events};
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_platform_engine_client::{Call, Client, Go};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_platform_engine_client::{AttemptRequest, Client, SendPermission};
 use petrelshore_platform_protocol::load::{Field, Measure};
+use petrelshore_runtime::Clock;
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -21,27 +21,27 @@
     Client::new(Clock::start(), most, 15_000_000_000, vec![load])
 }
 
-fn call(to: SocketAddr) -> Call {
-    Call {
-        to,
+fn call(to: SocketAddr) -> AttemptRequest {
+    AttemptRequest {
+        address: to,
         target: Bytes::from("/v1/chat/completions?a=b"),
         id: "00000000000000aa".into(),
         fields: Bytes::new(),
         body: Bytes::from("{}"),
-        limit: 5_000_000_000,
-        ordered: Clock::start().now(),
-        connect_within: Duration::from_secs(5),
-        held: false,
-        fresh: false,
-        may_go: Rc::new(|| Go::Send),
+        timeout: 5_000_000_000,
+        decided_at: Clock::start().now(),
+        connect_timeout: Duration::from_secs(5),
+        holds_cache: false,
+        new_connection: false,
+        send_check: Rc::new(|| SendPermission::Granted),
     }
 }
 
 /// All events of a write, and how it ended; patience is for tests that would hang.
-async fn written(client: &Client, to: SocketAddr) -> (String, Result<(), Ending>) {
+async fn written(client: &Client, to: SocketAddr) -> (String, Result<(), AttemptEnd>) {
     let mut passed = String::new();
     let ended = async {
-        let mut stream = client.write(&call(to), &|| {}).await.result?;
+        let mut stream = client.decode(&call(to), &|| {}).await.result?;
         while let Some(events) = stream.next().await? {
             passed.push_str(std::str::from_utf8(&events).unwrap());
         }
@@ -70,7 +70,7 @@
             rest().await;
         }
     });
-    assert_eq!((server.connections(), client.open()), (1, (1, 1)));
+    assert_eq!((server.connections(), client.connection_counts()), (1, (1, 1)));
     assert_eq!(server.seen()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
 }
 
@@ -78,10 +78,10 @@
 fn a_read_tells_what_was_kept_and_the_load() {
     let server = ModelServer::start(true, Manner::Interim).unwrap();
     let client = client(4);
-    let heard = async_io::block_on(client.read(&call(server.address), &|| {}));
+    let heard = async_io::block_on(client.prefill(&call(server.address), &|| {}));
     assert_eq!((heard.result, heard.load.is_none()), (Ok(4.0), true), "an unreadable load is none");
     server.set(Manner::Good);
-    let heard = async_io::block_on(client.read(&call(server.address), &|| {}));
+    let heard = async_io::block_on(client.prefill(&call(server.address), &|| {}));
     assert_eq!((heard.result, heard.load.unwrap().memory_share), (Ok(4.0), Some(0.25)));
 }
 
@@ -90,13 +90,13 @@
     let server = ModelServer::start(false, Manner::Good).unwrap();
     let client = client(4);
     let cases = [
-        (Manner::Declines, Ending::RefusedFull),
-        (Manner::StateGone, Ending::StateMissing),
-        (Manner::Overloaded, Ending::Refused { status: 503 }),
-        (Manner::Fails, Ending::Refused { status: 500 }),
-        (Manner::Resets, Ending::Reset),
-        (Manner::Noise, Ending::Malformed),
-        (Manner::EndlessHead, Ending::Malformed),
+        (Manner::Declines, AttemptEnd::AtCapacity),
+        (Manner::StateGone, AttemptEnd::KvCacheMissing),
+        (Manner::Overloaded, AttemptEnd::ErrorStatus { status: 503 }),
+        (Manner::Fails, AttemptEnd::ErrorStatus { status: 500 }),
+        (Manner::Resets, AttemptEnd::Reset),
+        (Manner::Noise, AttemptEnd::Malformed),
+        (Manner::EndlessHead, AttemptEnd::Malformed),
     ];
     for (manner, ending) in cases {
         server.set(manner);
@@ -105,7 +105,7 @@
     }
     let closed = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
     let told = async_io::block_on(written(&client, closed));
-    assert_eq!(told, (String::new(), Err(Ending::NotConnected)));
+    assert_eq!(told, (String::new(), Err(AttemptEnd::NotConnected)));
 }
 
 #[test]
@@ -115,9 +115,9 @@
     for manner in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream] {
         server.set(manner);
         let (passed, ended) = async_io::block_on(written(&client, server.address));
-        assert_eq!(ended, Err(Ending::Malformed), "{manner:?}");
+        assert_eq!(ended, Err(AttemptEnd::Malformed), "{manner:?}");
         assert!(events().starts_with(&passed), "{manner:?}: {passed}");
-        assert_eq!(client.open().0, 0, "{manner:?}");
+        assert_eq!(client.connection_counts().0, 0, "{manner:?}");
     }
 }
 
@@ -140,8 +140,8 @@
     for server in &servers {
         assert_eq!(async_io::block_on(written(&client, server.address)).1, Ok(()));
     }
-    assert_eq!(client.open(), (2, 2));
-    let told = client.release(servers[0].address, "00000000000000aa", PATIENCE, &|| Go::Send);
+    assert_eq!(client.connection_counts(), (2, 2));
+    let told = client.release(servers[0].address, "00000000000000aa", PATIENCE, &|| SendPermission::Granted);
     assert_eq!(async_io::block_on(told), Ok(()));
     assert_eq!(servers[0].seen()[1], "DELETE /kv/leases/00000000000000aa ");
 }
@@ -152,10 +152,14 @@
     let client = client(4);
     async_io::block_on(async {
         assert_eq!(written(&client, server.address).await, (events(), Ok(())));
-        assert_eq!(client.open(), (1, 1), "kept for the next");
+        assert_eq!(client.connection_counts(), (1, 1), "kept for the next");
         rest().await;
         let (passed, ended) = written(&client, server.address).await;
-        assert_eq!((passed.as_str(), ended), ("", Err(Ending::Reset)), "it has come whole, and may have run");
+        assert_eq!(
+            (passed.as_str(), ended),
+            ("", Err(AttemptEnd::Reset)),
+            "it has come whole, and may have run"
+        );
         assert_eq!(written(&client, server.address).await, (events(), Ok(())));
     });
     assert_eq!(server.connections(), 2);
@@ -172,12 +176,13 @@
     let client = client(1);
     async_io::block_on(async {
         for _ in 0..3 {
-            let heard =
-                client.read(&Call { connect_within: Duration::from_millis(50), ..call(to) }, &|| {}).await;
-            assert_eq!(heard.result, Err(Ending::NotConnected));
+            let heard = client
+                .prefill(&AttemptRequest { connect_timeout: Duration::from_millis(50), ..call(to) }, &|| {})
+                .await;
+            assert_eq!(heard.result, Err(AttemptEnd::NotConnected));
         }
     });
-    assert_eq!(client.open(), (0, 0));
+    assert_eq!(client.connection_counts(), (0, 0));
 }
 
 #[test]
@@ -204,12 +209,13 @@
         });
         let client = client(4);
         async_io::block_on(async {
-            assert_eq!(client.read(&call(to), &|| {}).await.result, Ok(4.0));
+            assert_eq!(client.prefill(&call(to), &|| {}).await.result, Ok(4.0));
             rest().await;
             let reached = std::cell::Cell::new(false);
-            let held = Call { held: true, connect_within: Duration::from_millis(100), ..call(to) };
-            let heard = client.read(&held, &|| reached.set(true)).await;
-            let expected = if there { Ok(4.0) } else { Err(Ending::Reset) };
+            let held =
+                AttemptRequest { holds_cache: true, connect_timeout: Duration::from_millis(100), ..call(to) };
+            let heard = client.prefill(&held, &|| reached.set(true)).await;
+            let expected = if there { Ok(4.0) } else { Err(AttemptEnd::Reset) };
             assert_eq!(heard.result, expected);
             assert!(there || !reached.get(), "nothing proves that its server has it");
         });
@@ -227,11 +233,16 @@
         for leaves_at in [0, 1] {
             let looks = Rc::new(Cell::new(0));
             let may_go = Rc::new(move || match looks.replace(looks.get() + 1) >= leaves_at {
-                true => Go::ClientLeft,
-                false => Go::Send,
+                true => SendPermission::ClientLeft,
+                false => SendPermission::Granted,
             });
-            let heard = client.write(&Call { may_go, fresh: true, ..call(server.address) }, &|| {}).await;
-            assert_eq!(heard.result.err(), Some(Ending::HandedBack), "{leaves_at}");
+            let heard = client
+                .decode(
+                    &AttemptRequest { send_check: may_go, new_connection: true, ..call(server.address) },
+                    &|| {},
+                )
+                .await;
+            assert_eq!(heard.result.err(), Some(AttemptEnd::ReturnedUnsent), "{leaves_at}");
         }
     });
     assert!(server.seen().is_empty(), "{:?}", server.seen());
@@ -273,37 +284,37 @@
         let to = answers(stream.as_bytes()[..cut].to_vec());
         let (passed, ended) = async_io::block_on(written(&client, to));
         let ended = ended.expect_err("not whole");
-        assert!(!ended.proves_unrun() && ended.outcome(false) != Outcome::Completed, "{cut}: {ended:?}");
+        assert!(!ended.proves_not_run() && ended.outcome(false) != Outcome::Completed, "{cut}: {ended:?}");
         assert!("data: a\n\ndata: [DONE]\n\n".starts_with(&passed), "{cut}: {passed}");
     }
     for cut in 0..read.len() {
         let to = answers(read.as_bytes()[..cut].to_vec());
-        let ended = async_io::block_on(client.read(&call(to), &|| {})).result.expect_err("not whole");
-        assert!(!ended.proves_unrun(), "{cut}: {ended:?}");
+        let ended = async_io::block_on(client.prefill(&call(to), &|| {})).result.expect_err("not whole");
+        assert!(!ended.proves_not_run(), "{cut}: {ended:?}");
     }
     // The mark counts once the head that holds it is whole.
     let whole = declined.find("\r\n\r\n").unwrap() + 4;
     for cut in 0..declined.len() {
         let to = answers(declined.as_bytes()[..cut].to_vec());
-        let ended = async_io::block_on(client.read(&call(to), &|| {})).result.expect_err("declined");
-        assert_eq!(ended.proves_unrun(), cut >= whole, "{cut}: {ended:?}");
+        let ended = async_io::block_on(client.prefill(&call(to), &|| {})).result.expect_err("declined");
+        assert_eq!(ended.proves_not_run(), cut >= whole, "{cut}: {ended:?}");
     }
 }
 
 /// Takes connections only once it is told to: until then its queue is full, and the next ones hang.
-struct Shut {
+struct IngressError {
     listener: TcpListener,
     to: SocketAddr,
     queue: Vec<std::net::TcpStream>,
 }
 
-impl Shut {
-    fn start() -> Shut {
+impl IngressError {
+    fn start() -> IngressError {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         rustix::net::listen(&listener, 0).unwrap();
         let to = listener.local_addr().unwrap();
         let connect = |_| std::net::TcpStream::connect_timeout(&to, Duration::from_millis(100)).ok();
-        Shut { queue: (0..4).map_while(connect).collect(), listener, to }
+        IngressError { queue: (0..4).map_while(connect).collect(), listener, to }
     }
 
     /// Takes what is queued, and the one that comes up late behind it.
@@ -325,18 +336,20 @@
 #[test]
 fn what_was_overtaken_while_its_connection_came_up_is_not_sent_and_has_not_run() {
     for release in [false, true] {
-        let shut = Shut::start();
+        let shut = IngressError::start();
         let (to, client) = (shut.to, client(4));
         let overtaken = Rc::new(Cell::new(false));
         let asked = overtaken.clone();
-        let may_go: Rc<dyn Fn() -> Go> = Rc::new(move || if asked.get() { Go::Overtaken } else { Go::Send });
+        let may_go: Rc<dyn Fn() -> SendPermission> =
+            Rc::new(move || if asked.get() { SendPermission::Denied } else { SendPermission::Granted });
         async_io::block_on(async {
             let sent = async {
                 if release {
                     client.release(to, "00000000000000aa", PATIENCE, &*may_go).await
                 } else {
-                    let call = Call { may_go: may_go.clone(), connect_within: PATIENCE, ..call(to) };
-                    client.read(&call, &|| panic!("it was never out")).await.result.map(|_| ())
+                    let call =
+                        AttemptRequest { send_check: may_go.clone(), connect_timeout: PATIENCE, ..call(to) };
+                    client.prefill(&call, &|| panic!("it was never out")).await.result.map(|_| ())
                 }
             };
             // The server drains, or the word is taken back, while the connection hangs; only then is it taken.
@@ -346,10 +359,13 @@
                 blocking(move || shut.open()).await
             };
             let (ended, taken) = future::zip(sent, late).await;
-            assert_eq!(ended, Err(Ending::NotSent), "{release}");
-            assert!(Ending::NotSent.proves_unrun() && Ending::NotSent.outcome(false) == Outcome::NeverSent);
+            assert_eq!(ended, Err(AttemptEnd::NotSent), "{release}");
+            assert!(
+                AttemptEnd::NotSent.proves_not_run()
+                    && AttemptEnd::NotSent.outcome(false) == Outcome::NeverSent
+            );
             // The connection waits for another exchange; nothing has come on it once it ends.
-            client.keep_only(|_| false);
+            client.retain_endpoints(|_| false);
             assert_eq!(all_of(taken), b"", "{release}");
         });
     }
@@ -364,20 +380,20 @@
 
 #[test]
 fn a_server_that_is_killed_right_after_its_accept_counts_as_having_had_nothing() {
-    let shut = Shut::start();
+    let shut = IngressError::start();
     let (to, client) = (shut.to, client(4));
     let reached = Cell::new(false);
     async_io::block_on(async {
-        let call = Call { connect_within: PATIENCE, ..call(to) };
+        let call = AttemptRequest { connect_timeout: PATIENCE, ..call(to) };
         let told = || reached.set(true);
-        let sent = client.read(&call, &told);
+        let sent = client.prefill(&call, &told);
         // It is taken late, and closed over the request that has come on it: that resets it.
         let killed = blocking(move || {
             let taken = shut.open();
             while taken.peek(&mut [0]).is_ok_and(|count| count == 0) {}
         });
         let (heard, ()) = future::zip(sent, killed).await;
-        assert_eq!(heard.result, Err(Ending::Reset), "it may have run all the same");
+        assert_eq!(heard.result, Err(AttemptEnd::Reset), "it may have run all the same");
     });
     assert!(!reached.get(), "nothing proves that a server that ran had it");
 }
@@ -414,8 +430,8 @@
     });
     let client = client(4);
     async_io::block_on(async {
-        assert_eq!(client.read(&call(to), &|| {}).await.result, Ok(1.0));
-        assert_eq!(client.read(&call(to), &|| {}).await.result, Ok(2.0), "its own answer");
+        assert_eq!(client.prefill(&call(to), &|| {}).await.result, Ok(1.0));
+        assert_eq!(client.prefill(&call(to), &|| {}).await.result, Ok(2.0), "its own answer");
     });
     server.join().unwrap();
 }
@@ -427,28 +443,28 @@
     let client = client(1);
     async_io::block_on(async {
         let waits = async {
-            client.write(&call(silent.address), &|| {}).await;
+            client.decode(&call(silent.address), &|| {}).await;
             unreachable!("it never answers")
         };
         let second = async {
             while silent.seen().is_empty() {
                 async_io::Timer::after(Duration::from_millis(1)).await;
             }
-            client.read(&call(good.address), &|| {}).await.result
+            client.prefill(&call(good.address), &|| {}).await.result
         };
-        assert_eq!(future::or(waits, second).await, Err(Ending::NotSent));
+        assert_eq!(future::or(waits, second).await, Err(AttemptEnd::NotSent));
     });
     assert_eq!(good.connections(), 0);
 }
 
 #[test]
 fn the_time_that_a_server_is_told_is_what_is_left_when_its_connection_has_come_up() {
-    let shut = Shut::start();
+    let shut = IngressError::start();
     let (to, client) = (shut.to, client(4));
     async_io::block_on(async {
         let begun = std::time::Instant::now();
-        let call = Call { connect_within: PATIENCE, ..call(to) };
-        let sent = client.read(&call, &|| {});
+        let call = AttemptRequest { connect_timeout: PATIENCE, ..call(to) };
+        let sent = client.prefill(&call, &|| {});
         let told = blocking(move || {
             let mut taken = shut.open();
             let waited = begun.elapsed().as_millis() as u64;
@@ -467,10 +483,10 @@
 }
 
 /// How a read ends within the time, and whether its server was said to have it.
-fn ended_within(client: &Client, call: &Call, within: Duration) -> (Option<Ending>, bool) {
+fn ended_within(client: &Client, call: &AttemptRequest, within: Duration) -> (Option<AttemptEnd>, bool) {
     let reached = Cell::new(false);
     let note_reached = || reached.set(true);
-    let ended = async { client.read(call, &note_reached).await.result.err() };
+    let ended = async { client.prefill(call, &note_reached).await.result.err() };
     let late = async {
         async_io::Timer::after(within).await;
         None
@@ -485,10 +501,15 @@
     rustix::net::sockopt::set_socket_recv_buffer_size(&listener, 4096).unwrap();
     let to = listener.local_addr().unwrap();
     let large = Bytes::from(vec![b' '; 16 << 20]);
-    let stuck = Call { body: large, held: true, connect_within: Duration::from_millis(400), ..call(to) };
+    let stuck = AttemptRequest {
+        body: large,
+        holds_cache: true,
+        connect_timeout: Duration::from_millis(400),
+        ..call(to)
+    };
     // On a new connection, which its server's machine takes without anybody reading on it.
     let new = client(4);
-    assert_eq!(ended_within(&new, &stuck, Duration::from_secs(2)), (Some(Ending::NotConnected), false));
+    assert_eq!(ended_within(&new, &stuck, Duration::from_secs(2)), (Some(AttemptEnd::NotConnected), false));
     // On a used one.
     let used = client(4);
     let (first, answered) = (call(to), async_channel::bounded::<()>(1));
@@ -503,12 +524,12 @@
         drop((stream, listener));
     });
     async_io::block_on(async {
-        assert_eq!(used.read(&first, &|| {}).await.result, Ok(0.0));
+        assert_eq!(used.prefill(&first, &|| {}).await.result, Ok(0.0));
         rest().await;
     });
-    assert_eq!(used.open(), (1, 1));
+    assert_eq!(used.connection_counts(), (1, 1));
     let (ended, reached) = ended_within(&used, &stuck, Duration::from_secs(2));
-    assert!(ended.is_some_and(Ending::proves_unrun) && !reached, "{ended:?}, {reached}");
+    assert!(ended.is_some_and(AttemptEnd::proves_not_run) && !reached, "{ended:?}, {reached}");
     drop(answered.0);
     server.join().unwrap();
 }
@@ -518,13 +539,17 @@
     let server = ModelServer::start(true, Manner::Good).unwrap();
     let client = client(1);
     async_io::block_on(async {
-        assert!(client.read(&call(server.address), &|| {}).await.result.is_ok());
+        assert!(client.prefill(&call(server.address), &|| {}).await.result.is_ok());
         rest().await;
     });
     server.set(Manner::Silent);
     // Its own connection takes the only permit, so none can come up as a proof.
-    let held = Call { held: true, connect_within: Duration::from_millis(400), ..call(server.address) };
-    assert_eq!(ended_within(&client, &held, Duration::from_secs(2)), (Some(Ending::Reset), false));
+    let held = AttemptRequest {
+        holds_cache: true,
+        connect_timeout: Duration::from_millis(400),
+        ..call(server.address)
+    };
+    assert_eq!(ended_within(&client, &held, Duration::from_secs(2)), (Some(AttemptEnd::Reset), false));
 }
 
 #[test]
@@ -533,8 +558,8 @@
     // One connection comes up and is taken by nobody; no other does.
     rustix::net::listen(&listener, 0).unwrap();
     let to = listener.local_addr().unwrap();
-    let held = Call { held: true, connect_within: Duration::from_millis(400), ..call(to) };
-    assert_eq!(ended_within(&client(4), &held, Duration::from_secs(2)), (Some(Ending::Reset), false));
+    let held = AttemptRequest { holds_cache: true, connect_timeout: Duration::from_millis(400), ..call(to) };
+    assert_eq!(ended_within(&client(4), &held, Duration::from_secs(2)), (Some(AttemptEnd::Reset), false));
 }
 
 #[test]
@@ -548,8 +573,8 @@
         std::thread::sleep(Duration::from_millis(400));
         all_of(stream).len()
     });
-    let slow = Call { body: Bytes::from(vec![b' '; large]), ..call(to) };
+    let slow = AttemptRequest { body: Bytes::from(vec![b' '; large]), ..call(to) };
     let ended = ended_within(&client(4), &slow, Duration::from_secs(3));
-    assert_eq!(ended, (Some(Ending::NotConnected), false));
+    assert_eq!(ended, (Some(AttemptEnd::NotConnected), false));
     assert!(server.join().unwrap() < large, "its last byte was never written");
 }
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -64,8 +64,8 @@
 pub async fn watch(service: Service) {
     let waits = Waits::of(service.drain_grace());
     loop {
-        let moved = service.discovery_moved();
-        let address = service.discovery();
+        let moved = service.discovery_address_changed();
+        let address = service.discovery_address();
         let followed = async {
             loop {
                 // Guards against an agent that ends each connection with its answer.
@@ -80,11 +80,11 @@
     }
 }
 
-type Call<'a> = Pin<Box<dyn Future<Output = Result<(Wire, Listed), Malformed>> + 'a>>;
+type ListRequest<'a> = Pin<Box<dyn Future<Output = Result<(Wire, Listed), Malformed>> + 'a>>;
 
 /// The whole list, by the first call that has it, and the connection that it came on.
 async fn whole(service: &Service, address: SocketAddr, waits: Waits) -> (Wire, Listed) {
-    let mut calls: Vec<Call<'_>> = Vec::new();
+    let mut calls: Vec<ListRequest<'_>> = Vec::new();
     let mut last_patient = None;
     loop {
         let patient = last_patient.is_none_or(|last: Instant| last.elapsed() >= PATIENT_APART);
@@ -137,7 +137,7 @@
             warn!(%what, "discovery: an entry is left out");
         }
         let index = list.index;
-        service.listed(list);
+        service.update_endpoints(list);
         // Another answer behind the one asked for would be taken for the next one's, and each after it for the next.
         if !wire.quiet() {
             return "more than was asked for, or the end".to_owned();
--- a/platform-gateway/src/release.rs
+++ b/platform-gateway/src/release.rs
@@ -4,9 +4,9 @@
 use async_io::Timer;
 use futures_lite::future;
 use petrelshore::interface::{Nanos, ServerId};
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::cache_releases::Release;
-use petrelshore_platform_engine_client::Go;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::cache_releases::CacheRelease;
+use petrelshore_platform_engine_client::SendPermission;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -17,38 +17,41 @@
 
 impl Inner {
     /// Tells a reader to let go of a state; where it can't be had soon, other model servers too, which take such word.
-    pub(crate) fn tell_reader(self: &Rc<Self>, release: Release) {
+    pub(crate) fn tell_reader(self: &Rc<Self>, release: CacheRelease) {
         let inner = self.clone();
-        let owed_since = self.passage.borrow().owed_since(&release);
+        let owed_since = self.requests.borrow().release_pending_since(&release);
         self.spawner.run(async move {
             let answered = inner.release(&release, owed_since).await;
             let by = answered.map(|server| server.0);
-            debug!(server = release.server.0, request = release.request, by, "let go");
-            inner.passage.borrow_mut().told(inner.clock.now(), &release, owed_since, answered);
+            debug!(server = release.server.0, request = release.request_id, by, "let go");
+            inner.requests.borrow_mut().release_finished(inner.clock.now(), &release, owed_since, answered);
             inner.emptied.notify(usize::MAX);
         });
     }
 
     /// Which server has answered a word, of its reader and those by way of which it is told: each next one is told
     /// after a while, and those before are awaited all the same.
-    async fn release(&self, release: &Release, owed_since: Option<Nanos>) -> Option<ServerId> {
+    async fn release(&self, release: &CacheRelease, owed_since: Option<Nanos>) -> Option<ServerId> {
         let (within, step) = {
-            let passage = self.passage.borrow();
-            (Duration::from_nanos(passage.release_within()), Duration::from_nanos(passage.another_after()))
+            let requests = self.requests.borrow();
+            (
+                Duration::from_nanos(requests.release_timeout()),
+                Duration::from_nanos(requests.relay_interval()),
+            )
         };
-        let may_go = || match self.passage.borrow().owed_since(release) == owed_since {
-            true => Go::Send,
-            false => Go::Overtaken,
+        let may_go = || match self.requests.borrow().release_pending_since(release) == owed_since {
+            true => SendPermission::Granted,
+            false => SendPermission::Denied,
         };
         let told = async |server: ServerId, to: Option<SocketAddr>| {
             let told = match to {
-                Some(to) => self.client.release(to, &release.request, within, &may_go).await,
-                None => Err(Ending::NotConnected),
+                Some(to) => self.client.release(to, &release.request_id, within, &may_go).await,
+                None => Err(AttemptEnd::NotConnected),
             };
-            debug!(server = server.0, request = release.request, ?told, "told to let go");
+            debug!(server = server.0, request = release.request_id, ?told, "told to let go");
             told.is_ok().then_some(server)
         };
-        let to = self.passage.borrow().address(release.server);
+        let to = self.requests.borrow().server_address(release.server);
         let mut reader: Told<'_> = Box::pin(told(release.server, to));
         let soon = async { Some(reader.as_mut().await) };
         let late = async {
@@ -60,7 +63,7 @@
             Some(None) => Vec::new(),
             None => vec![reader],
         };
-        let others = self.passage.borrow().by_way_of(release);
+        let others = self.requests.borrow().release_relays(release);
         for (count, (other, to)) in (0..).zip(others) {
             let told = &told;
             calls.push(Box::pin(async move {
--- a/platform-gateway/src/service.rs
+++ b/platform-gateway/src/service.rs
@@ -1,23 +1,23 @@
-//! Events in from sockets and timers, orders out of the conductor's passage.
+//! Events in from sockets and timers, orders out of the request manager's request table.
 
 use async_channel::{Receiver, Sender, TrySendError};
 use async_executor::Task;
 use bytes::Bytes;
 use event_listener::Event;
 use petrelshore::interface::*;
-use petrelshore_chat_gateway::{Clock, Spawner, Timers};
-use petrelshore_gateway_core::attempt_outcome::Ending;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::cache_releases::PLACES;
-use petrelshore_gateway_core::graceful_shutdown::Leaving;
-use petrelshore_gateway_core::invariants::Breach;
-use petrelshore_gateway_core::passthrough::{Final, Order, Passage, Refusal};
-use petrelshore_gateway_core::send_gate::{Denial, Due};
-use petrelshore_gateway_core::{Counts, Dispatch, NewSequence, Reason};
-use petrelshore_ingress::entrance::Reading;
-use petrelshore_platform_engine_client::{Call, Client, Go};
+use petrelshore_gateway_core::graceful_shutdown::ShutdownPlan;
+use petrelshore_gateway_core::invariants::Violation;
+use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests, Rejection};
+use petrelshore_gateway_core::send_gate::{PendingSend, SendDenial};
+use petrelshore_gateway_core::{Counts, Dispatch, FailureReason, NewSequence};
+use petrelshore_ingress::listener::BodyReservation;
+use petrelshore_platform_engine_client::{AttemptRequest, Client, SendPermission};
 use petrelshore_platform_protocol::config::Config;
 use petrelshore_platform_protocol::list::Listed;
 use petrelshore_platform_protocol::settings::Names;
+use petrelshore_runtime::{Clock, Spawner, TimerDriver};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
@@ -36,7 +36,7 @@
     /// Header lines that go with it as they came: a client's mark by which repeats are known is among them.
     pub fields: Bytes,
     pub body: Bytes,
-    pub room: Reading,
+    pub room: BodyReservation,
     /// Whether its client has left, as its connection shows at that instant.
     pub left: Left,
 }
@@ -47,26 +47,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     Events(Bytes),
-    Last(Final),
+    Last(FinalAnswer),
 }
 
 /// A sequence in hand, as far as its sockets go.
-struct Ticket {
+struct RequestEntry {
     events: Sender<Bytes>,
-    last: Rc<Cell<Option<Final>>>,
+    last: Rc<Cell<Option<FinalAnswer>>>,
     attempt: Option<(usize, Task<()>)>,
 }
 
-type Orders = Vec<Order<Rc<Message>>>;
+type Orders = Vec<Command<Rc<Message>>>;
 
 pub(crate) struct Inner {
     pub(crate) clock: Clock,
     pub(crate) spawner: Spawner,
     pub(crate) client: Client,
     names: Names,
-    pub(crate) passage: RefCell<Passage<Rc<Message>>>,
-    tickets: RefCell<HashMap<SequenceId, Ticket>>,
-    timers: Timers,
+    pub(crate) requests: RefCell<PassthroughRequests<Rc<Message>>>,
+    tickets: RefCell<HashMap<SequenceId, RequestEntry>>,
+    timers: TimerDriver,
     /// Told when a sequence or a release has left.
     pub(crate) emptied: Event,
     drain_grace: Nanos,
@@ -86,9 +86,14 @@
         let most = connections.saturating_sub(PLACES).max(1);
         let inner = Inner {
             client: Client::new(clock, connections, config.idle_for, fields),
-            passage: RefCell::new(Passage::new(clock.now(), config.deployment, config.seed, most)),
+            requests: RefCell::new(PassthroughRequests::new(
+                clock.now(),
+                config.deployment,
+                config.seed,
+                most,
+            )),
             tickets: RefCell::default(),
-            timers: Timers::default(),
+            timers: TimerDriver::default(),
             emptied: Event::new(),
             drain_grace: config.drain_grace,
             discovery: Cell::new(config.discovery),
@@ -98,29 +103,29 @@
             spawner,
         };
         let service = Service(Rc::new(inner));
-        service.listed(Listed { scope: SnapshotKind::Cached, ..config.known });
+        service.update_endpoints(Listed { scope: SnapshotKind::Cached, ..config.known });
         let inner = service.0.clone();
         service.0.spawner.run(async move {
-            let next_due = || inner.passage.borrow().next_due();
+            let next_due = || inner.requests.borrow().next_timeout();
             inner
                 .timers
-                .run(inner.clock, next_due, || inner.tell(|passage, now, out| passage.due(now, out)))
+                .run(inner.clock, next_due, || inner.tell(|requests, now, out| requests.on_timeout(now, out)))
                 .await;
         });
         service
     }
 
     /// Takes a sequence, or says why not. What is taken is owed exactly one final answer.
-    pub fn take(&self, new: NewSequence, message: Message) -> Result<Answer, Refusal> {
+    pub fn accept(&self, new: NewSequence, message: Message) -> Result<Answer, Rejection> {
         let inner = &self.0;
         let id = new.id;
         let (events, receiver) = async_channel::bounded(EVENTS);
         let last = Rc::new(Cell::new(None));
-        let ticket = Ticket { events, last: last.clone(), attempt: None };
+        let ticket = RequestEntry { events, last: last.clone(), attempt: None };
         let (resumed, prompt) = (new.resumed, new.prompt_tokens);
         let (session, prefix) = (new.session.map_or(0, |id| id.0), new.prefix.map_or(0, |id| id.0));
         let (mut orders, now) = (Vec::new(), inner.clock.now());
-        inner.passage.borrow_mut().take(now, new, Rc::new(message), &mut orders)?;
+        inner.requests.borrow_mut().accept(now, new, Rc::new(message), &mut orders)?;
         debug!(seq = id.0, resumed, prompt, session, prefix, "taken");
         inner.tickets.borrow_mut().insert(id, ticket);
         inner.carry_out(orders);
@@ -129,31 +134,31 @@
 
     /// Takes nothing further: what comes is rejected at once.
     pub fn drain(&self) {
-        self.0.passage.borrow_mut().drain();
+        self.0.requests.borrow_mut().drain();
     }
 
     /// The list of servers, or what has changed in it.
-    pub fn listed(&self, list: Listed) {
+    pub fn update_endpoints(&self, list: Listed) {
         let inner = &self.0;
-        inner.passage.borrow_mut().listed(inner.clock.now(), list.scope, &list.entries);
-        let listed = inner.passage.borrow().addresses();
-        inner.client.keep_only(|address| listed.contains(address));
+        inner.requests.borrow_mut().update_endpoints(inner.clock.now(), list.scope, &list.entries);
+        let listed = inner.requests.borrow().server_addresses();
+        inner.client.retain_endpoints(|address| listed.contains(address));
         debug!(index = list.index, scope = ?list.scope, entries = list.entries.len(), "listed");
     }
 
     /// How this gateway leaves that was told to stop now.
-    pub fn leaving(&self, longest_abandon: Nanos, clients_resume: bool) -> Leaving {
-        self.0.passage.borrow().leaving(self.0.clock.now(), longest_abandon, clients_resume)
+    pub fn shutdown_plan(&self, longest_abandon: Nanos, clients_resume: bool) -> ShutdownPlan {
+        self.0.requests.borrow().shutdown_plan(self.0.clock.now(), longest_abandon, clients_resume)
     }
 
     /// Ends the streams that such a plan has end between two times since the word to stop.
-    pub fn move_streams(&self, plan: &Leaving, between: (Nanos, Nanos)) {
-        self.0.tell(|passage, now, out| passage.move_streams(now, plan, between, out));
+    pub fn migrate_streams(&self, plan: &ShutdownPlan, between: (Nanos, Nanos)) {
+        self.0.tell(|requests, now, out| requests.migrate_streams(now, plan, between, out));
     }
 
     /// Whatever still runs gets its final answer now.
-    pub fn end_all(&self) {
-        self.0.tell(|passage, now, out| passage.end_all(now, out));
+    pub fn terminate_all(&self) {
+        self.0.tell(|requests, now, out| requests.terminate_all(now, out));
     }
 
     /// Returns once nothing is in hand and nothing is owed to a model server.
@@ -168,26 +173,26 @@
     }
 
     pub fn is_empty(&self) -> bool {
-        self.in_hand() == 0 && self.0.passage.borrow().releases_owed() == 0
+        self.tracked() == 0 && self.0.requests.borrow().pending_releases() == 0
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.0.passage.borrow().in_hand()
+    pub fn tracked(&self) -> usize {
+        self.0.requests.borrow().tracked()
     }
 
     pub fn counts(&self) -> Counts {
-        self.0.passage.borrow().counts()
+        self.0.requests.borrow().counts()
     }
 
     /// What broke a rule so far, as counted at run time: empty unless this program is at fault.
-    pub fn breaches(&self) -> BTreeMap<Breach, u64> {
-        self.0.passage.borrow().breaches().clone()
+    pub fn violations(&self) -> BTreeMap<Violation, u64> {
+        self.0.requests.borrow().violations().clone()
     }
 
     /// Connections to model servers that are open, and those of them that are idle; releases owed.
-    pub fn open(&self) -> (usize, usize, usize) {
-        let (open, idle) = self.0.client.open();
-        (open, idle, self.0.passage.borrow().releases_owed())
+    pub fn connection_counts(&self) -> (usize, usize, usize) {
+        let (open, idle) = self.0.client.connection_counts();
+        (open, idle, self.0.requests.borrow().pending_releases())
     }
 
     pub fn names(&self) -> &Names {
@@ -207,36 +212,36 @@
         self.0.drain_grace
     }
 
-    pub fn discovery(&self) -> SocketAddr {
+    pub fn discovery_address(&self) -> SocketAddr {
         self.0.discovery.get()
     }
 
     /// Discovery is had from another address now.
-    pub fn move_discovery(&self, to: SocketAddr) {
+    pub fn set_discovery_address(&self, to: SocketAddr) {
         if self.0.discovery.replace(to) != to {
             self.0.discovery_moved.notify(usize::MAX);
         }
     }
 
     /// Returns when discovery has moved.
-    pub fn discovery_moved(&self) -> impl Future<Output = ()> + use<> {
+    pub fn discovery_address_changed(&self) -> impl Future<Output = ()> + use<> {
         self.0.discovery_moved.listen()
     }
 }
 
 impl Inner {
-    /// Tells the passage something, and carries out what follows.
-    fn tell(self: &Rc<Self>, event: impl FnOnce(&mut Passage<Rc<Message>>, Nanos, &mut Orders)) {
+    /// Tells the request table something, and carries out what follows.
+    fn tell(self: &Rc<Self>, event: impl FnOnce(&mut PassthroughRequests<Rc<Message>>, Nanos, &mut Orders)) {
         let mut orders = Vec::new();
-        event(&mut self.passage.borrow_mut(), self.clock.now(), &mut orders);
+        event(&mut self.requests.borrow_mut(), self.clock.now(), &mut orders);
         self.carry_out(orders);
     }
 
     fn carry_out(self: &Rc<Self>, orders: Orders) {
         for order in orders {
             match order {
-                Order::Send { dispatch, to, message } => self.send(dispatch, to, message),
-                Order::BreakOff { id, attempt } => {
+                Command::Send { dispatch, address: to, message } => self.send(dispatch, to, message),
+                Command::Cancel { id, attempt } => {
                     debug!(seq = id.0, attempt, "attempt broken off");
                     let mut tickets = self.tickets.borrow_mut();
                     let ticket = tickets.get_mut(&id);
@@ -245,15 +250,15 @@
                     // Dropping its task closes its connection.
                     drop(out);
                 }
-                Order::LetGo(release) => self.tell_reader(release),
-                Order::Answer { id, last } => {
+                Command::Release(release) => self.tell_reader(release),
+                Command::Answer { id, last } => {
                     debug!(seq = id.0, ?last, "final answer");
                     if let Some(ticket) = self.tickets.borrow().get(&id) {
                         ticket.last.set(Some(last));
                         ticket.events.close();
                     }
                 }
-                Order::Over { id } => {
+                Command::Remove { id } => {
                     let ticket = self.tickets.borrow_mut().remove(&id);
                     if let Some(ticket) = ticket {
                         ticket.events.close();
@@ -262,44 +267,54 @@
                 }
             }
         }
-        self.timers.check(self.passage.borrow().next_due());
+        self.timers.update(self.requests.borrow().next_timeout());
     }
 
     fn send(self: &Rc<Self>, dispatch: Dispatch, to: Option<SocketAddr>, message: Option<Rc<Message>>) {
         let mut tickets = self.tickets.borrow_mut();
         let Some(ticket) = tickets.get_mut(&dispatch.id) else { return };
-        let Dispatch { id, attempt, server, step, limit, .. } = dispatch;
+        let Dispatch { id, attempt, server, step, timeout: limit, .. } = dispatch;
         debug!(seq = id.0, attempt, ?step, server = server.0, limit_ms = limit / 1_000_000, "sent");
         let inner = self.clone();
-        let (server_start, ordered) = (self.passage.borrow().since(server), self.clock.now());
+        let (server_start, ordered) = (self.requests.borrow().server_started_at(server), self.clock.now());
         let task = self.spawner.spawn(async move {
             let (Some(to), Some(message)) = (to, message) else {
-                return inner.ended(dispatch, Ending::NotConnected, None);
+                return inner.ended(dispatch, AttemptEnd::NotConnected, None);
             };
             let (left, asked) = (message.left.clone(), inner.clone());
             let may_go = Rc::new(move || {
-                let due = Due { dispatch: &dispatch, ordered, to, server_start, client_left: left() };
-                let permitted = asked.passage.borrow().may_begin(asked.clock.now(), &due);
+                let due = PendingSend {
+                    dispatch: &dispatch,
+                    decided_at: ordered,
+                    address: to,
+                    server_started_at: server_start,
+                    client_left: left(),
+                };
+                let permitted = asked.requests.borrow().may_send(asked.clock.now(), &due);
                 match permitted {
-                    Ok(()) => Go::Send,
+                    Ok(()) => SendPermission::Granted,
                     Err(denial) => {
                         debug!(seq = id.0, attempt, ?denial, "attempt denied");
-                        if denial == Denial::ClientLeft { Go::ClientLeft } else { Go::Overtaken }
+                        if denial == SendDenial::ClientLeft {
+                            SendPermission::ClientLeft
+                        } else {
+                            SendPermission::Denied
+                        }
                     }
                 }
             });
-            let call = Call {
-                to,
+            let call = AttemptRequest {
+                address: to,
                 target: message.target.clone(),
                 id: message.id.clone(),
                 fields: message.fields.clone(),
                 body: message.body.clone(),
-                limit: dispatch.limit,
-                ordered,
-                connect_within: Duration::from_nanos(dispatch.connect_within),
-                held: dispatch.held,
-                fresh: dispatch.fresh,
-                may_go,
+                timeout: dispatch.timeout,
+                decided_at: ordered,
+                connect_timeout: Duration::from_nanos(dispatch.connect_timeout),
+                holds_cache: dispatch.holds_cache,
+                new_connection: dispatch.new_connection,
+                send_check: may_go,
             };
             drop(message);
             match dispatch.step {
@@ -312,25 +327,25 @@
 
     fn reached(&self, dispatch: &Dispatch) {
         debug!(seq = dispatch.id.0, attempt = dispatch.attempt, "reached");
-        self.passage.borrow_mut().reached(dispatch.id, dispatch.attempt);
+        self.requests.borrow_mut().attempt_delivered(dispatch.id, dispatch.attempt);
     }
 
-    async fn read(self: Rc<Self>, dispatch: Dispatch, call: Call) {
-        let heard = self.client.read(&call, &|| self.reached(&dispatch)).await;
+    async fn read(self: Rc<Self>, dispatch: Dispatch, call: AttemptRequest) {
+        let heard = self.client.prefill(&call, &|| self.reached(&dispatch)).await;
         let ending = match heard.result {
-            Ok(kept) => Ending::ReadDone { kept },
-            Err(Ending::HandedBack) => return self.client_left(dispatch.id),
+            Ok(kept) => AttemptEnd::PrefillDone { cached_tokens: kept },
+            Err(AttemptEnd::ReturnedUnsent) => return self.client_left(dispatch.id),
             Err(ending) => ending,
         };
         self.ended(dispatch, ending, heard.load);
     }
 
-    async fn write(self: Rc<Self>, dispatch: Dispatch, call: Call) {
-        let heard = self.client.write(&call, &|| self.reached(&dispatch)).await;
+    async fn write(self: Rc<Self>, dispatch: Dispatch, call: AttemptRequest) {
+        let heard = self.client.decode(&call, &|| self.reached(&dispatch)).await;
         drop(call);
         let mut stream = match heard.result {
             Ok(stream) => stream,
-            Err(Ending::HandedBack) => return self.client_left(dispatch.id),
+            Err(AttemptEnd::ReturnedUnsent) => return self.client_left(dispatch.id),
             Err(ending) => return self.ended(dispatch, ending, heard.load),
         };
         self.told(dispatch.server, heard.load);
@@ -340,16 +355,16 @@
                 Ok(Some(events)) => {
                     if !began {
                         began = true;
-                        self.tell(|passage, now, out| passage.began(now, &dispatch, out));
+                        self.tell(|requests, now, out| requests.first_token(now, &dispatch, out));
                     } else {
-                        self.passage.borrow_mut().progressed(self.clock.now(), dispatch.id);
+                        self.requests.borrow_mut().token_received(self.clock.now(), dispatch.id);
                     }
                     if !self.pass_on(dispatch.id, events).await {
                         return;
                     }
                 }
-                Ok(None) if began => break Ending::Generated,
-                Ok(None) => break Ending::Malformed,
+                Ok(None) if began => break AttemptEnd::Completed,
+                Ok(None) => break AttemptEnd::Malformed,
                 Err(ending) => break ending,
             }
         };
@@ -359,10 +374,10 @@
     /// A client left before its attempt was sent: nothing is sent for it any more.
     fn client_left(self: &Rc<Self>, id: SequenceId) {
         debug!(seq = id.0, "client left before its attempt was sent");
-        self.tell(|passage, now, out| passage.withdrawn(now, id, out));
+        self.tell(|requests, now, out| requests.client_cancelled(now, id, out));
     }
 
-    /// Hands events on. Where the client does not take them, the writer waits, and the conductor is told so.
+    /// Hands events on. Where the client does not take them, the writer waits, and the request manager is told so.
     async fn pass_on(self: &Rc<Self>, id: SequenceId, events: Bytes) -> bool {
         let Some(to) = self.tickets.borrow().get(&id).map(|ticket| ticket.events.clone()) else {
             return false;
@@ -370,16 +385,16 @@
         match to.try_send(events) {
             Ok(()) => true,
             Err(TrySendError::Full(events)) => {
-                self.tell(|passage, now, _| passage.stalled(now, id, true));
+                self.tell(|requests, now, _| requests.client_stalled(now, id, true));
                 let sent = to.send(events).await;
-                self.tell(|passage, now, _| passage.stalled(now, id, false));
+                self.tell(|requests, now, _| requests.client_stalled(now, id, false));
                 sent.is_ok()
             }
             Err(TrySendError::Closed(_)) => false,
         }
     }
 
-    fn ended(self: &Rc<Self>, dispatch: Dispatch, ending: Ending, load: Option<LoadReport>) {
+    fn ended(self: &Rc<Self>, dispatch: Dispatch, ending: AttemptEnd, load: Option<LoadReport>) {
         let Dispatch { id, attempt, server, step, .. } = dispatch;
         debug!(seq = id.0, attempt, ?step, server = server.0, ?ending, "attempt ended");
         self.told(server, load);
@@ -389,14 +404,14 @@
         drop(tickets);
         // Its task tells its own end, and runs on to its end.
         own.into_iter().for_each(|(_, task)| task.detach());
-        self.tell(|passage, now, out| passage.ended(now, &dispatch, ending, out));
+        self.tell(|requests, now, out| requests.attempt_ended(now, &dispatch, ending, out));
     }
 
     fn told(&self, server: ServerId, load: Option<LoadReport>) {
         if let Some(report) = load {
             let LoadReport { memory_share: share, queued_prompt_tokens: queued, in_flight } = report;
             debug!(server = server.0, share, queued, in_flight, "load told");
-            self.passage.borrow_mut().reported(self.clock.now(), server, report);
+            self.requests.borrow_mut().load_reported(self.clock.now(), server, report);
         }
     }
 }
@@ -406,7 +421,7 @@
     id: SequenceId,
     inner: Rc<Inner>,
     events: Receiver<Bytes>,
-    last: Rc<Cell<Option<Final>>>,
+    last: Rc<Cell<Option<FinalAnswer>>>,
     over: bool,
 }
 
@@ -417,17 +432,17 @@
             return Next::Events(events);
         }
         self.over = true;
-        Next::Last(self.last.get().unwrap_or(Final::Aborted { reason: Reason::Broken }))
+        Next::Last(self.last.get().unwrap_or(FinalAnswer::Aborted { reason: FailureReason::StreamBroken }))
     }
 }
 
 impl Drop for Answer {
     fn drop(&mut self) {
         // Its id may have come again since its sequence was over: that one is another client's.
-        let own = |ticket: &Ticket| Rc::ptr_eq(&ticket.last, &self.last);
+        let own = |ticket: &RequestEntry| Rc::ptr_eq(&ticket.last, &self.last);
         if !self.over && self.inner.tickets.borrow().get(&self.id).is_some_and(own) {
             debug!(seq = self.id.0, "client left");
-            self.inner.tell(|passage, now, out| passage.withdrawn(now, self.id, out));
+            self.inner.tell(|requests, now, out| requests.client_cancelled(now, self.id, out));
         }
     }
 }
--- a/platform-gateway/tests/service.rs
+++ b/platform-gateway/tests/service.rs
@@ -4,14 +4,14 @@
 use async_io::Timer;
 use bytes::Bytes;
 use petrelshore::interface::*;
-use petrelshore_chat_gateway::Spawner;
 use petrelshore_emulator::platform::{Manner, ModelServer, config as config_text, entry, events};
-use petrelshore_gateway_core::ingress_limits::Doors;
-use petrelshore_gateway_core::passthrough::Final;
+use petrelshore_gateway_core::ingress_limits::IngressLimits;
+use petrelshore_gateway_core::passthrough::FinalAnswer;
 use petrelshore_gateway_core::{NewSequence, Relay};
-use petrelshore_ingress::entrance::Reading;
+use petrelshore_ingress::listener::BodyReservation;
 use petrelshore_platform_gateway::{Answer, Message, Next, Service};
 use petrelshore_platform_protocol::config::config;
+use petrelshore_runtime::Spawner;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,23 +27,23 @@
         prefix: None,
         prompt_tokens: 100.0,
         prefix_tokens: 0.0,
-        max_out: 50.0,
-        hint: None,
+        max_output_tokens: 50.0,
+        output_length_hint: None,
         resumed: false,
         relay: Relay::Passthrough,
-        abandon_at: now + 4_000_000_000,
-        whole_by: None,
+        first_token_deadline: now + 4_000_000_000,
+        completion_deadline: None,
     };
-    let doors = Rc::new(RefCell::new(Doors::bounded(10, 1_000, 10_000)));
+    let limits = Rc::new(RefCell::new(IngressLimits::bounded(10, 1_000, 10_000)));
     let message = Message {
         id: format!("{:016x}", id.0).into(),
         target: Bytes::from("/v1/chat/completions"),
         fields: Bytes::new(),
         body: Bytes::from("{}"),
-        room: Reading::new(doors, id.0),
+        room: BodyReservation::new(limits, id.0),
         left: Rc::new(|| false),
     };
-    service.take(new, message).map_err(|refusal| format!("{refusal:?}")).unwrap()
+    service.accept(new, message).map_err(|refusal| format!("{refusal:?}")).unwrap()
 }
 
 #[test]
@@ -59,7 +59,7 @@
         let service = Service::start(config, 20, Spawner::new(&executor));
         // Over, though its client has read nothing of it yet.
         let unread = take(&service, SequenceId(7));
-        while service.in_hand() > 0 {
+        while service.tracked() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
         reader.set(Manner::Slow);
@@ -72,6 +72,6 @@
                 Next::Last(last) => break last,
             }
         };
-        assert_eq!((told, last), (events(), Final::Generated));
+        assert_eq!((told, last), (events(), FinalAnswer::Completed));
     }));
 }
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -7,9 +7,9 @@
 use event_listener::Event;
 use futures_lite::future;
 use petrelshore_gateway_core::client_connections::{ConnectionId, ConnectionTable, Entry, FULL_LEAST};
-use petrelshore_gateway_core::ingress_limits::Doors;
+use petrelshore_gateway_core::ingress_limits::IngressLimits;
 use petrelshore_http1::wire::{Peer, Wire};
-use petrelshore_ingress::entrance::{Accepted, Listening, Reading};
+use petrelshore_ingress::listener::{AcceptedClient, BodyReservation, Listener};
 use petrelshore_platform_gateway::Service;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -35,12 +35,12 @@
 
 /// All clients of one gateway.
 #[derive(Clone)]
-pub struct Clients(Rc<Inside>);
+pub struct Clients(Rc<ClientGuard>);
 
-struct Inside {
+struct ClientGuard {
     service: Service,
     connection_table: RefCell<ConnectionTable>,
-    doors: Rc<RefCell<Doors>>,
+    limits: Rc<RefCell<IngressLimits>>,
     tasks: RefCell<HashMap<ConnectionId, Held>>,
     /// Those whose places went to others, the first at the front.
     evicted: RefCell<VecDeque<ConnectionId>>,
@@ -75,11 +75,11 @@
 impl Clients {
     /// At most so many connections, and bodies within a part of so much memory.
     pub fn new(service: Service, connections: usize, memory_bytes: usize) -> Self {
-        let doors = Doors::bounded(connections, LARGEST_BODY, memory_bytes / BODIES);
-        Clients(Rc::new(Inside {
+        let limits = IngressLimits::bounded(connections, LARGEST_BODY, memory_bytes / BODIES);
+        Clients(Rc::new(ClientGuard {
             service,
             connection_table: RefCell::new(ConnectionTable::new(connections)),
-            doors: Rc::new(RefCell::new(doors)),
+            limits: Rc::new(RefCell::new(limits)),
             tasks: RefCell::default(),
             evicted: RefCell::default(),
             rejecting: Cell::new(0),
@@ -90,22 +90,22 @@
     }
 
     /// Takes connections for as long as it is polled.
-    pub async fn take(self, listening: Listening) {
+    pub async fn serve(self, listener: Listener) {
         loop {
             for _ in 0..AT_A_TIME {
-                let accepted = listening.next().await;
-                self.enter(&listening, accepted).await;
+                let accepted = listener.accept().await;
+                self.enter(&listener, accepted).await;
             }
             // Guards against a flood of connections: those that are in get their turn.
             future::yield_now().await;
         }
     }
 
-    async fn enter(&self, listening: &Listening, accepted: Accepted) {
-        let Accepted { stream, held_back_since, .. } = accepted;
+    async fn enter(&self, listener: &Listener, accepted: AcceptedClient) {
+        let AcceptedClient { stream, backlogged_since, .. } = accepted;
         let mut entry = self.ask_in();
         if entry == Entry::Soon {
-            listening.holds_back();
+            listener.mark_backlog();
             Timer::after(Duration::from_nanos(FULL_LEAST)).await;
             entry = self.ask_in();
         }
@@ -122,14 +122,14 @@
                 clients.0.rejecting.update(|count| count - 1);
                 clients.0.gone.notify(usize::MAX);
             });
-            listening.holds_back();
+            listener.mark_backlog();
             return self.room_rejecting().await;
         };
         let (peer, ends) = (wire.peer(), Rc::new(Ends::default()));
         let own_ends = ends.clone();
         let task = spawner.spawn(async move {
-            serve(&clients, id, &own_ends, held_back_since, wire).await;
-            clients.0.connection_table.borrow_mut().leave(id);
+            serve(&clients, id, &own_ends, backlogged_since, wire).await;
+            clients.0.connection_table.borrow_mut().closed(id);
             clients.0.evicted.borrow_mut().retain(|evicted| *evicted != id);
             let own = clients.0.tasks.borrow_mut().remove(&id);
             own.into_iter().for_each(|held| held.task.detach());
@@ -141,8 +141,8 @@
     }
 
     /// A whole request has come on a connection: it is owed its answer, also where its place went to another meanwhile.
-    pub(crate) fn asks(&self, id: ConnectionId) {
-        self.0.connection_table.borrow_mut().asks(id);
+    pub(crate) fn request_received(&self, id: ConnectionId) {
+        self.0.connection_table.borrow_mut().request_received(id);
         self.0.evicted.borrow_mut().retain(|evicted| *evicted != id);
     }
 
@@ -159,7 +159,7 @@
     /// Asks for a place, and closes whom that takes it from.
     fn ask_in(&self) -> Entry {
         let now = self.0.service.clock().now();
-        let (entry, leaves) = self.0.connection_table.borrow_mut().enter(now, |id| self.rests(id));
+        let (entry, leaves) = self.0.connection_table.borrow_mut().accept(now, |id| self.rests(id));
         leaves.into_iter().for_each(|leaves| self.evict(leaves));
         entry
     }
@@ -187,8 +187,8 @@
             if ends.evicted() {
                 return;
             }
-            if self.leaving() {
-                let from = self.0.connection_table.borrow().leaves_from(id);
+            if self.is_shutting_down() {
+                let from = self.0.connection_table.borrow().keep_open_until(id);
                 let due = async {
                     Timer::at(self.0.service.clock().instant(from)).await;
                 };
@@ -205,7 +205,7 @@
     }
 
     /// Ends what rests, and says with every answer from now on that its connection ends.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.0.leaving.set(true);
         self.0.tasks.borrow().values().for_each(|held| {
             held.ends.told.notify(usize::MAX);
@@ -232,7 +232,7 @@
         self.0.connection_table.borrow().len()
     }
 
-    pub(crate) fn leaving(&self) -> bool {
+    pub(crate) fn is_shutting_down(&self) -> bool {
         self.0.leaving.get()
     }
 
@@ -245,12 +245,12 @@
     }
 
     /// The room of a body that is about to be read.
-    pub(crate) fn reading(&self, id: ConnectionId) -> Reading {
-        Reading::new(self.0.doors.clone(), id.0)
+    pub(crate) fn reserve_body(&self, id: ConnectionId) -> BodyReservation {
+        BodyReservation::new(self.0.limits.clone(), id.0)
     }
 
     /// Most bytes that a client may have sent behind its open request before they stay with the system.
-    pub(crate) fn ahead(&self) -> usize {
+    pub(crate) fn pipelined_limit(&self) -> usize {
         self.0.ahead
     }
 }
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -7,13 +7,13 @@
 use futures_lite::future;
 use petrelshore::interface::Nanos;
 use petrelshore_gateway_core::client_connections::{BODY_WITHIN, ConnectionId, HEAD_WITHIN};
-use petrelshore_gateway_core::ingress_limits::Shut;
-use petrelshore_gateway_core::passthrough::{Final, Refusal};
+use petrelshore_gateway_core::ingress_limits::IngressError;
+use petrelshore_gateway_core::passthrough::{FinalAnswer, Rejection};
 use petrelshore_http1::Unreadable;
 use petrelshore_http1::body::{Body, Framing};
 use petrelshore_http1::head::RequestHead;
 use petrelshore_http1::wire::{Broken, Wire};
-use petrelshore_ingress::entrance::{Reading, stalled_for};
+use petrelshore_ingress::listener::{BodyReservation, stall_timeout};
 use petrelshore_platform_engine_client::SET;
 use petrelshore_platform_gateway::{Answer, Message, Next};
 use petrelshore_platform_protocol::request::sequence;
@@ -83,20 +83,20 @@
 
 /// Serves a connection until it ends. However it does, it is ended in one order: what comes after the last answer is
 /// never sent on, and what was written arrives.
-/// Its first request may have come from `held_back_since` on, where connections had to wait before they were taken.
+/// Its first request may have come from `backlogged_since` on, where connections had to wait before they were taken.
 pub async fn serve(
     clients: &Clients,
     connection: ConnectionId,
     ends: &Ends,
-    held_back_since: Option<Instant>,
+    backlogged_since: Option<Instant>,
     mut wire: Wire,
 ) {
     debug!(connection = connection.0, "came");
     // What does not lie there yet comes later, however long its connection has waited.
-    let held_back_since = held_back_since.filter(|_| wire.peer().waits());
-    let why = exchanges(clients, connection, ends, held_back_since, &mut wire).await;
+    let backlogged_since = backlogged_since.filter(|_| wire.peer().waits());
+    let why = exchanges(clients, connection, ends, backlogged_since, &mut wire).await;
     debug!(connection = connection.0, ?why, "ends");
-    clients.connection_table().borrow_mut().ends(connection);
+    clients.connection_table().borrow_mut().closing(connection);
     wire.finish().await;
 }
 
@@ -104,7 +104,7 @@
     clients: &Clients,
     connection: ConnectionId,
     ends: &Ends,
-    mut held_back_since: Option<Instant>,
+    mut backlogged_since: Option<Instant>,
     wire: &mut Wire,
 ) -> Close {
     let clock = clients.service().clock();
@@ -114,20 +114,20 @@
             return why;
         }
         let began = opened.take().unwrap_or_else(|| clock.now());
-        let came = wire.first_came().into_iter().chain(held_back_since.take()).min();
+        let came = wire.first_came().into_iter().chain(backlogged_since.take()).min();
         let came = came.map_or(began, |came| clock.at(came));
-        clients.connection_table().borrow_mut().begins(connection);
+        clients.connection_table().borrow_mut().request_started(connection);
         let head = match head(clients, began, wire).await {
             Came::Head(head) => head,
-            Came::Turned(turned) => return turn_away(connection, wire, turned).await,
+            Came::Turned(turned) => return reject(connection, wire, turned).await,
             Came::Left => return Close::ByClient,
         };
         match request(clients, connection, ends, Since { began, came }, &head, wire).await {
             Ok(Ok(())) => {}
             Ok(Err(why)) => return why,
-            Err(turned) => return turn_away(connection, wire, turned).await,
+            Err(turned) => return reject(connection, wire, turned).await,
         }
-        clients.connection_table().borrow_mut().idles(clock.now(), connection);
+        clients.connection_table().borrow_mut().idle(clock.now(), connection);
     }
 }
 
@@ -143,7 +143,7 @@
     if !wire.buffer.is_empty() {
         return if wire.peer().has_left() { Err(Close::ByClient) } else { Ok(()) };
     }
-    let within = Duration::from_nanos(clients.connection_table().borrow().may_idle(connection));
+    let within = Duration::from_nanos(clients.connection_table().borrow().idle_deadline(connection));
     let late = async {
         Timer::after(within).await;
         Err(Close::Idle)
@@ -205,8 +205,8 @@
     };
     let (body, mut room) = future::or(body(clients, connection, head, wire), late).await?;
     let fields = head.fields.passed_on(&SET);
-    room.beside(fields.len()).map_err(shut)?;
-    clients.asks(connection);
+    room.reserve_extra(fields.len()).map_err(shut)?;
+    clients.request_received(connection);
     debug!(connection = connection.0, request = head.fields.only("Req-Id"), "asks");
     serde_json::from_slice::<serde::de::IgnoredAny>(&body)
         .or_else(|_| turned(400, "the body is not JSON"))?;
@@ -221,19 +221,19 @@
     }
     let left = Rc::new(move || peer.has_left());
     let message = Message { id, target: head.target.clone(), fields, body, room, left };
-    match clients.service().take(new, message) {
+    match clients.service().accept(new, message) {
         Ok(answer) => Ok(answered(clients, ends, head, wire, answer).await),
-        Err(Refusal::IdInHand) => turned(409, "Req-Id is in hand already"),
-        Err(Refusal::Full { retry_after }) => {
+        Err(Rejection::DuplicateId) => turned(409, "Req-Id is in hand already"),
+        Err(Rejection::AtCapacity { retry_after }) => {
             Err(Turned { retry_after, ..Turned::new(503, "too many requests in hand") })
         }
     }
 }
 
-fn shut(shut: Shut) -> Turned {
+fn shut(shut: IngressError) -> Turned {
     match shut {
-        Shut::TooLarge => Turned::new(413, "the body is too large"),
-        Shut::Full | Shut::AddressFull => Turned::new(503, "too much in hand"),
+        IngressError::TooLarge => Turned::new(413, "the body is too large"),
+        IngressError::AtCapacity | IngressError::AddressAtCapacity => Turned::new(503, "too much in hand"),
     }
 }
 
@@ -243,8 +243,8 @@
     connection: ConnectionId,
     head: &RequestHead,
     wire: &mut Wire,
-) -> Result<(Bytes, Reading), Turned> {
-    let mut room = clients.reading(connection);
+) -> Result<(Bytes, BodyReservation), Turned> {
+    let mut room = clients.reserve_body(connection);
     if let Framing::Length(told) = head.framing {
         room.grow_to(usize::try_from(told).unwrap_or(usize::MAX)).map_err(shut)?;
     }
@@ -276,12 +276,12 @@
     let (mut began, mut closes) = (false, !head.keeps);
     loop {
         let left = async {
-            wire.closed(clients.ahead()).await;
+            wire.closed(clients.pipelined_limit()).await;
             None
         };
         let next = async { Some(answer.next().await) };
         let Some(next) = future::or(next, left).await else { return Err(Close::ByClient) };
-        closes |= !began && (clients.leaving() || ends.evicted());
+        closes |= !began && (clients.is_shutting_down() || ends.evicted());
         let told = match next {
             Next::Events(events) => {
                 let before = if began { String::new() } else { reply::stream(closes) };
@@ -291,14 +291,14 @@
                 }
                 continue;
             }
-            Next::Last(Final::Generated) => written(wire, reply::LAST_CHUNK).await,
+            Next::Last(FinalAnswer::Completed) => written(wire, reply::LAST_CHUNK).await,
             // Without the last chunk, so that nobody takes it for whole.
             Next::Last(_) if began => return Err(Close::CutShort),
-            Next::Last(Final::Rejected { retry_after, .. }) => {
+            Next::Last(FinalAnswer::Rejected { retry_after, .. }) => {
                 let told = reply::brief(503, "no room, trying again is harmless\n", closes, retry_after);
                 written(wire, told.as_bytes()).await
             }
-            Next::Last(Final::Aborted { .. }) => {
+            Next::Last(FinalAnswer::Aborted { .. }) => {
                 let told = reply::brief(502, "the attempts failed\n", closes, None);
                 written(wire, told.as_bytes()).await
             }
@@ -314,13 +314,13 @@
 /// Writes to a client; false where it is gone or takes nothing for too long.
 async fn written(wire: &Wire, bytes: &[u8]) -> bool {
     let late = async {
-        Timer::after(stalled_for()).await;
+        Timer::after(stall_timeout()).await;
         false
     };
     future::or(async { wire.write(bytes).await.is_ok() }, late).await
 }
 
-async fn turn_away(connection: ConnectionId, wire: &mut Wire, turned: Turned) -> Close {
+async fn reject(connection: ConnectionId, wire: &mut Wire, turned: Turned) -> Close {
     debug!(connection = connection.0, status = turned.status, what = turned.what, "turned away");
     let told = reply::brief(turned.status, &turned.what, true, turned.retry_after);
     written(wire, told.as_bytes()).await;
--- a/platform-ingress/src/lib.rs
+++ b/platform-ingress/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's clients.
 //!
 //! [`Clients`] takes their connections, bounds what comes on them before it is held, and hands each whole and readable
-//! request to the service. Whom a full table closes is decided in the conductor's `connection_table`.
+//! request to the service. Whom a full table closes is decided in the request manager's `connection_table`.
 
 mod clients;
 mod connection;
--- a/platform-protocol/src/request.rs
+++ b/platform-protocol/src/request.rs
@@ -57,12 +57,12 @@
         prefix: prefix.filter(|id| *id != 0).map(PrefixId),
         prompt_tokens: prompt_tokens.ok_or_else(|| wrong("Req-Extra", text))?,
         prefix_tokens,
-        max_out: max_out.ok_or_else(|| wrong("Req-Extra", text))?,
-        hint: None,
+        max_output_tokens: max_out.ok_or_else(|| wrong("Req-Extra", text))?,
+        output_length_hint: None,
         resumed: field("Req-Retry") == Some("again"),
         relay: Relay::Passthrough,
-        abandon_at: timeouts::give_up_at(now, deadline * MILLISECOND),
-        whole_by: None,
+        first_token_deadline: timeouts::first_token_deadline(now, deadline * MILLISECOND),
+        completion_deadline: None,
     })
 }
 
--- a/platform-protocol/tests/customers.rs
+++ b/platform-protocol/tests/customers.rs
@@ -1,8 +1,8 @@
 //! Other customers: their names, and the order and number of their lists, decide nothing.
 
 use petrelshore::interface::*;
-use petrelshore_gateway_core::attempt_outcome::Ending;
-use petrelshore_gateway_core::{Action, Conductor};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::{Action, RequestManager};
 use petrelshore_platform_protocol::config::{Config, config};
 use petrelshore_platform_protocol::list::listed;
 use petrelshore_platform_protocol::request::sequence;
@@ -76,8 +76,8 @@
         let start = 1_000_000 * MS;
         let known: Vec<Endpoint> =
             config.known.entries.iter().map(|(endpoint, _)| endpoint.clone()).collect();
-        let mut conductor = Conductor::new(start, config.deployment.clone(), config.seed);
-        conductor.listed(start, SnapshotKind::Cached, &known);
+        let mut manager = RequestManager::new(start, config.deployment.clone(), config.seed);
+        manager.update_endpoints(start, SnapshotKind::Cached, &known);
         let mut decided = Vec::new();
         for n in 0..400u64 {
             let now = start + n * 40 * MS;
@@ -86,7 +86,7 @@
                     json!({"index": n, "snapshot": false, "endpoints": [self.entry(n / 100 * 4, "leaving")]});
                 let list = listed(&drains, &config.names).unwrap();
                 let entries: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
-                conductor.listed(now, list.scope, &entries);
+                manager.update_endpoints(now, list.scope, &entries);
             }
             let (id, session) = (format!("{:016x}", n + 1), format!("{:016x}", 77 + n % 30));
             let kind = (self.word)(["chat", "filing", "note"][n as usize % 3]);
@@ -106,7 +106,7 @@
                 _ => None,
             };
             let mut out = Vec::new();
-            conductor.take(now, sequence(field, &config.names, now).unwrap(), &mut out);
+            manager.accept(now, sequence(field, &config.names, now).unwrap(), &mut out);
             let mut step = 0;
             while let Some(action) = out.get(step).copied() {
                 step += 1;
@@ -114,18 +114,18 @@
                     decided.push(format!("{n} {action:?}"));
                     continue;
                 };
-                decided.push(format!("{n} {} {:?} {}", sent.server.0, sent.step, sent.limit));
+                decided.push(format!("{n} {} {:?} {}", sent.server.0, sent.step, sent.timeout));
                 let after = now + step as u64 * 5 * MS;
                 let ending = match (sent.step, (n + step as u64) % 7) {
-                    (_, 3) => Ending::RefusedFull,
-                    (_, 5) => Ending::Reset,
-                    (Step::Prefill, _) => Ending::ReadDone { kept: 400.0 },
+                    (_, 3) => AttemptEnd::AtCapacity,
+                    (_, 5) => AttemptEnd::Reset,
+                    (Step::Prefill, _) => AttemptEnd::PrefillDone { cached_tokens: 400.0 },
                     _ => {
-                        conductor.began(after, sent.id, sent.attempt);
-                        Ending::Generated
+                        manager.first_token(after, sent.id, sent.attempt);
+                        AttemptEnd::Completed
                     }
                 };
-                conductor.ended(after, sent.id, sent.attempt, ending, &mut out);
+                manager.attempt_ended(after, sent.id, sent.attempt, ending, &mut out);
             }
         }
         decided
@@ -137,7 +137,7 @@
     let plain = Customer { word: str::to_owned, order: |list| list };
     let decided = plain.decided();
     let count = |word: &str| decided.iter().filter(|line| line.contains(word)).count();
-    assert!(count(" Read ") > 150 && count(" Whole ") > 10 && count("Abort") > 10, "{decided:?}");
+    assert!(count(" Prefill ") > 150 && count(" Combined ") > 10 && count("Abort") > 10, "{decided:?}");
     let turned = Customer {
         word: |word| format!("Übrig {}", word.to_uppercase()),
         order: |list| list.into_iter().rev().collect(),
--- a/platform-protocol/tests/terms.rs
+++ b/platform-protocol/tests/terms.rs
@@ -70,9 +70,9 @@
         (new.id, new.traffic, new.resumed),
         (SequenceId(0x9b1f_03aa_5c7e_2d41), TrafficTypeId(1), true)
     );
-    assert_eq!((new.prompt_tokens, new.prefix_tokens, new.max_out), (5120.0, 2048.0, 800.0));
+    assert_eq!((new.prompt_tokens, new.prefix_tokens, new.max_output_tokens), (5120.0, 2048.0, 800.0));
     assert_eq!((new.prefix, new.relay), (Some(PrefixId(0x5c0f_6e1a_2b3d_4c59)), Relay::Passthrough));
-    assert_eq!(new.abandon_at, 100 * S + 4_750_000_000);
+    assert_eq!(new.first_token_deadline, 100 * S + 4_750_000_000);
     for (field, value) in [
         ("Req-Id", "9B1F03AA5C7E2D41"),
         ("Req-Kind", "gossip"),
--- a/chat-gateway/src/clock.rs
+++ b/runtime/src/clock.rs
@@ -3,7 +3,7 @@
 use petrelshore::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Steps of the system's clock while the gateway runs do not move it.
+/// A monotonic clock. Steps of the system's wall clock while the process runs do not move it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -11,11 +11,13 @@
 }
 
 impl Clock {
+    /// A clock that starts at the wall clock's present time.
     pub fn start() -> Self {
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Clock { started: Instant::now(), epoch: epoch.as_nanos() as Nanos }
     }
 
+    /// The present time.
     pub fn now(&self) -> Nanos {
         self.epoch + self.started.elapsed().as_nanos() as Nanos
     }
@@ -25,6 +27,7 @@
         self.epoch + instant.saturating_duration_since(self.started).as_nanos() as Nanos
     }
 
+    /// The instant of a time.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.started + Duration::from_nanos(at.saturating_sub(self.epoch))
     }
--- a/engine-client/src/spawner.rs
+++ b/runtime/src/spawner.rs
@@ -1,4 +1,4 @@
-//! Where a gateway's tasks run.
+//! Spawns a gateway's tasks.
 
 use async_executor::{LocalExecutor, Task};
 use std::rc::{Rc, Weak};
@@ -9,6 +9,7 @@
 pub struct Spawner(Weak<LocalExecutor<'static>>);
 
 impl Spawner {
+    /// A spawner on that executor.
     pub fn new(executor: &Rc<LocalExecutor<'static>>) -> Self {
         Spawner(Rc::downgrade(executor))
     }
--- a/src/attempt_history.rs
+++ b/src/attempt_history.rs
@@ -3,12 +3,12 @@
 use crate::interface::*;
 
 /// The first attempt that may have taken effect. Prefills have none.
-pub fn maybe_ran(seq: &Sequence) -> Option<&Attempt> {
-    first_that_ran(&seq.attempts)
+pub fn first_possible_run(sequence: &Sequence) -> Option<&Attempt> {
+    first_possible_run_of(&sequence.attempts)
 }
 
 /// The same of some attempts of a sequence.
-pub fn first_that_ran(attempts: &[Attempt]) -> Option<&Attempt> {
+pub fn first_possible_run_of(attempts: &[Attempt]) -> Option<&Attempt> {
     attempts.iter().find(|attempt| {
         use Outcome::*;
         let proven = matches!(
@@ -23,15 +23,16 @@
 /// Every read that ran may have left its state, whatever came back; a writer that finds none leaves those of
 /// older reads. The time starts anew only where the server had the attempt: while connections fail to come
 /// up, or swallow what they are given, it runs on.
-pub fn held_since(now: Nanos, seq: &Sequence, attempt: &Attempt, got: Outcome) -> Option<Nanos> {
+pub fn cache_held_since(now: Nanos, sequence: &Sequence, attempt: &Attempt, got: Outcome) -> Option<Nanos> {
     use Outcome::*;
     let leaves = |a: &Attempt| {
         let unrun = matches!(a.status, AttemptStatus::Finished(ConnectFailed | NeverSent | AtCapacity));
         a.step == Step::Prefill && !unrun
     };
-    let reads = seq.attempts.iter().filter(|a| leaves(a)).count();
-    let missing = seq.attempts.iter().filter(|a| a.status == AttemptStatus::Finished(KvCacheMissing)).count();
-    match seq.cache_held_since {
+    let reads = sequence.attempts.iter().filter(|a| leaves(a)).count();
+    let missing =
+        sequence.attempts.iter().filter(|a| a.status == AttemptStatus::Finished(KvCacheMissing)).count();
+    match sequence.cache_held_since {
         None => leaves(attempt).then_some(now),
         Some(_) if got == KvCacheMissing && reads <= missing => None,
         Some(since) if !attempt.delivered || matches!(got, ConnectFailed | NeverSent) => Some(since),
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -5,7 +5,7 @@
 
 /// An attempt that is out to a server.
 pub struct Out {
-    pub seq: SequenceId,
+    pub sequence: SequenceId,
     pub sent: Nanos,
     pub tokens: f64,
     /// Nothing of its answer has come yet.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,5 +10,5 @@
 mod scheduler;
 pub mod statistics;
 
-pub use attempt_history::held_since;
+pub use attempt_history::cache_held_since;
 pub use scheduler::Scheduler;
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -14,14 +14,14 @@
 impl Scheduler {
     /// How long the attempt that is out may take; without one, how long until `schedule` is worth asking. Where
     /// nothing is known it is half the time left: a gateway that starts into a jam must not add to it.
-    pub fn wait(&self, now: Nanos, seq: &Sequence) -> Nanos {
-        let left = seq.first_token_deadline.saturating_sub(now);
-        let Some(attempt) = seq.attempts.last().filter(|a| a.status == AttemptStatus::InFlight) else {
+    pub fn next_timeout(&self, now: Nanos, sequence: &Sequence) -> Nanos {
+        let left = sequence.first_token_deadline.saturating_sub(now);
+        let Some(attempt) = sequence.attempts.last().filter(|a| a.status == AttemptStatus::InFlight) else {
             return self.recheck().min(left);
         };
-        let once = self.deployment.types[seq.traffic.0].idempotency == Idempotency::AtMostOnce;
+        let once = self.deployment.types[sequence.traffic.0].idempotency == Idempotency::AtMostOnce;
         if (attempt.step != Step::Prefill && once)
-            || !self.deployment.shows_progress(seq.traffic, attempt.step)
+            || !self.deployment.shows_progress(sequence.traffic, attempt.step)
         {
             // A time-out proves nothing: only an answer lets a once-only sequence end well. And the times of first
             // tokens say nothing of an answer that comes whole.
@@ -38,30 +38,33 @@
         };
         // Time-outs make the usual time longer: where few answers are known, one server that hangs must not get all
         // the time there is. An SLO's worth is left for the next attempt.
-        let last = attempt.step == Step::Prefill || seq.attempts.len() >= self.most_attempts(seq);
-        let most = if last { left } else { left.saturating_sub(self.deployment.slo(seq)).max(left / 2) };
+        let last = attempt.step == Step::Prefill || sequence.attempts.len() >= self.most_attempts(sequence);
+        let most = if last { left } else { left.saturating_sub(self.deployment.slo(sequence)).max(left / 2) };
         usual
-            .map_or(left / 2, |usual| (PATIENCE * usual.max(self.deployment.slo(seq) as f64 / 6.0)) as Nanos)
+            .map_or(left / 2, |usual| {
+                (PATIENCE * usual.max(self.deployment.slo(sequence) as f64 / 6.0)) as Nanos
+            })
             .min(most)
     }
 
     /// A read and a write are everyone's; further attempts go by utility.
-    pub(super) fn most_attempts(&self, seq: &Sequence) -> usize {
+    pub(super) fn most_attempts(&self, sequence: &Sequence) -> usize {
         let further = self.deployment.max_attempts.saturating_sub(2) as f64;
         self.deployment
             .max_attempts
-            .min(2 + (further * self.deployment.relative_priority(seq.traffic)).ceil() as usize)
+            .min(2 + (further * self.deployment.relative_priority(sequence.traffic)).ceil() as usize)
     }
 
     /// Nothing further: its attempts are used up, or none may begin any more.
-    pub(super) fn spent(&self, now: Nanos, seq: &Sequence) -> bool {
-        seq.attempts.len() >= self.most_attempts(seq) || self.send_by(seq).is_some_and(|until| now >= until)
+    pub(super) fn spent(&self, now: Nanos, sequence: &Sequence) -> bool {
+        sequence.attempts.len() >= self.most_attempts(sequence)
+            || self.send_deadline(sequence).is_some_and(|until| now >= until)
     }
 
     /// Until when another attempt may begin, once one may have run: the group forgets what it has seen.
-    pub fn send_by(&self, seq: &Sequence) -> Option<Nanos> {
-        let first = maybe_ran(seq)?;
-        match self.deployment.types[seq.traffic.0].idempotency {
+    pub fn send_deadline(&self, sequence: &Sequence) -> Option<Nanos> {
+        let first = first_possible_run(sequence)?;
+        match self.deployment.types[sequence.traffic.0].idempotency {
             Idempotency::Idempotent => None,
             Idempotency::Keyed { window, .. } => Some(first.sent_at.saturating_add(window)),
             Idempotency::AtMostOnce => Some(first.sent_at),
@@ -69,18 +72,18 @@
     }
 
     /// Whether the attempts left can end in an answer, by the roles there are.
-    pub(super) fn may_go_on(&self, seq: &Sequence, state: bool) -> bool {
+    pub(super) fn may_go_on(&self, sequence: &Sequence, state: bool) -> bool {
         let whole = self.deployment.any_kind_serves_combined();
-        seq.attempts.len() + if state || whole { 1 } else { 2 } <= self.most_attempts(seq)
+        sequence.attempts.len() + if state || whole { 1 } else { 2 } <= self.most_attempts(sequence)
     }
 
     /// Tokened: once an attempt may have run, only within the group that knows its repeats: that of its server. Where
     /// that one is not known any more, nobody is in it.
-    pub(super) fn scope(&self, seq: &Sequence) -> Option<Group> {
-        let Idempotency::Keyed { scope, .. } = self.deployment.types[seq.traffic.0].idempotency else {
+    pub(super) fn scope(&self, sequence: &Sequence) -> Option<Group> {
+        let Idempotency::Keyed { scope, .. } = self.deployment.types[sequence.traffic.0].idempotency else {
             return None;
         };
-        let first = maybe_ran(seq).filter(|_| scope != KeyScope::Fleet)?;
+        let first = first_possible_run(sequence).filter(|_| scope != KeyScope::Fleet)?;
         Some(match (scope, self.fleet.get(first.server)) {
             (_, None) => Group::Nobody,
             (KeyScope::Cell, Some(known)) => Group::Cell(known.endpoint.cell),
@@ -90,13 +93,16 @@
 
     /// A sequence that nothing can take is held for part of its SLO, or of its client's time where that is shorter,
     /// its state within the time to release, and always so that the next look comes in time.
-    pub(super) fn may_hold(&self, now: Nanos, seq: &Sequence) -> bool {
-        let whole = self.deployment.slo(seq).min(seq.first_token_deadline.saturating_sub(seq.arrived_at));
-        let until = seq.arrived_at.saturating_add((whole as f64 * HOLD) as Nanos);
+    pub(super) fn may_hold(&self, now: Nanos, sequence: &Sequence) -> bool {
+        let whole = self
+            .deployment
+            .slo(sequence)
+            .min(sequence.first_token_deadline.saturating_sub(sequence.arrived_at));
+        let until = sequence.arrived_at.saturating_add((whole as f64 * HOLD) as Nanos);
         let next = now + self.recheck();
         now < until
-            && next + self.deployment.timer_resolution < seq.first_token_deadline
-            && !self.pinned(next, seq)
+            && next + self.deployment.timer_resolution < sequence.first_token_deadline
+            && !self.pinned(next, sequence)
     }
 
     /// Pause before another look; no timer comes sooner than the clock moves.
@@ -105,31 +111,32 @@
     }
 
     /// Until when what is held may wait for a server: half the time to release, the other is for the release.
-    pub fn held_until(&self, seq: &Sequence) -> Option<Nanos> {
-        seq.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
+    pub fn cache_release_deadline(&self, sequence: &Sequence) -> Option<Nanos> {
+        sequence.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
     }
 
-    pub(super) fn pinned(&self, now: Nanos, seq: &Sequence) -> bool {
+    pub(super) fn pinned(&self, now: Nanos, sequence: &Sequence) -> bool {
         let margin = self.recheck().min(self.deployment.release_timeout / 4);
-        self.held_until(seq).is_some_and(|until| now + margin >= until)
+        self.cache_release_deadline(sequence).is_some_and(|until| now + margin >= until)
     }
 
     /// The final answer: a rejection where a retry is provably harmless, an abort elsewhere.
-    pub(super) fn give_up(&self, now: Nanos, seq: &mut Sequence) -> Decision {
-        let release = !seq.attempts.is_empty();
-        let harmless_until = match (maybe_ran(seq), self.deployment.types[seq.traffic.0].idempotency) {
-            (None, _) | (_, Idempotency::Idempotent) => Nanos::MAX,
-            (Some(first), Idempotency::Keyed { scope: KeyScope::Fleet, window }) => {
-                first.sent_at.saturating_add(window)
-            }
-            _ => now,
-        };
-        (seq.completed, seq.kv_cache, seq.cache_held_since) = (true, None, None);
+    pub(super) fn give_up(&self, now: Nanos, sequence: &mut Sequence) -> Decision {
+        let release = !sequence.attempts.is_empty();
+        let harmless_until =
+            match (first_possible_run(sequence), self.deployment.types[sequence.traffic.0].idempotency) {
+                (None, _) | (_, Idempotency::Idempotent) => Nanos::MAX,
+                (Some(first), Idempotency::Keyed { scope: KeyScope::Fleet, window }) => {
+                    first.sent_at.saturating_add(window)
+                }
+                _ => now,
+            };
+        (sequence.completed, sequence.kv_cache, sequence.cache_held_since) = (true, None, None);
         if now >= harmless_until {
             return Decision::Abort { release };
         }
         // No client is sent away past the time in which its coming again is harmless.
-        let most = (self.deployment.slo(seq) / 2).min((harmless_until - now) / 2);
+        let most = (self.deployment.slo(sequence) / 2).min((harmless_until - now) / 2);
         let retry_after = self.deployment.max_retry_after.map(|longest| longest.min(most));
         Decision::Reject { retry_after, release }
     }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -25,8 +25,14 @@
     }
 
     /// The server with the least of a measure, of those that have one and may be sent this; ties go by lot.
-    pub(super) fn least(&self, now: Nanos, seq: &Sequence, of: &Candidates, by: &Rank) -> Option<ServerId> {
-        let scope = self.scope(seq);
+    pub(super) fn least(
+        &self,
+        now: Nanos,
+        sequence: &Sequence,
+        of: &Candidates,
+        by: &Rank,
+    ) -> Option<ServerId> {
+        let scope = self.scope(sequence);
         let open = self.fleet.among(of).filter(|s| self.allowed(now, s) && in_scope(scope, s));
         let least = open.filter_map(|s| Some((by(s)?, s)));
         let least = least.min_by(|(a, x), (b, y)| a.total_cmp(b).then(x.lot.total_cmp(&y.lot)));
@@ -37,23 +43,23 @@
     pub(super) fn search(
         &self,
         now: Nanos,
-        seq: &Sequence,
+        sequence: &Sequence,
         among: &Candidates,
         roles: &[Role],
         by: &Rank,
     ) -> Option<ServerId> {
         let ready = |id: &ServerId| self.ready(now, &self.fleet[*id]);
-        let mut found = self.least(now, seq, among, by);
+        let mut found = self.least(now, sequence, among, by);
         for _ in 0..WIDER_STEPS {
             if self.is_small() || found.as_ref().is_some_and(ready) {
                 return found;
             }
             let mut slots = Vec::new();
             for role in roles {
-                let pool = self.fleet.pool(*role, self.scope(seq));
+                let pool = self.fleet.pool(*role, self.scope(sequence));
                 self.sampler.borrow_mut().next(*role, pool, WIDER, &mut slots);
             }
-            let further = self.least(now, seq, &Candidates::These(slots), by);
+            let further = self.least(now, sequence, &Candidates::These(slots), by);
             found = further.filter(ready).or(found).or(further);
         }
         found
@@ -73,7 +79,7 @@
     }
 
     /// The servers that answer of a cell, and some of its zone and of all.
-    pub(super) fn decode_candidates(&self, seq: &Sequence, home: Option<&Endpoint>) -> Candidates {
+    pub(super) fn decode_candidates(&self, sequence: &Sequence, home: Option<&Endpoint>) -> Candidates {
         if self.is_small() {
             return Candidates::All;
         }
@@ -82,14 +88,14 @@
             if let Some(home) = home {
                 self.sampler.borrow_mut().sample(self.fleet.cell(home.cell, role), OF_CELL, &mut slots);
             }
-            self.draw(seq, role, home.map_or(self.deployment.zone, |home| home.zone), &mut slots);
+            self.draw(sequence, role, home.map_or(self.deployment.zone, |home| home.zone), &mut slots);
         }
         Candidates::distinct(slots)
     }
 
     /// Some of a role: of the group that knows a sequence's repeats where it has one, else of a zone and of all.
-    pub(super) fn draw(&self, seq: &Sequence, role: Role, zone: ZoneId, slots: &mut Vec<Slot>) {
-        let (mut sampler, scope) = (self.sampler.borrow_mut(), self.scope(seq));
+    pub(super) fn draw(&self, sequence: &Sequence, role: Role, zone: ZoneId, slots: &mut Vec<Slot>) {
+        let (mut sampler, scope) = (self.sampler.borrow_mut(), self.scope(sequence));
         if scope.is_none() {
             sampler.sample(self.fleet.pool(role, Some(Group::Zone(zone))), OF_ZONE, slots);
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -15,7 +15,7 @@
 mod slow_start;
 mod start_times;
 
-use crate::attempt_history::{held_since, maybe_ran};
+use crate::attempt_history::{cache_held_since, first_possible_run};
 use crate::decay::{DecayingSum, FadingShare};
 use crate::fleet::*;
 use crate::interface::*;
@@ -99,12 +99,12 @@
     }
 
     /// Servers looked at so far.
-    pub fn examined(&self) -> u64 {
+    pub fn servers_examined(&self) -> u64 {
         self.fleet.examined()
     }
 
     /// The list of servers, or what has changed in it. A server that started anew has forgotten everything.
-    pub fn listed(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
+    pub fn update_endpoints(&mut self, now: Nanos, scope: SnapshotKind, entries: &[Endpoint]) {
         self.refusals = 0;
         self.surveyed = None;
         let entries = self.start_times.on_own_clock(now, scope, entries);
@@ -116,97 +116,110 @@
     }
 
     /// The list could not be had: how long to wait before asking again, jittered so gateways spread out.
-    pub fn refused(&mut self) -> Nanos {
+    pub fn endpoint_poll_failed(&mut self) -> Nanos {
         self.refusals = (self.refusals + 1).min(4);
         let pause = ((SHUN / 4) << self.refusals).min(self.deployment.max_poll_interval / 2);
         ((pause as f64 * (0.5 + 0.5 * self.chance.rand_float())) as Nanos).max(self.recheck())
     }
 
     /// A server has told its load.
-    pub fn reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
+    pub fn load_reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         if let Some(server) = self.fleet.get_mut(server) {
             (server.report, server.reported) = (report, now);
         }
     }
 
     /// Where to send this sequence now.
-    pub fn schedule(&mut self, now: Nanos, seq: &mut Sequence) -> Decision {
-        if seq.completed || seq.attempts.iter().any(|a| !matches!(a.status, AttemptStatus::Finished(_))) {
+    pub fn schedule(&mut self, now: Nanos, sequence: &mut Sequence) -> Decision {
+        if sequence.completed
+            || sequence.attempts.iter().any(|a| !matches!(a.status, AttemptStatus::Finished(_)))
+        {
             return Decision::Wait;
         }
         self.fleet.refresh(now);
         self.survey(now);
-        let first = !seq.admitted && seq.attempts.is_empty();
-        if let Some(TenantId(tenant)) = seq.tenant.filter(|_| first && seq.arrived_at == now) {
+        let first = !sequence.admitted && sequence.attempts.is_empty();
+        if let Some(TenantId(tenant)) = sequence.tenant.filter(|_| first && sequence.arrived_at == now) {
             self.stats.tenants[tenant].add(now, 1.0);
         }
-        if now + self.recheck() >= seq.first_token_deadline || self.spent(now, seq) || self.pinned(now, seq) {
-            return self.give_up(now, seq);
+        if now + self.recheck() >= sequence.first_token_deadline
+            || self.spent(now, sequence)
+            || self.pinned(now, sequence)
+        {
+            return self.give_up(now, sequence);
         }
         // Guards against asking in vain for a state that went with its reader, or with a writer whose answer went
         // wrong once begun. Where too few attempts are left for a new read and write, the last one may find it.
         let wrong =
             |a: &Attempt| matches!(a.status, AttemptStatus::Finished(Outcome::Error | Outcome::Reset));
-        let anew = seq.attempts.len() + 2 <= self.most_attempts(seq);
-        let wrong = anew && seq.attempts.last().is_some_and(wrong);
-        let kv_cache = seq.kv_cache.filter(|_| !wrong).filter(|held| {
+        let anew = sequence.attempts.len() + 2 <= self.most_attempts(sequence);
+        let wrong = anew && sequence.attempts.last().is_some_and(wrong);
+        let kv_cache = sequence.kv_cache.filter(|_| !wrong).filter(|held| {
             let endpoint = self.fleet.get(held.server).map(|server| &server.endpoint);
             endpoint.is_some_and(|e| e.state != EndpointState::Gone && e.started_at <= held.since)
         });
         let picked = match kv_cache {
-            Some(held) => self.select_decode(now, seq, held.server),
-            None => self.select_mixed(now, seq).or_else(|| self.select_prefill(now, seq)),
+            Some(held) => self.select_decode(now, sequence, held.server),
+            None => self.select_mixed(now, sequence).or_else(|| self.select_prefill(now, sequence)),
         };
         let whole = kv_cache.is_none() && self.deployment.any_kind_serves_combined();
-        let Some(pick) = picked.or_else(|| whole.then(|| self.select_whole(now, seq))?) else {
-            let hold = self.may_go_on(seq, kv_cache.is_some()) && self.may_hold(now, seq);
-            return if hold { Decision::Wait } else { self.give_up(now, seq) };
+        let Some(pick) = picked.or_else(|| whole.then(|| self.select_whole(now, sequence))?) else {
+            let hold = self.may_go_on(sequence, kv_cache.is_some()) && self.may_hold(now, sequence);
+            return if hold { Decision::Wait } else { self.give_up(now, sequence) };
         };
         // Of a large fleet another look may find a ready one.
         let ready = self.is_small() || self.ready(now, &self.fleet[pick.server]);
-        if !ready && self.may_hold(now, seq) {
+        if !ready && self.may_hold(now, sequence) {
             return Decision::Wait;
         }
-        if first && self.overloaded(now, seq, &pick) {
-            return self.give_up(now, seq);
+        if first && self.overloaded(now, sequence, &pick) {
+            return self.give_up(now, sequence);
         }
         if first {
             self.stats.admitted[usize::from(pick.step == Step::Combined)].add(now, 1.0);
-            self.stats.admitted_tokens.add(now, seq.prompt_tokens);
+            self.stats.admitted_tokens.add(now, sequence.prompt_tokens);
         }
-        seq.admitted = true;
-        self.send(now, seq, &pick);
+        sequence.admitted = true;
+        self.send(now, sequence, &pick);
         Decision::Send(pick.server)
     }
 
     /// What to do after the outcome of attempt `n`; `last` where it ended the sequence.
-    pub fn settle(&mut self, now: Nanos, seq: &mut Sequence, n: usize, got: Outcome, last: bool) -> NextStep {
+    pub fn attempt_finished(
+        &mut self,
+        now: Nanos,
+        sequence: &mut Sequence,
+        n: usize,
+        got: Outcome,
+        last: bool,
+    ) -> NextStep {
         let open = |a: &&mut Attempt| !matches!(a.status, AttemptStatus::Finished(_));
-        let Some(attempt) = seq.attempts.get_mut(n).filter(open) else { return NextStep::Wait };
+        let Some(attempt) = sequence.attempts.get_mut(n).filter(open) else { return NextStep::Wait };
         let began = attempt.status == AttemptStatus::Streaming;
         attempt.status = AttemptStatus::Finished(got);
         let attempt = attempt.clone();
-        self.learn(now, seq, &attempt, got, began);
-        if last || seq.completed {
-            seq.completed = true;
+        self.learn(now, sequence, &attempt, got, began);
+        if last || sequence.completed {
+            sequence.completed = true;
             // A first token lets go of all that is held elsewhere; an answer that came whole does not.
             return NextStep::Complete { release: got != Outcome::Completed || !began };
         }
         match got {
             Outcome::PrefillDone { .. } => {
-                seq.kv_cache = Some(KvCacheLocation { server: attempt.server, since: now })
+                sequence.kv_cache = Some(KvCacheLocation { server: attempt.server, since: now })
             }
-            Outcome::KvCacheMissing => seq.kv_cache = None,
+            Outcome::KvCacheMissing => sequence.kv_cache = None,
             _ => {}
         }
-        seq.cache_held_since = held_since(now, seq, &attempt, got);
+        sequence.cache_held_since = cache_held_since(now, sequence, &attempt, got);
         NextStep::Schedule
     }
 
     /// The first token of attempt `n` has come.
-    pub fn began(&mut self, now: Nanos, seq: &mut Sequence, n: usize) {
-        let Some(attempt) = seq.attempts.get_mut(n) else { return };
-        (attempt.status, seq.kv_cache, seq.cache_held_since) = (AttemptStatus::Streaming, None, None);
+    pub fn first_token(&mut self, now: Nanos, sequence: &mut Sequence, n: usize) {
+        let Some(attempt) = sequence.attempts.get_mut(n) else { return };
+        (attempt.status, sequence.kv_cache, sequence.cache_held_since) =
+            (AttemptStatus::Streaming, None, None);
         if let Some(server) = self.fleet.get_mut(attempt.server) {
             server.heard = now;
             let time = now.saturating_sub(attempt.sent_at) as f64;
@@ -214,26 +227,32 @@
             if attempt.step != Step::MigratedDecode {
                 server.times.add(now, time);
             }
-            server.out.iter_mut().filter(|out| out.seq == seq.id).for_each(|out| out.waiting = false);
+            server
+                .out
+                .iter_mut()
+                .filter(|out| out.sequence == sequence.id)
+                .for_each(|out| out.waiting = false);
         }
     }
 
     /// Books an attempt: its load, the text its reader will keep, and its place in a cold server's budget.
-    fn send(&mut self, now: Nanos, seq: &mut Sequence, pick: &Pick) {
+    fn send(&mut self, now: Nanos, sequence: &mut Sequence, pick: &Pick) {
         let Pick { server: id, step, kept } = *pick;
         let server = &self.fleet[id];
-        let (work, credit) = (self.read_work(now, server, seq, kept), self.credit(server, seq, 0.0));
-        let shows = self.deployment.shows_progress(seq.traffic, step);
-        let heavy = seq.prompt_tokens / self.stats.mean_prompt(now).max(1.0); // rule 4 counts by work
-        let own = if step == Step::Prefill { seq.prompt_tokens - kept } else { self.stream_tokens(seq) };
+        let (work, credit) =
+            (self.read_work(now, server, sequence, kept), self.credit(server, sequence, 0.0));
+        let shows = self.deployment.shows_progress(sequence.traffic, step);
+        let heavy = sequence.prompt_tokens / self.stats.mean_prompt(now).max(1.0); // rule 4 counts by work
+        let own =
+            if step == Step::Prefill { sequence.prompt_tokens - kept } else { self.stream_tokens(sequence) };
         if matches!(step, Step::Prefill | Step::Combined) {
-            self.keep(now, seq, id, kept);
+            self.keep(now, sequence, id, kept);
         }
         let Some(server) = self.fleet.get_mut(id) else { return };
         (server.cold_sent, server.cold_part) = (now, heavy.max(1.0));
-        server.out.push(Out { seq: seq.id, sent: now, tokens: own, waiting: shows });
+        server.out.push(Out { sequence: sequence.id, sent: now, tokens: own, waiting: shows });
         let (tokens, status) = (if step == Step::Prefill { work } else { own }, AttemptStatus::InFlight);
-        seq.attempts.push(Attempt {
+        sequence.attempts.push(Attempt {
             server: id,
             sent_at: now,
             step,
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -53,8 +53,8 @@
 
     /// The share of attempts of this sequence's kind (traffic type and tenant) that failed of late, and how far that
     /// is above the kind that fails least.
-    pub(super) fn failing(&self, now: Nanos, seq: &Sequence) -> (f64, f64) {
-        let kind = self.stats.failed.get(&(seq.traffic, seq.tenant));
+    pub(super) fn failing(&self, now: Nanos, sequence: &Sequence) -> (f64, f64) {
+        let kind = self.stats.failed.get(&(sequence.traffic, sequence.tenant));
         let usual = kind.map_or(0.0, |all| all.read(now, 0.0));
         let least = self.stats.failed.values().map(|all| all.read(now, usual)).fold(usual, f64::min);
         (usual, (usual - least) / usual.max(1e-9))
@@ -64,25 +64,32 @@
     /// that kind fails more than others. Guards against servers that fail, ignore or turn away one kind of traffic.
     /// Each attempt of this sequence that timed out here counts for one more: against turning again and again to a
     /// server that takes everything and answers nothing.
-    pub(super) fn doubt(&self, now: Nanos, server: &Server, seq: &Sequence, failing: (f64, f64)) -> f64 {
+    pub(super) fn doubt(&self, now: Nanos, server: &Server, sequence: &Sequence, failing: (f64, f64)) -> f64 {
         let lost = |a: &&Attempt| {
             a.server == server.endpoint.server && a.status == AttemptStatus::Finished(Outcome::TimedOut)
         };
-        let again = seq.attempts.iter().filter(lost).count() as f64;
+        let again = sequence.attempts.iter().filter(lost).count() as f64;
         let (usual, more) = failing;
         if more <= 0.0 {
             return again;
         }
-        let here = self.stats.failed_at.get(&(server.generation, (seq.traffic, seq.tenant)));
+        let here = self.stats.failed_at.get(&(server.generation, (sequence.traffic, sequence.tenant)));
         let share = here.map_or(usual, |here| here.read(now, usual));
         again + more * share / (1.0 - share.min(0.9))
     }
 
-    pub(super) fn learn(&mut self, now: Nanos, seq: &Sequence, attempt: &Attempt, got: Outcome, began: bool) {
-        let shows = self.deployment.shows_progress(seq.traffic, attempt.step);
+    pub(super) fn learn(
+        &mut self,
+        now: Nanos,
+        sequence: &Sequence,
+        attempt: &Attempt,
+        got: Outcome,
+        began: bool,
+    ) {
+        let shows = self.deployment.shows_progress(sequence.traffic, attempt.step);
         let Some(server) = self.fleet.get_mut(attempt.server) else { return };
         let rtt = now.saturating_sub(attempt.sent_at);
-        server.out.retain(|out| out.seq != seq.id);
+        server.out.retain(|out| out.sequence != sequence.id);
         let timed = matches!(got, Outcome::PrefillDone { .. } | Outcome::TimedOut) && !began && shows;
         let time = if timed { rtt as f64 } else { 0.0 };
         if time > 0.0 {
@@ -91,7 +98,7 @@
         if !matches!(got, Outcome::KvCacheMissing | Outcome::Cancelled | Outcome::NeverSent) {
             let bad = !began && !matches!(got, Outcome::PrefillDone { .. } | Outcome::Completed);
             let new = || FadingShare::new(TRUST);
-            let stream = (seq.traffic, seq.tenant);
+            let stream = (sequence.traffic, sequence.tenant);
             self.stats.failed_at.entry_or_insert_with((server.generation, stream), new).add(now, bad);
             self.stats.failed.entry_or_insert_with(stream, new).add(now, bad);
         }
@@ -101,8 +108,8 @@
                 server.times.add(now, time);
                 self.stats.read_time.add(now, time);
                 self.stats.read_tokens.add(now, attempt.load_tokens);
-                if seq.prefix_tokens > 0.0 {
-                    let missed = kept < seq.prefix_tokens / 2.0;
+                if sequence.prefix_tokens > 0.0 {
+                    let missed = kept < sequence.prefix_tokens / 2.0;
                     self.stats.missed.add(now, missed);
                     self.new_homes = (self.new_homes * if missed { MISSED } else { FOUND }).clamp(1.0, 1e3);
                 }
--- a/src/scheduler/prefill.rs
+++ b/src/scheduler/prefill.rs
@@ -13,19 +13,19 @@
 impl Scheduler {
     /// The reader with least prompt work. One whose cell's writers can't take its even part of all reads counts part
     /// of the prompt again, since that part of its states has to be moved once more.
-    pub(super) fn select_prefill(&self, now: Nanos, seq: &Sequence) -> Option<Pick> {
-        if seq.attempts.len() + 2 > self.most_attempts(seq) {
+    pub(super) fn select_prefill(&self, now: Nanos, sequence: &Sequence) -> Option<Pick> {
+        if sequence.attempts.len() + 2 > self.most_attempts(sequence) {
             return None;
         }
-        let (homes, among) = self.homes(now, seq);
+        let (homes, among) = self.homes(now, sequence);
         let nearest = homes.values().copied().fold(f64::INFINITY, f64::min);
         let kept = |s: &Server| {
             let away = homes.get(&s.endpoint.server).copied().unwrap_or(LAST);
             // How surely a home has kept its text: as the reads of late have found them.
             let hope = if away < LAST { 1.0 - self.stats.missed.read(now, 0.5) } else { 0.0 };
-            ((nearest / away).min(1.0), self.credit(s, seq, hope))
+            ((nearest / away).min(1.0), self.credit(s, sequence, hope))
         };
-        let failing = self.failing(now, seq);
+        let failing = self.failing(now, sequence);
         let work = |s: &Server| {
             let far = if self.shares.cells.get(&s.endpoint.cell).is_some_and(|c| c.reads > 0.0) {
                 0.0
@@ -36,39 +36,41 @@
             let last = self.last(now, s, self.ready(now, s));
             // A cold one that may be sent something comes first, or its part is left and warm ones jam.
             let cold = if now < s.cold_until { 1.0 } else { 0.0 };
-            let again = far - HOME * home - cold + 2.0 * self.doubt(now, s, seq, failing);
-            self.read_work(now, s, seq, kept) + again * seq.prompt_tokens + last
+            let again = far - HOME * home - cold + 2.0 * self.doubt(now, s, sequence, failing);
+            self.read_work(now, s, sequence, kept) + again * sequence.prompt_tokens + last
         };
         let by = |s: &Server| (s.role == Role::Prefill).then(|| work(s));
-        let server = self.search(now, seq, &among, &[Role::Prefill], &by)?;
+        let server = self.search(now, sequence, &among, &[Role::Prefill], &by)?;
         Some(Pick { server, step: Step::Prefill, kept: kept(&self.fleet[server]).1 })
     }
 
     /// How far readers are from being this session's home, to which every gateway turns, and the candidates: a hash,
     /// by the part of all reads each should get. Guards against reading texts anew when a gateway has restarted or a
     /// session comes through another one.
-    fn homes(&self, now: Nanos, seq: &Sequence) -> (HashMap<ServerId, f64>, Candidates) {
-        let key = seq.session.map_or(seq.id.0, |session| session.0);
+    fn homes(&self, now: Nanos, sequence: &Sequence) -> (HashMap<ServerId, f64>, Candidates) {
+        let key = sequence.session.map_or(sequence.id.0, |session| session.0);
         // A text that many share is kept by some readers, by its part of all reads as far as own sends tell, rather
         // than pushed out of all: by the fewer the more often it is not found there.
         let readers = self.fleet.index().prefill_servers().max(1) as f64;
         let new = (self.new_homes * FEW_TEXTS / readers).min(TEXT_HOMES);
-        let spread = (new + TEXT_HOMES * self.text_sent(now, seq)) / (FEW_TEXTS + self.stats.texts.read(now));
+        let spread =
+            (new + TEXT_HOMES * self.text_sent(now, sequence)) / (FEW_TEXTS + self.stats.texts.read(now));
         let away = |s: &Server| {
             let cell = self.shares.cells.get(&s.endpoint.cell)?;
             let zone = self.shares.zones.get(&cell.zone)?;
             let part = zone.turn * cell.reads / zone.reads * s.weight / cell.readers.max(1e-9);
-            let text = seq.prefix.map_or(0.0, |PrefixId(text)| race(mix(text), s.endpoint.server.0, part));
+            let text =
+                sequence.prefix.map_or(0.0, |PrefixId(text)| race(mix(text), s.endpoint.server.0, part));
             Some((s.endpoint.server, race(key, s.endpoint.server.0, part), text))
         };
         if !self.is_small() {
-            let mut slots = self.nominees(key, seq.prefix, spread * readers);
+            let mut slots = self.nominees(key, sequence.prefix, spread * readers);
             let away = |slot: &Slot| away(self.fleet.at(*slot)).map(|(server, away, _)| (server, away));
             let homes = slots.iter().filter_map(away).collect();
-            let texts = [seq.session.map(Text::Session), seq.prefix.map(Text::Prefix)];
+            let texts = [sequence.session.map(Text::Session), sequence.prefix.map(Text::Prefix)];
             let sent_to = texts.into_iter().flatten().flat_map(|text| self.stats.sent_to(text));
             slots.extend(sent_to.filter_map(|server| self.fleet.slot(server)));
-            self.draw(seq, Role::Prefill, self.deployment.zone, &mut slots);
+            self.draw(sequence, Role::Prefill, self.deployment.zone, &mut slots);
             return (homes, Candidates::distinct(slots));
         }
         let readers = self.fleet.values().filter(|s| s.role == Role::Prefill);
--- a/tests/builds.rs
+++ b/tests/builds.rs
@@ -23,15 +23,15 @@
     for (delivery, lets_go) in [(Delivery::Buffered, true), (Delivery::Streamed, false)] {
         let mut settings = deployment();
         settings.types[0].delivery = delivery;
-        let (mut scheduler, mut seq) = (scheduler(settings, &fleet()), sequence(1, 0, START));
-        sent(scheduler.schedule(START, &mut seq));
-        close(&mut scheduler, START + 500 * MS, &mut seq, Outcome::TimedOut);
-        read(&mut scheduler, START + 500 * MS, &mut seq, 50 * MS);
-        sent(scheduler.schedule(START + 550 * MS, &mut seq));
+        let (mut scheduler, mut sequence) = (scheduler(settings, &fleet()), new_sequence(1, 0, START));
+        sent(scheduler.schedule(START, &mut sequence));
+        close(&mut scheduler, START + 500 * MS, &mut sequence, Outcome::TimedOut);
+        read(&mut scheduler, START + 500 * MS, &mut sequence, 50 * MS);
+        sent(scheduler.schedule(START + 550 * MS, &mut sequence));
         if delivery == Delivery::Streamed {
-            scheduler.began(START + 600 * MS, &mut seq, 2);
+            scheduler.first_token(START + 600 * MS, &mut sequence, 2);
         }
-        let end = close(&mut scheduler, START + 700 * MS, &mut seq, Outcome::Completed);
+        let end = close(&mut scheduler, START + 700 * MS, &mut sequence, Outcome::Completed);
         assert_eq!(end, NextStep::Complete { release: lets_go }, "{delivery:?}");
     }
 }
@@ -42,20 +42,20 @@
     settings.types[0].delivery = Delivery::Buffered;
     let mut scheduler = scheduler(settings, &all_mixed());
     for id in 0..12 {
-        let mut known = sequence(id, 2, START);
+        let mut known = new_sequence(id, 2, START);
         sent(scheduler.schedule(START, &mut known));
-        scheduler.began(START + 20 * MS, &mut known, 0);
+        scheduler.first_token(START + 20 * MS, &mut known, 0);
         close(&mut scheduler, START + 30 * MS, &mut known, Outcome::Completed);
     }
-    let (now, mut seq) = (START + 40 * MS, sequence(20, 0, START + 40 * MS));
-    let server = sent(scheduler.schedule(now, &mut seq));
-    assert_eq!(scheduler.wait(now, &seq), seq.first_token_deadline - now);
+    let (now, mut sequence) = (START + 40 * MS, new_sequence(20, 0, START + 40 * MS));
+    let server = sent(scheduler.schedule(now, &mut sequence));
+    assert_eq!(scheduler.next_timeout(now, &sequence), sequence.first_token_deadline - now);
     // A second later nothing has shown; its server still takes its part, one stream behind the others.
     let mut next: Vec<ServerId> = Vec::new();
     for id in 30..34 {
-        let mut seq = sequence(id, 2, now + 1000 * MS);
-        next.push(sent(scheduler.schedule(now + 1000 * MS, &mut seq)));
-        scheduler.began(now + 1001 * MS, &mut seq, 0);
+        let mut sequence = new_sequence(id, 2, now + 1000 * MS);
+        next.push(sent(scheduler.schedule(now + 1000 * MS, &mut sequence)));
+        scheduler.first_token(now + 1001 * MS, &mut sequence, 0);
     }
     assert!(next.contains(&server), "{next:?} without {server:?}");
 }
@@ -65,12 +65,12 @@
     for tick in [4 * MS, 15 * MS, 60 * MS, 200 * MS] {
         for budget in (20..400).step_by(7) {
             let mut scheduler = scheduler(Deployment { timer_resolution: tick, ..deployment() }, &[]);
-            let (mut now, mut seq) = (START, sequence(1, 0, START));
-            seq.first_token_deadline = START + budget * MS;
-            while scheduler.schedule(now, &mut seq) == Decision::Wait {
-                now += scheduler.wait(now, &seq) + tick - 1;
+            let (mut now, mut sequence) = (START, new_sequence(1, 0, START));
+            sequence.first_token_deadline = START + budget * MS;
+            while scheduler.schedule(now, &mut sequence) == Decision::Wait {
+                now += scheduler.next_timeout(now, &sequence) + tick - 1;
             }
-            assert!(now < seq.first_token_deadline, "{tick} {budget}");
+            assert!(now < sequence.first_token_deadline, "{tick} {budget}");
         }
     }
 }
@@ -78,10 +78,10 @@
 #[test]
 fn a_sequence_is_not_held_till_its_clients_short_time_is_nearly_up() {
     let (mut scheduler, mut now) = (scheduler(deployment(), &[]), START);
-    let mut seq = sequence(1, 0, START);
-    seq.first_token_deadline = START + 400 * MS;
-    while scheduler.schedule(now, &mut seq) == Decision::Wait {
-        now += scheduler.wait(now, &seq);
+    let mut sequence = new_sequence(1, 0, START);
+    sequence.first_token_deadline = START + 400 * MS;
+    while scheduler.schedule(now, &mut sequence) == Decision::Wait {
+        now += scheduler.next_timeout(now, &sequence);
     }
     assert!(now <= START + 220 * MS, "half of its time, not of its SLO");
 }
@@ -91,39 +91,40 @@
     // A read alone can't end in an answer, and no kind here does both.
     let two = vec![deployment().kinds[0].clone(), deployment().kinds[1].clone()];
     let one = Deployment { max_attempts: 1, kinds: two.clone(), ..deployment() };
-    rejected(scheduler(one.clone(), &fleet()).schedule(START, &mut sequence(1, 0, START)));
+    rejected(scheduler(one.clone(), &fleet()).schedule(START, &mut new_sequence(1, 0, START)));
     let whole = Deployment { decode_servers_prefill: true, ..one };
-    let mut seq = sequence(1, 0, START);
-    let writer = sent(scheduler(whole, &fleet()).schedule(START, &mut seq));
-    assert!(!writer.0.is_multiple_of(3) && seq.attempts[0].step == Step::Combined);
+    let mut sequence = new_sequence(1, 0, START);
+    let writer = sent(scheduler(whole, &fleet()).schedule(START, &mut sequence));
+    assert!(!writer.0.is_multiple_of(3) && sequence.attempts[0].step == Step::Combined);
     // The state is gone, and one attempt is left.
     let three = Deployment { max_attempts: 3, kinds: two, ..deployment() };
-    let (mut scheduler, mut seq) = (scheduler(three, &fleet()), sequence(1, 0, START));
-    read(&mut scheduler, START, &mut seq, 10 * MS);
-    sent(scheduler.schedule(START + 10 * MS, &mut seq));
-    close(&mut scheduler, START + 20 * MS, &mut seq, Outcome::KvCacheMissing);
-    rejected(scheduler.schedule(START + 20 * MS, &mut seq));
+    let (mut scheduler, mut sequence) = (scheduler(three, &fleet()), new_sequence(1, 0, START));
+    read(&mut scheduler, START, &mut sequence, 10 * MS);
+    sent(scheduler.schedule(START + 10 * MS, &mut sequence));
+    close(&mut scheduler, START + 20 * MS, &mut sequence, Outcome::KvCacheMissing);
+    rejected(scheduler.schedule(START + 20 * MS, &mut sequence));
 }
 
 #[test]
 fn a_tokened_sequence_ends_with_its_window_and_sends_no_client_past_it() {
     for (traffic, first, second) in [(2, 1900, 2000), (3, 1999, 2000)] {
-        let (mut scheduler, mut seq) = (scheduler(deployment(), &fleet()), sequence(1, traffic, START));
-        seq.first_token_deadline = START + 9000 * MS;
-        read(&mut scheduler, START, &mut seq, 0);
-        let writer = sent(scheduler.schedule(START, &mut seq));
-        close(&mut scheduler, START + 100 * MS, &mut seq, Outcome::Error);
-        let mut late = seq.clone();
+        let (mut scheduler, mut sequence) =
+            (scheduler(deployment(), &fleet()), new_sequence(1, traffic, START));
+        sequence.first_token_deadline = START + 9000 * MS;
+        read(&mut scheduler, START, &mut sequence, 0);
+        let writer = sent(scheduler.schedule(START, &mut sequence));
+        close(&mut scheduler, START + 100 * MS, &mut sequence, Outcome::Error);
+        let mut late = sequence.clone();
         // Nothing that may take it is left, until its window is over.
         let gone: Vec<Endpoint> =
             fleet().iter().map(|l| Endpoint { state: EndpointState::Draining, ..l.clone() }).collect();
-        scheduler.listed(START + 100 * MS, SnapshotKind::Delta, &gone);
-        let in_time = scheduler.schedule(START + first * MS, &mut seq);
+        scheduler.update_endpoints(START + 100 * MS, SnapshotKind::Delta, &gone);
+        let in_time = scheduler.schedule(START + first * MS, &mut sequence);
         if traffic == 2 {
             let pause = rejected(in_time).unwrap();
             assert!(first * MS + pause < 2000 * MS, "comes back {pause} later");
         }
-        scheduler.listed(START + 200 * MS, SnapshotKind::Delta, &fleet());
+        scheduler.update_endpoints(START + 200 * MS, SnapshotKind::Delta, &fleet());
         assert!(
             scheduler.schedule(START + second * MS, &mut late) == Decision::Abort { release: true },
             "{writer:?}"
@@ -136,9 +137,9 @@
     for release_within in [30 * MS, 60 * MS, 100 * MS] {
         let mut scheduler =
             scheduler(Deployment { release_timeout: release_within, ..deployment() }, &fleet());
-        let mut seq = sequence(1, 0, START);
-        read(&mut scheduler, START, &mut seq, 50 * MS);
-        sent(scheduler.schedule(START + 50 * MS, &mut seq));
+        let mut sequence = new_sequence(1, 0, START);
+        read(&mut scheduler, START, &mut sequence, 50 * MS);
+        sent(scheduler.schedule(START + 50 * MS, &mut sequence));
     }
 }
 
@@ -153,15 +154,19 @@
         let busy = id % 10 == 0 || id >= 200;
         for mixed in 2..6 {
             let share = if busy { 0.9 } else { 0.0 };
-            scheduler.reported(
+            scheduler.load_reported(
                 now,
                 ServerId(mixed),
                 LoadReport { memory_share: Some(share), ..LoadReport::default() },
             );
         }
-        scheduler.reported(now, ServerId(6), LoadReport { memory_share: Some(0.5), ..LoadReport::default() });
+        scheduler.load_reported(
+            now,
+            ServerId(6),
+            LoadReport { memory_share: Some(0.5), ..LoadReport::default() },
+        );
         if id == 200 {
-            scheduler.listed(
+            scheduler.update_endpoints(
                 now,
                 SnapshotKind::Delta,
                 &[
@@ -170,19 +175,19 @@
                 ],
             );
         }
-        let mut seq = sequence(id, 0, now);
-        let Decision::Send(server) = scheduler.schedule(now, &mut seq) else { continue };
-        if seq.attempts[0].step == Step::Combined {
-            scheduler.began(now, &mut seq, 0);
-            close(&mut scheduler, now + MS, &mut seq, Outcome::Completed);
+        let mut sequence = new_sequence(id, 0, now);
+        let Decision::Send(server) = scheduler.schedule(now, &mut sequence) else { continue };
+        if sequence.attempts[0].step == Step::Combined {
+            scheduler.first_token(now, &mut sequence, 0);
+            close(&mut scheduler, now + MS, &mut sequence, Outcome::Completed);
             continue;
         }
         reads += u64::from(id < 200);
         cold.extend((id >= 200 && server == ServerId(0)).then_some(now));
-        close(&mut scheduler, now + MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
-        if let Decision::Send(_) = scheduler.schedule(now + MS, &mut seq) {
-            scheduler.began(now + MS, &mut seq, 1);
-            close(&mut scheduler, now + 2 * MS, &mut seq, Outcome::Completed);
+        close(&mut scheduler, now + MS, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
+        if let Decision::Send(_) = scheduler.schedule(now + MS, &mut sequence) {
+            scheduler.first_token(now + MS, &mut sequence, 1);
+            close(&mut scheduler, now + 2 * MS, &mut sequence, Outcome::Completed);
         }
     }
     assert!((15..40).contains(&reads), "{reads} reads in four seconds before");
@@ -198,17 +203,17 @@
         .map(|l| Endpoint { zone: ZoneId(0), ..l });
     let mut scheduler = scheduler(deployment(), &list);
     for id in 0..8 {
-        let mut seq = sequence(id, 0, START);
+        let mut sequence = new_sequence(id, 0, START);
         // Both mixed servers are reading; the one elsewhere holds somewhat less.
         for mixed in [1, 3] {
             let share = if mixed == 3 { 0.3 } else { 0.4 };
-            scheduler.reported(
+            scheduler.load_reported(
                 START,
                 ServerId(mixed),
                 LoadReport { memory_share: Some(share), ..LoadReport::default() },
             );
         }
-        seq.attempts.push(Attempt {
+        sequence.attempts.push(Attempt {
             server: ServerId(0),
             sent_at: START,
             step: Step::Prefill,
@@ -217,24 +222,24 @@
             load_tokens: 0.0,
             expected_cached_tokens: 0.0,
         });
-        (seq.kv_cache, seq.cache_held_since) =
+        (sequence.kv_cache, sequence.cache_held_since) =
             (Some(KvCacheLocation { server: ServerId(0), since: START }), Some(START));
-        assert_eq!(sent(scheduler.schedule(START, &mut seq)), ServerId(1));
-        scheduler.began(START, &mut seq, 1);
-        close(&mut scheduler, START, &mut seq, Outcome::Completed);
+        assert_eq!(sent(scheduler.schedule(START, &mut sequence)), ServerId(1));
+        scheduler.first_token(START, &mut sequence, 1);
+        close(&mut scheduler, START, &mut sequence, Outcome::Completed);
     }
 }
 
 #[test]
 fn a_server_that_is_listed_as_another_kind_serves_as_that_from_then_on() {
     let (mut scheduler, mut first) =
-        (scheduler(deployment(), &[entry(0, 0, 0), entry(1, 1, 0)]), sequence(1, 0, START));
+        (scheduler(deployment(), &[entry(0, 0, 0), entry(1, 1, 0)]), new_sequence(1, 0, START));
     read(&mut scheduler, START, &mut first, 10 * MS);
-    scheduler.listed(START, SnapshotKind::Delta, &[entry(0, 1, 0), entry(1, 0, 0)]);
+    scheduler.update_endpoints(START, SnapshotKind::Delta, &[entry(0, 1, 0), entry(1, 0, 0)]);
     assert_eq!(sent(scheduler.schedule(START + 10 * MS, &mut first)), ServerId(0), "the one that writes now");
-    let mut seq = sequence(2, 1, START + 10 * MS);
-    assert_eq!(sent(scheduler.schedule(START + 10 * MS, &mut seq)), ServerId(1));
-    assert_eq!(seq.attempts[0].step, Step::Prefill);
+    let mut sequence = new_sequence(2, 1, START + 10 * MS);
+    assert_eq!(sent(scheduler.schedule(START + 10 * MS, &mut sequence)), ServerId(1));
+    assert_eq!(sequence.attempts[0].step, Step::Prefill);
 }
 
 #[test]
@@ -244,7 +249,7 @@
         Deployment { max_poll_interval: 0, discovery: Discovery::Polled, ..deployment() },
         7,
     );
-    assert!((0..10).all(|_| scheduler.refused() >= 20 * MS));
+    assert!((0..10).all(|_| scheduler.endpoint_poll_failed() >= 20 * MS));
 }
 
 #[test]
@@ -257,20 +262,20 @@
             })
             .collect();
         for lost in 0..3 {
-            let (mut scheduler, mut seq) = (scheduler(deployment(), &list), sequence(1, 0, START));
-            let first = sent(scheduler.schedule(START, &mut seq));
+            let (mut scheduler, mut sequence) = (scheduler(deployment(), &list), new_sequence(1, 0, START));
+            let first = sent(scheduler.schedule(START, &mut sequence));
             let cell = first.0 / 3;
             let gone =
                 Endpoint { state: EndpointState::Gone, ..entry(cell * 3 + lost, lost as usize, cell as i64) };
-            scheduler.listed(START, SnapshotKind::Delta, &[gone]);
-            let read = seq.attempts[0].step == Step::Prefill;
+            scheduler.update_endpoints(START, SnapshotKind::Delta, &[gone]);
+            let read = sequence.attempts[0].step == Step::Prefill;
             close(
                 &mut scheduler,
                 START + 10 * MS,
-                &mut seq,
+                &mut sequence,
                 if read { Outcome::PrefillDone { cached_tokens: 0.0 } } else { Outcome::Reset },
             );
-            let next = sent(scheduler.schedule(START + 10 * MS, &mut seq));
+            let next = sent(scheduler.schedule(START + 10 * MS, &mut sequence));
             assert_ne!(next, ServerId(cell * 3 + lost), "{kinds:?} without {lost}");
         }
     }
@@ -283,20 +288,24 @@
         let mut scheduler = scheduler(deployment(), &list);
         for (writer, share) in [(1, share), (2, other)] {
             let memory_share = Some(share);
-            scheduler.reported(START, ServerId(writer), LoadReport { memory_share, ..LoadReport::default() });
+            scheduler.load_reported(
+                START,
+                ServerId(writer),
+                LoadReport { memory_share, ..LoadReport::default() },
+            );
         }
-        let mut seq = sequence(1, 0, START);
-        read(&mut scheduler, START, &mut seq, 0);
-        sent(scheduler.schedule(START, &mut seq))
+        let mut sequence = new_sequence(1, 0, START);
+        read(&mut scheduler, START, &mut sequence, 0);
+        sent(scheduler.schedule(START, &mut sequence))
     };
     assert_eq!(told(0.2, 0.6), ServerId(1), "not the one of which nothing is known");
     assert_eq!(told(1.0, 1.0), ServerId(3), "nor is it full because they are");
     // No loads at all: own streams alone.
     let (mut scheduler, mut writers) = (scheduler(deployment(), &list), [0; 4]);
     for id in 0..9 {
-        let mut seq = sequence(id, 0, START);
-        read(&mut scheduler, START, &mut seq, 0);
-        writers[sent(scheduler.schedule(START, &mut seq)).0 as usize] += 1;
+        let mut sequence = new_sequence(id, 0, START);
+        read(&mut scheduler, START, &mut sequence, 0);
+        writers[sent(scheduler.schedule(START, &mut sequence)).0 as usize] += 1;
     }
     assert_eq!(writers, [0, 3, 3, 3]);
 }
@@ -321,29 +330,33 @@
     ];
     let mut paths: Vec<Vec<Outcome>> = vec![Vec::new()];
     while let Some(path) = paths.pop() {
-        let (mut scheduler, mut seq, mut now) =
-            (scheduler(settings.clone(), list), sequence(1, traffic, START), START);
-        let mut answer = scheduler.schedule(now, &mut seq);
+        let (mut scheduler, mut sequence, mut now) =
+            (scheduler(settings.clone(), list), new_sequence(1, traffic, START), START);
+        let mut answer = scheduler.schedule(now, &mut sequence);
         for end in &path {
             // Its server starts anew under it, as far as it is reset.
             if *end == Reset {
-                let server = seq.attempts[seq.attempts.len() - 1].server;
+                let server = sequence.attempts[sequence.attempts.len() - 1].server;
                 let listed = list.iter().find(|l| l.server == server).unwrap();
-                scheduler.listed(now, SnapshotKind::Delta, &[Endpoint { started_at: now, ..listed.clone() }]);
+                scheduler.update_endpoints(
+                    now,
+                    SnapshotKind::Delta,
+                    &[Endpoint { started_at: now, ..listed.clone() }],
+                );
             }
             now += 10 * MS;
-            close(&mut scheduler, now, &mut seq, *end);
-            answer = scheduler.schedule(now, &mut seq);
+            close(&mut scheduler, now, &mut sequence, *end);
+            answer = scheduler.schedule(now, &mut sequence);
             while answer == Decision::Wait {
-                now += scheduler.wait(now, &seq);
-                answer = scheduler.schedule(now, &mut seq);
+                now += scheduler.next_timeout(now, &sequence);
+                answer = scheduler.schedule(now, &mut sequence);
             }
         }
         if !matches!(answer, Decision::Send(_)) {
-            judge(&seq, answer);
+            judge(&sequence, answer);
             continue;
         }
-        let read = seq.attempts[seq.attempts.len() - 1].step == Step::Prefill;
+        let read = sequence.attempts[sequence.attempts.len() - 1].step == Step::Prefill;
         let fits = |end: &&Outcome| match end {
             PrefillDone { .. } => read,
             KvCacheMissing => !read,
@@ -362,14 +375,14 @@
     let mut seen = [0; 2];
     for (list, max_attempts) in [(fleet(), 4), (all_mixed(), 3), (all_mixed(), 1)] {
         let settings = Deployment { max_attempts, ..deployment() };
-        courses(&settings, &list, 1, &mut |seq, answer| {
-            let ran = seq.attempts.iter().filter(may_have_run).count();
-            let last = seq.attempts.last().unwrap();
-            assert!(ran <= 1 && (ran == 0 || may_have_run(&last)), "{:?}", seq.attempts);
-            assert!(seq.attempts.len() <= max_attempts);
+        courses(&settings, &list, 1, &mut |sequence, answer| {
+            let ran = sequence.attempts.iter().filter(may_have_run).count();
+            let last = sequence.attempts.last().unwrap();
+            assert!(ran <= 1 && (ran == 0 || may_have_run(&last)), "{:?}", sequence.attempts);
+            assert!(sequence.attempts.len() <= max_attempts);
             match answer {
-                Decision::Reject { .. } => assert_eq!(ran, 0, "{:?}", seq.attempts),
-                _ => assert_eq!(ran, 1, "{:?}", seq.attempts),
+                Decision::Reject { .. } => assert_eq!(ran, 0, "{:?}", sequence.attempts),
+                _ => assert_eq!(ran, 1, "{:?}", sequence.attempts),
             }
             seen[ran] += 1;
         });
@@ -390,24 +403,24 @@
         let mut schedulers: Vec<Scheduler> = (0..gateways)
             .map(|seed| {
                 let mut scheduler = Scheduler::new(START, settings.clone(), seed as u64);
-                scheduler.listed(START, SnapshotKind::Cached, &list);
+                scheduler.update_endpoints(START, SnapshotKind::Cached, &list);
                 scheduler
             })
             .collect();
         let (gap, mut sends) = (4 * MS, [Vec::new(), Vec::new()]);
         for id in 0..2000u64 {
             let (now, at) = (START + id * gap, (id * 101 % gateways as u64) as usize);
-            let mut seq = sequence(id, 0, now);
-            seq.session = None;
-            while let Decision::Send(server) = schedulers[at].schedule(now, &mut seq) {
-                let reads = seq.attempts[seq.attempts.len() - 1].step == Step::Prefill;
+            let mut sequence = new_sequence(id, 0, now);
+            sequence.session = None;
+            while let Decision::Send(server) = schedulers[at].schedule(now, &mut sequence) {
+                let reads = sequence.attempts[sequence.attempts.len() - 1].step == Step::Prefill;
                 if server.0.is_multiple_of(4) {
                     sends[usize::from(!reads)].push(now);
                 }
                 close(
                     &mut schedulers[at],
                     now,
-                    &mut seq,
+                    &mut sequence,
                     if reads { Outcome::PrefillDone { cached_tokens: 0.0 } } else { Outcome::Completed },
                 );
             }
