--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -39,7 +39,7 @@
     let mut chance = Rand64::new(seed.into());
     let start = |now, list: &[Endpoint], seed: u64| {
         let mut scheduler = Scheduler::new(now, settings.clone(), seed);
-        scheduler.listed(now, SnapshotKind::Cached, list);
+        scheduler.update_endpoints(now, SnapshotKind::Cached, list);
         scheduler
     };
     let mut schedulers: Vec<Scheduler> =
@@ -59,7 +59,9 @@
         }
         if now >= told && !changed {
             changed = true;
-            schedulers.iter_mut().for_each(|scheduler| scheduler.listed(now, SnapshotKind::Full, &after));
+            schedulers
+                .iter_mut()
+                .for_each(|scheduler| scheduler.update_endpoints(now, SnapshotKind::Full, &after));
         }
         if case.restarts && now >= next_restart {
             next_restart += 200 * MS;
@@ -70,13 +72,13 @@
         let few = (case.gateways as u64).div_ceil(5);
         let most = if chance.rand_float() < 0.5 { few } else { case.gateways as u64 };
         let at = chance.rand_range(0..most) as usize;
-        let mut seq = Sequence { session: Some(SessionId(id)), ..sequence(id, 0, now) };
-        if let Decision::Send(server) = schedulers[at].schedule(now, &mut seq) {
+        let mut sequence = Sequence { session: Some(SessionId(id)), ..new_sequence(id, 0, now) };
+        if let Decision::Send(server) = schedulers[at].schedule(now, &mut sequence) {
             if server.0 >= 1000 {
                 sent_at.entry(server).or_default().push(now);
             }
-            close(&mut schedulers[at], now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
-            seq.completed = true;
+            close(&mut schedulers[at], now, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
+            sequence.completed = true;
         }
     }
     (told, sent_at)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -70,11 +70,11 @@
 
 pub fn scheduler(deployment: Deployment, fleet: &[Endpoint]) -> Scheduler {
     let mut scheduler = Scheduler::new(START, deployment, 7);
-    scheduler.listed(START, SnapshotKind::Cached, fleet);
+    scheduler.update_endpoints(START, SnapshotKind::Cached, fleet);
     scheduler
 }
 
-pub fn sequence(id: u64, traffic: usize, now: Nanos) -> Sequence {
+pub fn new_sequence(id: u64, traffic: usize, now: Nanos) -> Sequence {
     Sequence {
         id: SequenceId(id),
         traffic: TrafficTypeId(traffic),
@@ -104,15 +104,15 @@
 }
 
 /// Closes the newest attempt.
-pub fn close(scheduler: &mut Scheduler, now: Nanos, seq: &mut Sequence, outcome: Outcome) -> NextStep {
-    let n = seq.attempts.len() - 1;
-    seq.attempts[n].delivered = true;
-    scheduler.settle(now, seq, n, outcome, outcome == Outcome::Completed)
+pub fn close(scheduler: &mut Scheduler, now: Nanos, sequence: &mut Sequence, outcome: Outcome) -> NextStep {
+    let n = sequence.attempts.len() - 1;
+    sequence.attempts[n].delivered = true;
+    scheduler.attempt_finished(now, sequence, n, outcome, outcome == Outcome::Completed)
 }
 
 /// A read that takes `time`, and the server it was sent to.
-pub fn read(scheduler: &mut Scheduler, now: Nanos, seq: &mut Sequence, time: Nanos) -> ServerId {
-    let reader = sent(scheduler.schedule(now, seq));
-    close(scheduler, now + time, seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+pub fn read(scheduler: &mut Scheduler, now: Nanos, sequence: &mut Sequence, time: Nanos) -> ServerId {
+    let reader = sent(scheduler.schedule(now, sequence));
+    close(scheduler, now + time, sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
     reader
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -149,7 +149,7 @@
 fn a_server_that_is_gone_with_an_attempt_out_is_kept_until_that_has_ended() {
     let mut fleet = Fleet::new(deployment().kinds, Weights::Unused, RING_POINTS);
     fleet.listed(SnapshotKind::Full, &[entry(1, 0, 0)], |entry| start(START, entry));
-    let out = petrelshore::fleet::Out { seq: SequenceId(1), sent: START, tokens: 1.0, waiting: true };
+    let out = petrelshore::fleet::Out { sequence: SequenceId(1), sent: START, tokens: 1.0, waiting: true };
     fleet.get_mut(ServerId(1)).unwrap().out.push(out);
     for _ in 0..3 {
         fleet.listed(SnapshotKind::Full, &[entry(2, 0, 0)], |entry| start(START, entry));
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -104,24 +104,24 @@
     };
     let mut list: Vec<Endpoint> = (0..course.servers).map(|n| endpoint(course, &mut chance, n)).collect();
     let mut scheduler = Scheduler::new(START, settings, seed);
-    scheduler.listed(START, SnapshotKind::Cached, &list);
+    scheduler.update_endpoints(START, SnapshotKind::Cached, &list);
     let (mut now, mut hand, mut told) = (START, Vec::<Sequence>::new(), String::new());
     for step in 0..course.steps {
         now += (chance.rand_float() * 60.0) as Nanos * MS;
         match chance.rand_range(0..12) {
             0 => {
                 let changed = change(&mut chance, now, &mut list);
-                scheduler.listed(now, SnapshotKind::Delta, &changed);
+                scheduler.update_endpoints(now, SnapshotKind::Delta, &changed);
             }
-            1 if step % 50 == 0 => scheduler.listed(now, SnapshotKind::Full, &list),
+            1 if step % 50 == 0 => scheduler.update_endpoints(now, SnapshotKind::Full, &list),
             1..=3 => {
                 let server = ServerId(chance.rand_range(0..course.servers));
-                scheduler.reported(now, server, report(&mut chance));
+                scheduler.load_reported(now, server, report(&mut chance));
             }
             4..=6 => {
                 let id = step as u64;
                 let prompt_tokens = 200.0 + 3000.0 * chance.rand_float();
-                let mut seq = Sequence {
+                let mut sequence = Sequence {
                     prompt_tokens,
                     session: Some(SessionId(chance.rand_range(0..60))),
                     prefix: (chance.rand_float() < 0.7).then(|| PrefixId(1 + chance.rand_range(0..12))),
@@ -129,32 +129,43 @@
                     tenant: (chance.rand_float() < 0.8).then(|| TenantId(chance.rand_range(0..5) as usize)),
                     output_length_hint: (chance.rand_float() < 0.3)
                         .then(|| chance.rand_range(1..20) * 600 * MS),
-                    ..sequence(id, chance.rand_range(0..5) as usize, now)
+                    ..new_sequence(id, chance.rand_range(0..5) as usize, now)
                 };
-                let answer = recorded_decision(scheduler.schedule(now, &mut seq));
-                let _ = writeln!(told, "{step} {id} {answer} {}", scheduler.wait(now, &seq));
-                hand.push(seq);
+                let answer = recorded_decision(scheduler.schedule(now, &mut sequence));
+                let _ = writeln!(told, "{step} {id} {answer} {}", scheduler.next_timeout(now, &sequence));
+                hand.push(sequence);
             }
             _ if !hand.is_empty() => {
                 let at = chance.rand_range(0..hand.len() as u64) as usize;
-                let seq = &mut hand[at];
-                let out = seq.attempts.iter().position(|a| !matches!(a.status, AttemptStatus::Finished(_)));
+                let sequence = &mut hand[at];
+                let out =
+                    sequence.attempts.iter().position(|a| !matches!(a.status, AttemptStatus::Finished(_)));
                 if let Some(n) = out {
-                    let (step_taken, begun) = (seq.attempts[n].step, chance.rand_float() < 0.8);
-                    let got = outcome(&mut chance, step_taken, seq.prefix_tokens);
+                    let (step_taken, begun) = (sequence.attempts[n].step, chance.rand_float() < 0.8);
+                    let got = outcome(&mut chance, step_taken, sequence.prefix_tokens);
                     if got == Outcome::Completed && begun {
-                        scheduler.began(now, seq, n);
+                        scheduler.first_token(now, sequence, n);
                     }
-                    seq.attempts[n].delivered = true;
-                    let settled =
-                        recorded_next_step(scheduler.settle(now, seq, n, got, got == Outcome::Completed));
-                    let _ = writeln!(told, "{step} {} {settled}", seq.id.0);
+                    sequence.attempts[n].delivered = true;
+                    let settled = recorded_next_step(scheduler.attempt_finished(
+                        now,
+                        sequence,
+                        n,
+                        got,
+                        got == Outcome::Completed,
+                    ));
+                    let _ = writeln!(told, "{step} {} {settled}", sequence.id.0);
                 }
-                if !seq.completed {
-                    let answer = recorded_decision(scheduler.schedule(now, seq));
-                    let _ = writeln!(told, "{step} {} {answer} {}", seq.id.0, scheduler.wait(now, seq));
+                if !sequence.completed {
+                    let answer = recorded_decision(scheduler.schedule(now, sequence));
+                    let _ = writeln!(
+                        told,
+                        "{step} {} {answer} {}",
+                        sequence.id.0,
+                        scheduler.next_timeout(now, sequence)
+                    );
                 }
-                if seq.completed {
+                if sequence.completed {
                     hand.swap_remove(at);
                 }
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 struct Tracked {
-    seq: Sequence,
+    sequence: Sequence,
     /// Every attempt as the model saw it: server, cell, when sent, whether it may have run.
     seen: Vec<(ServerId, CellId, Nanos, bool)>,
     out: bool,
@@ -49,15 +49,15 @@
 
     fn ask(&mut self, at: usize) {
         let now = self.now;
-        let answer = self.scheduler.schedule(now, &mut self.hand[at].seq);
-        let effect = self.deployment.types[self.hand[at].seq.traffic.0].idempotency;
+        let answer = self.scheduler.schedule(now, &mut self.hand[at].sequence);
+        let effect = self.deployment.types[self.hand[at].sequence.traffic.0].idempotency;
         let t = &mut self.hand[at];
         let ran = t.seen.iter().find(|(.., ran)| *ran).copied();
         match answer {
             Decision::Send(server) => {
                 assert!(!t.over && !t.out, "rule 1: sent after the end, or twice at once");
                 assert!(t.seen.len() < self.deployment.max_attempts, "more attempts than allowed");
-                assert!(now < t.seq.first_token_deadline, "rule 1: sent after the client left");
+                assert!(now < t.sequence.first_token_deadline, "rule 1: sent after the client left");
                 let endpoint = &self.list[&server];
                 assert_eq!(endpoint.state, EndpointState::Ready, "rule 3: sent to a server that leaves");
                 match (effect, ran) {
@@ -91,11 +91,11 @@
                 let runs = endpoint.kind != ServerKindId(0);
                 t.seen.push((server, endpoint.cell, now, runs));
                 (t.out, t.held_since) = (true, None);
-                t.due = now + self.scheduler.wait(now, &t.seq);
+                t.due = now + self.scheduler.next_timeout(now, &t.sequence);
             }
             Decision::Wait => {
                 assert!(!t.over && !t.out);
-                t.due = now + self.scheduler.wait(now, &t.seq).max(1);
+                t.due = now + self.scheduler.next_timeout(now, &t.sequence).max(1);
             }
             Decision::Reject { release, .. } => {
                 let harmless = match (effect, ran) {
@@ -113,7 +113,7 @@
     fn end(&mut self, at: usize, release: bool) {
         let t = &mut self.hand[at];
         assert!(!t.over, "rule 1: two final answers");
-        assert!(self.now <= t.seq.first_token_deadline, "rule 1: answered too late");
+        assert!(self.now <= t.sequence.first_token_deadline, "rule 1: answered too late");
         assert!(release || t.held_since.is_none(), "rule 5: the end left a state pinned");
         (t.over, t.held_since) = (true, None);
     }
@@ -134,10 +134,10 @@
         t.out = false;
         let last = t.over || t.streaming || outcome == Outcome::Completed;
         let taken = matches!(outcome, Outcome::Completed | Outcome::KvCacheMissing);
-        if matches!(outcome, Outcome::PrefillDone { .. }) || (t.seq.kv_cache.is_some() && !taken) {
+        if matches!(outcome, Outcome::PrefillDone { .. }) || (t.sequence.kv_cache.is_some() && !taken) {
             t.held_since = Some(now);
         }
-        match self.scheduler.settle(now, &mut t.seq, n, outcome, last) {
+        match self.scheduler.attempt_finished(now, &mut t.sequence, n, outcome, last) {
             NextStep::Schedule => {
                 assert!(!last, "rule 1: goes on after the end");
                 self.ask(at);
@@ -179,18 +179,25 @@
         let out: Vec<usize> = (0..self.hand.len()).filter(|at| self.hand[*at].out).collect();
         match op {
             0..=7 => {
-                let mut seq = sequence(self.hand.len() as u64, pick % 5, self.now);
-                seq.first_token_deadline = self.now + (500 + (pick as u64 / 8 % 8) * 500) * MS;
+                let mut sequence = new_sequence(self.hand.len() as u64, pick % 5, self.now);
+                sequence.first_token_deadline = self.now + (500 + (pick as u64 / 8 % 8) * 500) * MS;
                 self.arrivals.push(self.now);
                 let (seen, due) = (Vec::new(), Nanos::MAX);
-                let t =
-                    Tracked { seq, seen, out: false, streaming: false, over: false, held_since: None, due };
+                let t = Tracked {
+                    sequence,
+                    seen,
+                    out: false,
+                    streaming: false,
+                    over: false,
+                    held_since: None,
+                    due,
+                };
                 self.hand.push(t);
                 self.ask(self.hand.len() - 1);
             }
             8..=13 if !out.is_empty() => {
                 let at = out[pick % out.len()];
-                let reads = self.hand[at].seq.attempts.last().is_some_and(|a| a.step == Step::Prefill);
+                let reads = self.hand[at].sequence.attempts.last().is_some_and(|a| a.step == Step::Prefill);
                 let outcome = match pick / 64 % 12 {
                     0 => Outcome::Error,
                     1 => Outcome::AtCapacity,
@@ -200,7 +207,7 @@
                     _ if reads => Outcome::PrefillDone { cached_tokens: 0.0 },
                     5..=7 if !self.hand[at].streaming && !self.hand[at].over => {
                         let n = self.hand[at].seen.len() - 1;
-                        self.scheduler.began(self.now, &mut self.hand[at].seq, n);
+                        self.scheduler.first_token(self.now, &mut self.hand[at].sequence, n);
                         self.hand[at].streaming = true;
                         return;
                     }
@@ -221,11 +228,11 @@
                     self.cold_sends.remove(&server);
                 }
                 let change = [endpoint.clone()];
-                self.scheduler.listed(self.now, SnapshotKind::Delta, &change);
+                self.scheduler.update_endpoints(self.now, SnapshotKind::Delta, &change);
             }
             15 if !out.is_empty() => {
                 let t = &mut self.hand[out[pick % out.len()]];
-                (t.seq.completed, t.over, t.held_since) = (true, true, None);
+                (t.sequence.completed, t.over, t.held_since) = (true, true, None);
             }
             _ => {}
         }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -26,25 +26,25 @@
         prefix: Some(PrefixId(1 + id % 500)),
         prefix_tokens: 300.0,
         tenant: (tenants > 0).then(|| TenantId(id as usize % tenants)),
-        ..sequence(id, traffic, now)
+        ..new_sequence(id, traffic, now)
     }
 }
 
 /// A request whole, as far as it is sent; the most servers that one decision looked at.
-fn serve(scheduler: &mut Scheduler, now: Nanos, seq: &mut Sequence) -> u64 {
+fn serve(scheduler: &mut Scheduler, now: Nanos, sequence: &mut Sequence) -> u64 {
     let mut most = 0;
-    while !seq.completed {
-        let before = scheduler.examined();
-        let answer = scheduler.schedule(now, seq);
-        most = most.max(scheduler.examined() - before);
+    while !sequence.completed {
+        let before = scheduler.servers_examined();
+        let answer = scheduler.schedule(now, sequence);
+        most = most.max(scheduler.servers_examined() - before);
         let Decision::Send(_) = answer else { break };
-        let n = seq.attempts.len() - 1;
-        let read = seq.attempts[n].step == Step::Prefill;
+        let n = sequence.attempts.len() - 1;
+        let read = sequence.attempts[n].step == Step::Prefill;
         if !read {
-            scheduler.began(now + 5 * MS, seq, n);
+            scheduler.first_token(now + 5 * MS, sequence, n);
         }
         let outcome = if read { Outcome::PrefillDone { cached_tokens: 0.0 } } else { Outcome::Completed };
-        scheduler.settle(now + 5 * MS, seq, n, outcome, !read);
+        scheduler.attempt_finished(now + 5 * MS, sequence, n, outcome, !read);
     }
     most
 }
@@ -78,7 +78,7 @@
     }
     let scan = |servers| {
         let mut scheduler = Scheduler::scanning(START, at_size(0), 7);
-        scheduler.listed(START, SnapshotKind::Full, &large(servers));
+        scheduler.update_endpoints(START, SnapshotKind::Full, &large(servers));
         serve(&mut scheduler, START, &mut request(0, 0, 0, START));
         serve(&mut scheduler, START + 300 * MS, &mut request(1, 0, 0, START + 300 * MS))
     };
@@ -93,17 +93,17 @@
     let (mut now, mut waits, mut found) = (START, Vec::new(), 0);
     for id in 0..8_000 {
         now += MS / 5;
-        let mut seq = request(id, 0, 0, now);
-        match scheduler.schedule(now, &mut seq) {
+        let mut sequence = request(id, 0, 0, now);
+        match scheduler.schedule(now, &mut sequence) {
             Decision::Send(server) if server == last => {
                 found += 1;
-                close(&mut scheduler, now, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+                close(&mut scheduler, now, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
             }
             // All prefill servers but one refuse their connections, and are passed over for two seconds.
             Decision::Send(_) => {
-                close(&mut scheduler, now, &mut seq, Outcome::ConnectFailed);
+                close(&mut scheduler, now, &mut sequence, Outcome::ConnectFailed);
             }
-            Decision::Wait => waits.push(seq),
+            Decision::Wait => waits.push(sequence),
             other => panic!("{other:?}"),
         }
     }
@@ -130,11 +130,11 @@
     for id in 0..300 {
         for traffic in [3, 4] {
             now += 20 * MS;
-            let mut seq = request(id * 2 + traffic as u64 % 2, traffic, 0, now);
-            read(&mut scheduler, now, &mut seq, 5 * MS);
-            let first = sent(scheduler.schedule(now + 5 * MS, &mut seq));
-            close(&mut scheduler, now + 10 * MS, &mut seq, Outcome::Error);
-            if let Decision::Send(next) = scheduler.schedule(now + 10 * MS, &mut seq) {
+            let mut sequence = request(id * 2 + traffic as u64 % 2, traffic, 0, now);
+            read(&mut scheduler, now, &mut sequence, 5 * MS);
+            let first = sent(scheduler.schedule(now + 5 * MS, &mut sequence));
+            close(&mut scheduler, now + 10 * MS, &mut sequence, Outcome::Error);
+            if let Decision::Send(next) = scheduler.schedule(now + 10 * MS, &mut sequence) {
                 further += 1;
                 let [a, b] = [first, next].map(|server| server.0 / 20);
                 assert!(if traffic == 3 { a == b } else { a % 7 == b % 7 }, "{first:?}, then {next:?}");
@@ -150,13 +150,13 @@
     let (mut beside, mut here) = (0, 0);
     for id in 0..500 {
         let now = START + id * 15 * MS;
-        let mut seq = request(id, 0, 0, now);
-        let reader = read(&mut scheduler, now, &mut seq, 5 * MS);
+        let mut sequence = request(id, 0, 0, now);
+        let reader = read(&mut scheduler, now, &mut sequence, 5 * MS);
         here += u64::from((reader.0 / 20).is_multiple_of(7));
-        let writer = sent(scheduler.schedule(now + 5 * MS, &mut seq));
+        let writer = sent(scheduler.schedule(now + 5 * MS, &mut sequence));
         assert!(reader.0.is_multiple_of(4) && !writer.0.is_multiple_of(4));
         beside += u64::from(reader.0 / 20 == writer.0 / 20);
-        close(&mut scheduler, now + 9 * MS, &mut seq, Outcome::Completed);
+        close(&mut scheduler, now + 9 * MS, &mut sequence, Outcome::Completed);
     }
     assert!(
         here > 350 && beside > 450,
@@ -169,7 +169,7 @@
     let mut schedulers: Vec<Scheduler> = (0..40)
         .map(|n| {
             let mut scheduler = Scheduler::new(START, at_size(0), n);
-            scheduler.listed(START, SnapshotKind::Cached, &large(4_200));
+            scheduler.update_endpoints(START, SnapshotKind::Cached, &large(4_200));
             scheduler
         })
         .collect();
@@ -177,8 +177,8 @@
     for session in 0..50 {
         let mut readers = std::collections::BTreeMap::<ServerId, u64>::new();
         for scheduler in &mut schedulers {
-            let mut seq = Sequence { prefix: None, ..request(session, 0, 0, START) };
-            *readers.entry(sent(scheduler.schedule(START, &mut seq))).or_default() += 1;
+            let mut sequence = Sequence { prefix: None, ..request(session, 0, 0, START) };
+            *readers.entry(sent(scheduler.schedule(START, &mut sequence))).or_default() += 1;
         }
         same += readers.values().max().unwrap();
     }
@@ -189,12 +189,12 @@
 fn the_same_seed_decides_the_same_and_gateways_do_not_all_draw_alike() {
     let course = |seed: u64| -> Vec<ServerId> {
         let mut scheduler = Scheduler::new(START, at_size(64), seed);
-        scheduler.listed(START, SnapshotKind::Full, &large(2_000));
+        scheduler.update_endpoints(START, SnapshotKind::Full, &large(2_000));
         let served = (0..400).flat_map(|id| {
             let now = START + id * 10 * MS;
-            let mut seq = request(id, 0, 64, now);
-            serve(&mut scheduler, now, &mut seq);
-            seq.attempts.into_iter().map(|attempt| attempt.server).collect::<Vec<_>>()
+            let mut sequence = request(id, 0, 64, now);
+            serve(&mut scheduler, now, &mut sequence);
+            sequence.attempts.into_iter().map(|attempt| attempt.server).collect::<Vec<_>>()
         });
         served.collect()
     };
@@ -212,15 +212,21 @@
         let mut scheduler = scheduler(at_size(640), &list);
         let answers = (0..200).map(|id| {
             let now = START + id * 15 * MS;
-            let mut seq = request(id, 0, 640, now);
-            serve(&mut scheduler, now, &mut seq);
+            let mut sequence = request(id, 0, 640, now);
+            serve(&mut scheduler, now, &mut sequence);
             // What is held is given up in its time.
-            if !seq.completed {
-                seq.first_token_deadline = now;
-                assert!(!matches!(scheduler.schedule(now, &mut seq), Decision::Send(_) | Decision::Wait));
+            if !sequence.completed {
+                sequence.first_token_deadline = now;
+                assert!(!matches!(
+                    scheduler.schedule(now, &mut sequence),
+                    Decision::Send(_) | Decision::Wait
+                ));
             }
             usize::from(
-                seq.attempts.last().is_some_and(|a| a.status == AttemptStatus::Finished(Outcome::Completed)),
+                sequence
+                    .attempts
+                    .last()
+                    .is_some_and(|a| a.status == AttemptStatus::Finished(Outcome::Completed)),
             )
         });
         answers.sum()
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -38,7 +38,7 @@
         let settings = Deployment { gateways, ..deployment() };
         let start = |seed| {
             let mut scheduler = Scheduler::new(START, settings.clone(), seed as u64);
-            scheduler.listed(START, SnapshotKind::Cached, &fleet);
+            scheduler.update_endpoints(START, SnapshotKind::Cached, &fleet);
             scheduler
         };
         let weights = (0..texts).map(|n| 1.0 / (n as f64 + 1.0).powf(0.85));
@@ -66,17 +66,22 @@
             let at = self.chance.rand_range(0..self.schedulers.len() as u64) as usize;
             let drawn = self.chance.rand_float() * self.shares[self.shares.len() - 1];
             let text = self.shares.partition_point(|sum| *sum < drawn) as u64;
-            let mut seq = sequence(self.reads, 0, self.now);
-            seq.session = Some(SessionId(self.reads));
-            (seq.prefix, seq.prefix_tokens) = (Some(PrefixId(1_000 + text)), TEXT);
-            seq.prompt_tokens = TEXT + 1000.0;
-            let reader = sent(self.schedulers[at].schedule(self.now, &mut seq));
+            let mut sequence = new_sequence(self.reads, 0, self.now);
+            sequence.session = Some(SessionId(self.reads));
+            (sequence.prefix, sequence.prefix_tokens) = (Some(PrefixId(1_000 + text)), TEXT);
+            sequence.prompt_tokens = TEXT + 1000.0;
+            let reader = sent(self.schedulers[at].schedule(self.now, &mut sequence));
             let last = self.kept.insert((reader, text), self.reads);
             let kept = if last.is_some_and(|last| self.reads - last < life) { TEXT } else { 0.0 };
             found += u64::from(kept > 0.0);
             *by_reader.entry(reader).or_default() += 1;
-            close(&mut self.schedulers[at], self.now, &mut seq, Outcome::PrefillDone { cached_tokens: kept });
-            seq.completed = true;
+            close(
+                &mut self.schedulers[at],
+                self.now,
+                &mut sequence,
+                Outcome::PrefillDone { cached_tokens: kept },
+            );
+            sequence.completed = true;
         }
         let most = by_reader.values().copied().max().unwrap_or(0) as f64;
         Stretch { found: found as f64 / count as f64, most: most * self.readers as f64 / count as f64 }
--- a/tests/wall_clocks.rs
+++ b/tests/wall_clocks.rs
@@ -32,9 +32,9 @@
 /// Reads that go to server 1 in each of so many seconds, while 100 reads a second come and each is answered at once.
 fn reads(scheduler: &mut Scheduler, from: Nanos, seconds: usize) -> Vec<u64> {
     let read = |now: Nanos| {
-        let mut seq = Sequence { session: None, ..sequence(now, 0, now) };
-        let Decision::Send(server) = scheduler.schedule(now, &mut seq) else { return 0 };
-        close(scheduler, now + MS, &mut seq, Outcome::PrefillDone { cached_tokens: 0.0 });
+        let mut sequence = Sequence { session: None, ..new_sequence(now, 0, now) };
+        let Decision::Send(server) = scheduler.schedule(now, &mut sequence) else { return 0 };
+        close(scheduler, now + MS, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
         u64::from(server == ServerId(1))
     };
     let mut reads: Vec<u64> = (0..100 * seconds as u64).map(|n| from + 10 * MS * n).map(read).collect();
@@ -45,11 +45,11 @@
 /// starts is ahead, at its first start and at this one.
 fn restarted(start_stamps: StartTimeClock, before: i64, ahead: i64) -> Vec<u64> {
     let mut scheduler = Scheduler::new(NOW, settings(start_stamps), 7);
-    scheduler.listed(NOW, SnapshotKind::Full, &endpoints([0, stamp(NOW - 50 * S, before)]));
+    scheduler.update_endpoints(NOW, SnapshotKind::Full, &endpoints([0, stamp(NOW - 50 * S, before)]));
     reads(&mut scheduler, NOW, 30);
-    scheduler.listed(NOW + 30 * S, SnapshotKind::Delta, &[]);
+    scheduler.update_endpoints(NOW + 30 * S, SnapshotKind::Delta, &[]);
     let again = Endpoint { started_at: stamp(NOW + 30 * S, ahead), ..endpoints([0, 0])[1].clone() };
-    scheduler.listed(NOW + 30 * S, SnapshotKind::Delta, &[again]);
+    scheduler.update_endpoints(NOW + 30 * S, SnapshotKind::Delta, &[again]);
     reads(&mut scheduler, NOW + 30 * S, 2 * COLD_SECONDS)
 }
 
@@ -78,8 +78,8 @@
         let mut scheduler = Scheduler::new(NOW, settings(start_stamps), 7);
         // One restarted a minute ago, the other just now.
         let list = endpoints([stamp(NOW - 60 * S, ahead), stamp(NOW, ahead)]);
-        scheduler.listed(NOW, SnapshotKind::Cached, &list);
-        scheduler.listed(NOW + 10 * MS, SnapshotKind::Full, &list);
+        scheduler.update_endpoints(NOW, SnapshotKind::Cached, &list);
+        scheduler.update_endpoints(NOW + 10 * MS, SnapshotKind::Full, &list);
         reads(&mut scheduler, NOW + 20 * MS, 20)
     };
     let right = started(StartTimeClock::Local, 0);
@@ -92,14 +92,14 @@
 fn what_a_server_has_read_since_its_start_is_used_whatever_the_wall_clock_says() {
     for ahead in AHEAD {
         let mut scheduler = Scheduler::new(NOW, settings(StartTimeClock::Wall), 7);
-        scheduler.listed(NOW, SnapshotKind::Full, &endpoints([0, 0]));
+        scheduler.update_endpoints(NOW, SnapshotKind::Full, &endpoints([0, 0]));
         let again =
             [0, 1].map(|n| Endpoint { started_at: stamp(NOW + S, ahead), ..endpoints([0, 0])[n].clone() });
-        scheduler.listed(NOW + S, SnapshotKind::Delta, &again);
+        scheduler.update_endpoints(NOW + S, SnapshotKind::Delta, &again);
         let now = NOW + 15 * S;
-        let mut seq = sequence(1, 0, now);
-        read(&mut scheduler, now, &mut seq, 10 * MS);
-        let writer = sent(scheduler.schedule(now + 10 * MS, &mut seq));
+        let mut sequence = new_sequence(1, 0, now);
+        read(&mut scheduler, now, &mut sequence, 10 * MS);
+        let writer = sent(scheduler.schedule(now + 10 * MS, &mut sequence));
         assert!(writer.0 >= 2, "{ahead} s ahead: read once more at {writer:?}");
     }
 }
