--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,5 +1,6 @@
-//! The `petrelshore` command: one gateway, and the means to rehearse with it.
+//! The `petrelshore` command: one gateway, and the means to try it out.
 
+mod error;
 mod logs;
 mod operator;
 mod platform;
@@ -15,69 +16,69 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Routes chat requests to model servers that read prompts and write answers on separate machines.
+/// Routes chat requests to model servers that prefill prompts and decode answers on separate machines.
 #[derive(Parser)]
 #[command(version, max_term_width = 100)]
 struct Command {
     #[command(flatten)]
     logs: Logs,
     #[command(subcommand)]
-    what: What,
+    subcommand: Subcommands,
 }
 
 #[derive(Args)]
 struct Logs {
     /// How log lines are written, on standard error
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    logs: LogForm,
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    logs: LogFormat,
     /// What is logged, such as "info" or "petrelshore_chat_gateway=debug"
     #[arg(long, global = true, default_value = "info")]
     log_filter: String,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Run a gateway by a settings file until SIGTERM; SIGHUP reads its inventory anew
+enum Subcommands {
+    /// Run a gateway by a settings file until SIGTERM; SIGHUP reloads its inventory
     Serve {
         /// The settings file
         settings: PathBuf,
     },
     /// Run a gateway on the operators' platform, by the file that LB_CONFIG names, until SIGTERM
     Platform,
-    /// Check a settings file and the inventory that it names, and say every problem
+    /// Check a settings file and the inventory that it names, and print every problem
     Check {
         /// The settings file
         settings: PathBuf,
     },
-    /// Run a gateway before a fleet of stand-ins, all in this process, ready for a client
+    /// Run a gateway before emulated model servers, all in this process, ready for a client
     Try {
         /// Where the chat API listens
         #[arg(long, default_value = "127.0.0.1:8080")]
         listen: SocketAddr,
     },
-    /// Play a script of troubles on loopback, and judge the five rules from what passed on the sockets
+    /// Play a script of faults on loopback, and judge the five rules from what passed on the sockets
     Rehearse {
         /// The script
         script: PathBuf,
-        /// Write all that passed there, a JSON line each
+        /// Write every event on the sockets to this file, a JSON object a line
         #[arg(long)]
         record: Option<PathBuf>,
-        /// Let the gateways take any server by chance, to compare with
+        /// Let the gateways choose servers at random, as a baseline
         #[arg(long)]
         baseline: bool,
-        /// Which front all clients speak to, whatever the script says
+        /// Which API all clients use, whatever the script says
         #[arg(long, value_enum)]
         front: Option<trial::FrontName>,
     },
-    /// Run one stand-in model server
+    /// Run one emulated model server
     StandIn {
-        /// What it does
+        /// Its role
         #[arg(long, value_enum)]
         role: trial::RoleName,
         /// Where it listens
@@ -86,28 +87,28 @@
         /// Its name
         #[arg(long, default_value = "stand-in")]
         name: String,
-        /// Start cold
+        /// Begin in slow start
         #[arg(long)]
         cold: bool,
-        /// Answers written at once
+        /// Answers decoded at once
         #[arg(long, default_value_t = 64)]
         slots: usize,
         /// Milliseconds between tokens while idle
         #[arg(long, default_value_t = 20)]
         token_ms: u64,
     },
-    /// Keep streams going and measure the times to the first token and between tokens
+    /// Keep streams running, and measure the times to the first token and between tokens
     Load {
         /// The chat API of a gateway
         #[arg(long, default_value = "127.0.0.1:8080")]
         to: SocketAddr,
-        /// Then the same by its gRPC front
+        /// Then the same by its gRPC API
         #[arg(long)]
         grpc: Option<SocketAddr>,
-        /// Then the same straight at this reader, with --writer
+        /// Then the same straight at this prefill server, with --writer
         #[arg(long, requires = "writer")]
         reader: Option<SocketAddr>,
-        /// Then the same straight at this writer, with --reader
+        /// Then the same straight at this decode server, with --reader
         #[arg(long, requires = "reader")]
         writer: Option<SocketAddr>,
         /// Streams at once
@@ -116,7 +117,7 @@
         /// Tokens of each answer
         #[arg(long, default_value_t = 50)]
         tokens: u64,
-        /// Seconds for each way
+        /// Seconds for each of them
         #[arg(long, default_value_t = 10)]
         seconds: u64,
         /// Model name
@@ -141,21 +142,21 @@
         .log_internal_errors(false)
         .with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
     match command.logs.logs {
-        LogForm::Text => lines.init(),
-        LogForm::Json => lines.json().init(),
+        LogFormat::Text => lines.init(),
+        LogFormat::Json => lines.json().init(),
     }
-    let outcome = match command.what {
-        What::Serve { settings } => serve::serve(&settings),
-        What::Platform => platform::platform(),
-        What::Check { settings } => serve::check(&settings),
-        What::Try { listen } => trial::try_out(listen),
-        What::Rehearse { script, record, baseline, front } => {
+    let outcome = match command.subcommand {
+        Subcommands::Serve { settings } => serve::serve(&settings),
+        Subcommands::Platform => platform::platform(),
+        Subcommands::Check { settings } => serve::check(&settings),
+        Subcommands::Try { listen } => trial::try_out(listen),
+        Subcommands::Rehearse { script, record, baseline, front } => {
             trial::rehearse(&script, record.as_deref(), baseline, front)
         }
-        What::StandIn { role, listen, name, cold, slots, token_ms } => {
-            trial::stand_in(role, listen, &name, cold, slots, token_ms)
+        Subcommands::StandIn { role, listen, name, cold, slots, token_ms } => {
+            trial::stand_in(trial::EmulatedServer { role, listen, name, cold, slots, token_ms })
         }
-        What::Load { to, grpc, reader, writer, streams, tokens, seconds, model, key } => {
+        Subcommands::Load { to, grpc, reader, writer, streams, tokens, seconds, model, key } => {
             let lasts = std::time::Duration::from_secs(seconds);
             let direct = reader.zip(writer);
             trial::load(to, grpc, direct, &load::Load { streams, tokens, lasts, model, key })
@@ -163,7 +164,7 @@
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => failed(&message),
+        Err(error) => failed(&error.to_string()),
     }
 }
 
--- a/cli/src/operator.rs
+++ b/cli/src/operator.rs
@@ -17,14 +17,16 @@
 use std::convert::Infallible;
 use std::time::Duration;
 
-/// Answers one connection at a time, each within this: nothing here may take the gateway's time.
-const WITHIN: Duration = Duration::from_secs(2);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Connections are answered one at a time, each within this: nothing here may take the gateway's time.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Serves `/health` and `/metrics` for as long as it is polled.
 pub async fn serve(listener: TcpListener, gateway: Gateway) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(ACCEPT_PAUSE).await;
+            Timer::after(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
         let service = service_fn(|request| {
@@ -35,10 +37,10 @@
             let mut builder = hyper::server::conn::http1::Builder::new();
             let _ = builder.keep_alive(false).serve_connection(FuturesIo::new(stream), service).await;
         };
-        let late = async {
-            Timer::after(WITHIN).await;
+        let timeout = async {
+            Timer::after(CONNECTION_TIMEOUT).await;
         };
-        future::or(served, late).await;
+        future::or(served, timeout).await;
     }
 }
 
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,40 +1,35 @@
-//! The daemon: start, reload, stop.
+//! One gateway by a settings file: check, start, reload, stop.
 
+use crate::error::CommandError;
 use crate::operator;
 use crate::signals::{Signal, Signals};
 use async_executor::LocalExecutor;
+use async_io::Timer;
+use async_net::TcpListener;
 use futures_lite::future;
 use petrelshore_chat_api as chat;
 use petrelshore_chat_gateway::{Gateway, Spawner};
 use petrelshore_grpc_api as grpc;
 use petrelshore_inventory::{Format, read_list};
-use petrelshore_settings::{Problem, Settings, read};
+use petrelshore_settings::{Settings, read};
 use std::io::Write;
+use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// After the last final answer, for its bytes to reach the client.
-const LAST_BYTES: Duration = Duration::from_millis(200);
-
-fn lines<P: std::fmt::Display>(problems: &[P]) -> String {
-    problems.iter().map(P::to_string).collect::<Vec<_>>().join("\n")
-}
-
-fn settings(file: &Path) -> Result<Settings, String> {
-    read(file).map_err(|problems: Vec<Problem>| lines(&problems))
-}
+/// Time after the last final answer for its bytes to reach the client.
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Checks settings and inventory without starting anything.
-pub fn check(file: &Path) -> Result<(), String> {
-    let settings = settings(file)?;
+pub fn check(file: &Path) -> Result<(), CommandError> {
+    let settings = read(file).map_err(CommandError::Settings)?;
     let inventory = &settings.inventory;
-    let format =
-        Format::of(inventory).ok_or_else(|| format!("{}: is neither .csv nor .yaml", inventory.display()))?;
-    let text =
-        std::fs::read_to_string(inventory).map_err(|error| format!("{}: {error}", inventory.display()))?;
-    let list = read_list(inventory, format, &text, &settings.kinds).map_err(|problems| lines(&problems))?;
+    let format = Format::of(inventory);
+    let format = format.ok_or_else(|| CommandError::UnknownInventoryFormat(inventory.clone()))?;
+    let text = std::fs::read_to_string(inventory).map_err(CommandError::io(inventory.display()))?;
+    let list = read_list(inventory, format, &text, &settings.kinds).map_err(CommandError::Inventory)?;
     println!(
         "{}: good; {} traffic types, {} tenants, {} model servers in {}",
         file.display(),
@@ -46,52 +41,68 @@
     Ok(())
 }
 
-/// Serves until a signal to stop, and ends what runs within the drain time.
-pub fn serve(file: &Path) -> Result<(), String> {
-    let settings = settings(file)?;
+/// Serves until a stop signal, and ends what runs within the drain time.
+pub fn serve(file: &Path) -> Result<(), CommandError> {
+    let settings = read(file).map_err(CommandError::Settings)?;
     let executor = Rc::new(LocalExecutor::new());
     future::block_on(executor.run(run(settings, &executor)))
 }
 
-async fn run(settings: Settings, executor: &Rc<LocalExecutor<'static>>) -> Result<(), String> {
+/// What listens beside the chat API, as the ready line tells it.
+#[derive(Default)]
+struct OtherListeners {
+    grpc: String,
+    operator: String,
+}
+
+async fn run(settings: Settings, executor: &Rc<LocalExecutor<'static>>) -> Result<(), CommandError> {
     // Signals are caught before the ready line: whoever waits for that line may send one at once.
-    let mut signals = Signals::catch().await.map_err(|error| error.to_string())?;
-    let listener = chat::bind(settings.chat).await.map_err(|error| format!("{}: {error}", settings.chat))?;
+    let mut signals = Signals::catch().await.map_err(CommandError::Signals)?;
+    let listener = chat::bind(settings.chat).await.map_err(CommandError::io(settings.chat))?;
     let (name, chat, operator) = (settings.name.clone(), listener.address, settings.operator);
-    let mut grpc_listening = None;
+    let mut grpc_listener = None;
     if let Some(address) = settings.grpc {
-        grpc_listening = Some(grpc::bind(address).await.map_err(|error| format!("{address}: {error}"))?);
+        grpc_listener = Some(grpc::bind(address).await.map_err(CommandError::io(address))?);
     }
-    let gateway = Gateway::start(settings, Spawner::new(executor)).map_err(|error| error.to_string())?;
+    let gateway = Gateway::start(settings, Spawner::new(executor)).map_err(CommandError::Start)?;
     let ingress = chat::Ingress::new(gateway.clone());
-    let grpc_at = grpc_listening.as_ref().map_or(String::new(), |at| format!(", gRPC on {}", at.address));
-    let grpc_front = grpc_listening.map(|at| executor.spawn(grpc::serve(at, ingress.clone())));
-    let mut operator_at = String::new();
-    if let Some(operator) = operator {
-        let listener = async_net::TcpListener::bind(operator).await;
-        let listener = listener.map_err(|error| format!("{operator}: {error}"))?;
-        let address = listener.local_addr().map_err(|error| format!("{operator}: {error}"))?;
-        operator_at = format!(", operators on {address}");
+    let mut others = OtherListeners::default();
+    let grpc_ingress = grpc_listener.map(|listener| {
+        others.grpc = format!(", gRPC on {}", listener.address);
+        executor.spawn(grpc::serve(listener, ingress.clone()))
+    });
+    if let Some(address) = operator {
+        let listener = TcpListener::bind(address).await.map_err(CommandError::io(address))?;
+        let bound = listener.local_addr().map_err(CommandError::io(address))?;
+        others.operator = format!(", operators on {bound}");
         executor.spawn(operator::serve(listener, gateway.clone())).detach();
     }
-    let front = executor.spawn(chat::serve(listener, ingress));
-    // A gateway whose standard output can't be written serves all the same.
+    let chat_ingress = executor.spawn(chat::serve(listener, ingress));
+    print_ready(&name, chat, &others, gateway.servers());
+    reload_until_stopped(&mut signals, &gateway).await;
+    info!(in_flight = gateway.unanswered(), "stopping");
+    // New connections are still answered, with a Retry-After, until the last stream has ended.
+    let terminated = gateway.drain().await;
+    Timer::after(FINAL_FLUSH_TIMEOUT).await;
+    drop((chat_ingress, grpc_ingress));
+    info!(terminated, counts = ?gateway.counts(), "stopped");
+    Ok(())
+}
+
+/// A gateway whose standard output can't be written serves all the same.
+fn print_ready(name: &str, chat: SocketAddr, others: &OtherListeners, servers: usize) {
+    let OtherListeners { grpc, operator } = others;
     let _ = writeln!(
         std::io::stdout(),
-        "petrelshore {name} ready: chat on {chat}{grpc_at}{operator_at}, {} model servers",
-        gateway.servers()
+        "petrelshore {name} ready: chat on {chat}{grpc}{operator}, {servers} model servers"
     );
+}
+
+async fn reload_until_stopped(signals: &mut Signals, gateway: &Gateway) {
     while signals.next().await == Signal::Reload {
         match gateway.reload() {
-            Ok(servers) => info!(servers, "reloaded the inventory"),
-            Err(error) => warn!(%error, "the inventory is not good: staying with the last good list"),
+            Ok(servers) => info!(servers, "inventory reloaded"),
+            Err(error) => warn!(%error, "inventory rejected, the last good one stays"),
         }
     }
-    info!(in_hand = gateway.unanswered(), "stopping: running streams go on within the drain time");
-    // New connections are still answered, with a time to come back, until the last stream has ended.
-    let ended = gateway.drain().await;
-    async_io::Timer::after(LAST_BYTES).await;
-    drop((front, grpc_front));
-    info!(ended, counts = ?gateway.counts(), "stopped");
-    Ok(())
 }
--- a/cli/src/signals.rs
+++ b/cli/src/signals.rs
@@ -11,13 +11,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The flags are looked at this often where nothing wakes the process.
-const LOOK: Duration = Duration::from_millis(250);
-/// Catching signals is tried so often where descriptors are short, after a pause.
-const TRIES: usize = 50;
-const PAUSE: Duration = Duration::from_millis(100);
+/// How often the flags are polled where nothing wakes the process.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Attempts to catch signals where descriptors are short, and the pause between two.
+const MAX_ATTEMPTS: usize = 50;
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the process is told.
+/// What a signal asks of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM or SIGINT.
@@ -36,10 +36,10 @@
 impl Signals {
     /// Catches signals from now on.
     pub async fn catch() -> io::Result<Signals> {
-        for _ in 1..TRIES {
+        for _ in 1..MAX_ATTEMPTS {
             match Self::register() {
                 Ok(signals) => return Ok(signals),
-                Err(_) => drop(Timer::after(PAUSE).await),
+                Err(_) => drop(Timer::after(RETRY_INTERVAL).await),
             }
         }
         Self::register()
@@ -71,10 +71,10 @@
                     Timer::after(Duration::from_millis(1)).await;
                 }
             };
-            let looked = async {
-                Timer::after(LOOK).await;
+            let polled = async {
+                Timer::after(POLL_INTERVAL).await;
             };
-            future::or(woken, looked).await;
+            future::or(woken, polled).await;
         }
     }
 }
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -1,5 +1,6 @@
-//! Trying things out: a fleet in this process, or one stand-in.
+//! Trying things out: an emulated fleet in this process, one emulated server, rehearsals, load.
 
+use crate::error::CommandError;
 use crate::signals::{Signal, Signals};
 use async_executor::LocalExecutor;
 use clap::ValueEnum;
@@ -15,6 +16,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
+/// The role of an emulated server, as the command line names it.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum RoleName {
     Reader,
@@ -22,6 +24,7 @@
     Mixed,
 }
 
+/// The APIs that rehearsal clients speak, as the command line names them.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum FrontName {
     Chat,
@@ -30,17 +33,19 @@
     Both,
 }
 
-async fn stopped() -> Result<(), String> {
-    let mut signals = Signals::catch().await.map_err(|error| error.to_string())?;
+async fn until_stopped() -> Result<(), CommandError> {
+    let mut signals = Signals::catch().await.map_err(CommandError::Signals)?;
     while signals.next().await != Signal::Stop {}
     Ok(())
 }
 
-pub fn try_out(listen: SocketAddr) -> Result<(), String> {
+/// Serves an emulated fleet until a stop signal.
+pub fn try_out(listen: SocketAddr) -> Result<(), CommandError> {
     let folder = std::env::temp_dir().join(format!("petrelshore-try-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
-        let (fleet, running) = fleet::try_out(executor.clone(), &folder, listen).await?;
+        let (fleet, running) =
+            fleet::try_out(executor.clone(), &folder, listen).await.map_err(CommandError::emulation)?;
         let at = running.at.chat;
         println!(
             "petrelshore ready: chat on {at}, gRPC on {}, before {} stand-ins of this process",
@@ -53,21 +58,29 @@
             "    -d '{{\"model\":\"rider-query\",\"stream\":true,\"max_tokens\":20,\"messages\":[{{\"role\":\"user\",\"content\":\"Why did my unlock fail?\"}}]}}'\n"
         );
         println!("models: rider-query, workshop-chat, unlock-once, dock-tokened; stop with Ctrl-C");
-        stopped().await
+        until_stopped().await
     };
     let outcome = future::block_on(executor.run(run));
     let _ = std::fs::remove_dir_all(&folder);
     outcome
 }
 
-pub fn stand_in(
-    role: RoleName,
-    listen: SocketAddr,
-    name: &str,
-    cold: bool,
-    slots: usize,
-    token_ms: u64,
-) -> Result<(), String> {
+/// One emulated server, as the command line describes it.
+pub struct EmulatedServer {
+    pub role: RoleName,
+    pub listen: SocketAddr,
+    pub name: String,
+    /// Whether it starts in slow start.
+    pub cold: bool,
+    /// Answers decoded at once.
+    pub slots: usize,
+    /// Milliseconds between tokens while idle.
+    pub token_ms: u64,
+}
+
+/// Runs one emulated server until a stop signal.
+pub fn stand_in(server: EmulatedServer) -> Result<(), CommandError> {
+    let EmulatedServer { role, listen, name, cold, slots, token_ms } = server;
     let role = match role {
         RoleName::Reader => Role::Reader,
         RoleName::Writer => Role::Writer,
@@ -86,10 +99,10 @@
             queue: usual.queue.max(slots),
             ..usual
         };
-        let stand_in = StandIn::start(&executor, &record, (name, ""), build, listen, cold).await;
-        let stand_in = stand_in.map_err(|error| format!("{listen}: {error}"))?;
+        let stand_in = StandIn::start(&executor, &record, (&name, ""), build, listen, cold).await;
+        let stand_in = stand_in.map_err(CommandError::io(listen))?;
         println!("stand-in {name} ready on {}", stand_in.address);
-        stopped().await
+        until_stopped().await
     };
     future::block_on(executor.run(run))
 }
@@ -100,8 +113,8 @@
     record: Option<&Path>,
     baseline: bool,
     front: Option<FrontName>,
-) -> Result<(), String> {
-    let mut script = script::read(file).map_err(|problem| problem.to_string())?;
+) -> Result<(), CommandError> {
+    let mut script = script::read(file).map_err(CommandError::emulation)?;
     if let Some(front) = front {
         let front = match front {
             FrontName::Chat => script::Fronts::Chat,
@@ -117,15 +130,15 @@
     let run = rehearse::rehearse(&executor, &folder, &script, "", chooser, |line| println!("{line}"));
     let outcome = future::block_on(executor.run(run));
     let _ = std::fs::remove_dir_all(&folder);
-    let outcome = outcome?;
+    let outcome = outcome.map_err(CommandError::emulation)?;
     if let Some(file) = record {
-        write_record(file, &outcome).map_err(|error| format!("{}: {error}", file.display()))?;
+        write_record(file, &outcome).map_err(CommandError::io(file.display()))?;
     }
     print(&outcome);
     match (outcome.verdict.breaks.len(), outcome.left_in_gateways + outcome.left_in_boxes) {
         (0, 0) => Ok(()),
-        (0, left) => Err(format!("{left} sequences or states were left behind")),
-        (breaks, _) => Err(format!("rules were broken {breaks} times")),
+        (0, left) => Err(CommandError::LeftBehind(left)),
+        (breaks, _) => Err(CommandError::RulesBroken(breaks)),
     }
 }
 
@@ -177,14 +190,15 @@
     grpc: Option<SocketAddr>,
     direct: Option<(SocketAddr, SocketAddr)>,
     load: &load::Load,
-) -> Result<(), String> {
+) -> Result<(), CommandError> {
     let executor = Rc::new(LocalExecutor::new());
     let ways = [("gateway", load::Way::Gateway(to))]
         .into_iter()
         .chain(grpc.map(|to| ("gateway by gRPC", load::Way::Grpc(to))))
         .chain(direct.map(|(reader, writer)| ("direct", load::Way::Direct { reader, writer })));
     for (name, way) in ways {
-        let times = future::block_on(executor.run(load::run(&executor, way, load)))?;
+        let times = future::block_on(executor.run(load::run(&executor, way, load)))
+            .map_err(CommandError::emulation)?;
         let row = |times: &hdrhistogram::Histogram<u64>| {
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
             format!("p50 {:.2} ms, p90 {:.2}, p99 {:.2}", at(0.5), at(0.9), at(0.99))
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -158,7 +158,7 @@
     world.wait_for("discovery is asked", || world.agent.asked() > 0);
     std::fs::write(&world.file, &text[..text.len() / 2]).unwrap();
     world.signal("-HUP");
-    let why = until(&mut world.log, "the configuration is not good");
+    let why = until(&mut world.log, "configuration rejected");
     assert!(why.contains("EOF"), "{why}");
     let entries = [
         entry("r", world.reader.address, "reader", "active"),
