--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -10,17 +10,17 @@
 use std::time::{Duration, Instant};
 
 /// For what must come at all; nothing here is judged by how fast it is.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A gateway before a stand-in of each kind.
-pub struct World {
+pub struct PlatformWorld {
     process: Gateway,
     pub reader: ModelServer,
     pub writer: ModelServer,
     pub agent: Agent,
 }
 
-impl Deref for World {
+impl Deref for PlatformWorld {
     type Target = Gateway;
 
     fn deref(&self) -> &Gateway {
@@ -28,7 +28,7 @@
     }
 }
 
-impl DerefMut for World {
+impl DerefMut for PlatformWorld {
     fn deref_mut(&mut self) -> &mut Gateway {
         &mut self.process
     }
@@ -49,12 +49,12 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-impl World {
-    pub fn start(name: &str) -> World {
+impl PlatformWorld {
+    pub fn start(name: &str) -> PlatformWorld {
         Self::start_as(name, command)
     }
 
-    pub fn start_as(name: &str, command: impl Fn(&PathBuf) -> Command) -> World {
+    pub fn start_as(name: &str, command: impl Fn(&PathBuf) -> Command) -> PlatformWorld {
         let reader = ModelServer::start(true, Manner::Good).unwrap();
         Self::start_with(name, command, reader, ["reader", "writer"], |text| text)
     }
@@ -66,12 +66,12 @@
         reader: ModelServer,
         kinds: [&str; 2],
         change: impl Fn(String) -> String,
-    ) -> World {
+    ) -> PlatformWorld {
         let writer = ModelServer::start(false, Manner::Good).unwrap();
         let entries =
             [entry("r", reader.address, kinds[0], "active"), entry("w", writer.address, kinds[1], "active")];
         let agent = Agent::start(&entries.join(",")).unwrap();
-        World {
+        PlatformWorld {
             process: Gateway::start_as(name, command, agent.address, &entries, change),
             reader,
             writer,
@@ -80,26 +80,26 @@
     }
 
     /// Sends bytes on a new connection; all that comes back until it is closed.
-    pub fn told(&self, bytes: &[u8]) -> String {
+    pub fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect();
         let _ = stream.write_all(bytes);
-        let mut told = Vec::new();
-        let _ = stream.read_to_end(&mut told);
-        String::from_utf8_lossy(&told).into_owned()
+        let mut exchange = Vec::new();
+        let _ = stream.read_to_end(&mut exchange);
+        String::from_utf8_lossy(&exchange).into_owned()
     }
 
     /// Waits until something holds.
     pub fn wait_for(&self, what: &str, holds: impl Fn() -> bool) {
-        let until = Instant::now() + PATIENCE;
+        let read_log_until = Instant::now() + EVENT_TIMEOUT;
         while !holds() {
-            assert!(Instant::now() < until, "{what}");
+            assert!(Instant::now() < read_log_until, "{what}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 }
 
 /// Reads the log up to a line with these words.
-pub fn until(log: &mut impl BufRead, words: &str) -> String {
+pub fn read_log_until(log: &mut impl BufRead, words: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(log.read_line(&mut line).unwrap() > 0, "the log ended before '{words}'");
@@ -111,7 +111,7 @@
 
 pub const EXTRA: &str = "prompt_len=100,prefix_len=0,max_out=50";
 
-pub fn asks(id: u64, more: &str) -> String {
+pub fn request_text(id: u64, more: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: {id:016x}\r\nReq-Kind: chat\r\n\
          Req-Key: 00000000000000bb\r\nReq-Deadline-Ms: 4000\r\nReq-Extra: {EXTRA}\r\n{more}Content-Length: 2\r\n\r\n{{}}"
@@ -127,8 +127,8 @@
         if lines.read_line(&mut line).unwrap() <= 2 {
             break;
         }
-        if let Some(told) = line.strip_prefix("Content-Length: ") {
-            length = told.trim().parse().ok();
+        if let Some(exchange) = line.strip_prefix("Content-Length: ") {
+            length = exchange.trim().parse().ok();
         }
     }
     if let Some(length) = length {
@@ -153,50 +153,50 @@
 
 /// A model server, or discovery's agent, whose connections the test holds itself: it sees each request whole before it
 /// says anything, and what it says goes out byte for byte.
-pub struct Held {
+pub struct ScriptedServer {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
 /// One connection to it.
-pub struct HeldConnection {
+pub struct ScriptedConnection {
     lines: BufReader<TcpStream>,
 }
 
-impl Held {
-    pub fn start() -> Held {
+impl ScriptedServer {
+    pub fn start() -> ScriptedServer {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        Held { address: listener.local_addr().unwrap(), listener }
+        ScriptedServer { address: listener.local_addr().unwrap(), listener }
     }
 
-    pub fn accept(&self) -> HeldConnection {
+    pub fn accept(&self) -> ScriptedConnection {
         let (stream, _) = self.listener.accept().unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        HeldConnection { lines: BufReader::new(stream) }
+        ScriptedConnection { lines: BufReader::new(stream) }
     }
 
     /// A connection, if one comes within the time.
-    pub fn accept_within(&self, time: Duration) -> Option<HeldConnection> {
-        let until = Instant::now() + time;
+    pub fn accept_within(&self, time: Duration) -> Option<ScriptedConnection> {
+        let read_log_until = Instant::now() + time;
         self.listener.set_nonblocking(true).unwrap();
         let accepted = loop {
             match self.listener.accept() {
                 Ok((stream, _)) => break Some(stream),
-                Err(_) if Instant::now() < until => std::thread::sleep(Duration::from_millis(1)),
+                Err(_) if Instant::now() < read_log_until => std::thread::sleep(Duration::from_millis(1)),
                 Err(_) => break None,
             }
         };
         self.listener.set_nonblocking(false).unwrap();
         let stream = accepted?;
         stream.set_nonblocking(false).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Some(HeldConnection { lines: BufReader::new(stream) })
+        Some(ScriptedConnection { lines: BufReader::new(stream) })
     }
 }
 
-impl HeldConnection {
+impl ScriptedConnection {
     /// The next request whole, its head and its body as they came; empty where the connection ends first.
     pub fn request(&mut self) -> String {
         let (mut text, mut length) = (String::new(), 0);
@@ -205,8 +205,8 @@
             if self.lines.read_line(&mut text).unwrap_or(0) == 0 {
                 return String::new();
             }
-            if let Some(told) = text[from..].strip_prefix("Content-Length: ") {
-                length = told.trim().parse().unwrap();
+            if let Some(exchange) = text[from..].strip_prefix("Content-Length: ") {
+                length = exchange.trim().parse().unwrap();
             }
             if &text[from..] == "\r\n" {
                 break;
@@ -230,7 +230,7 @@
     pub fn line_within(&mut self, time: Duration) -> Option<String> {
         self.lines.get_mut().set_read_timeout(Some(time)).unwrap();
         let came = self.lines.fill_buf().is_ok();
-        self.lines.get_mut().set_read_timeout(Some(PATIENCE)).unwrap();
+        self.lines.get_mut().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         came.then(|| self.request().lines().next().unwrap_or_default().to_owned())
     }
 
@@ -238,7 +238,7 @@
     pub fn ends_within(&mut self, time: Duration) -> bool {
         self.lines.get_mut().set_read_timeout(Some(time)).unwrap();
         let ended = matches!(self.lines.fill_buf(), Ok([]));
-        self.lines.get_mut().set_read_timeout(Some(PATIENCE)).unwrap();
+        self.lines.get_mut().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         ended
     }
 }
@@ -296,7 +296,7 @@
         std::fs::write(&file, change(config(loopback(), discovery, &entries.join(",")))).unwrap();
         let mut child = command(&file).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let ready = until(&mut log, "ready");
+        let ready = read_log_until(&mut log, "ready");
         let at =
             ready.split("listen=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap().parse().unwrap();
         Gateway { child, at, log, file }
@@ -309,7 +309,7 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         stream
     }
--- a/cli/tests/moments.rs
+++ b/cli/tests/connection_edges.rs
@@ -12,26 +12,31 @@
 use std::time::{Duration, Instant};
 
 /// A gateway before a reader and a writer that the test holds.
-struct Both {
+struct ScriptedWorld {
     gateway: Gateway,
-    reader: Held,
-    writer: Held,
+    reader: ScriptedServer,
+    writer: ScriptedServer,
     _agent: Agent,
 }
 
-fn both(name: &str, change: impl Fn(String) -> String) -> Both {
-    let (reader, writer) = (Held::start(), Held::start());
+fn scripted_world(name: &str, change: impl Fn(String) -> String) -> ScriptedWorld {
+    let (reader, writer) = (ScriptedServer::start(), ScriptedServer::start());
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
     let agent = Agent::start(&entries.join(",")).unwrap();
-    Both { gateway: Gateway::start(name, agent.address, &entries, change), reader, writer, _agent: agent }
+    ScriptedWorld {
+        gateway: Gateway::start(name, agent.address, &entries, change),
+        reader,
+        writer,
+        _agent: agent,
+    }
 }
 
-impl Both {
+impl ScriptedWorld {
     /// A request on a new connection, read, with its stream begun by a first event, which has come.
-    fn streams(&self, id: u64) -> (BufReader<TcpStream>, HeldConnection) {
+    fn streams(&self, id: u64) -> (BufReader<TcpStream>, ScriptedConnection) {
         let mut client = self.gateway.connect();
-        client.write_all(asks(id, "").as_bytes()).unwrap();
+        client.write_all(request_text(id, "").as_bytes()).unwrap();
         let mut read = self.reader.accept();
         assert!(read.request().contains(&format!("Req-Id: {id:016x}")));
         read.say(READ);
@@ -61,12 +66,12 @@
 }
 
 #[test]
-fn a_clients_header_lines_go_with_its_request_and_those_of_its_own_connection_do_not() {
-    let world = both("fields", |text| text);
+fn end_to_end_headers_are_forwarded_hop_by_hop_ones_not() {
+    let world = scripted_world("fields", |text| text);
     let more = "Idempotency-Key: 5e-Ab\r\nX-Any: one\r\nX-Any: two\r\nConnection: keep-alive, x-hop\r\nX-Hop: 1\r\n\
                 TE: trailers\r\nReq-Owner: someone\r\n";
     let mut client = world.gateway.connect();
-    client.write_all(asks(1, more).as_bytes()).unwrap();
+    client.write_all(request_text(1, more).as_bytes()).unwrap();
     let mut read = world.reader.accept();
     let to_reader = read.request();
     read.say(READ);
@@ -87,48 +92,48 @@
 }
 
 #[test]
-fn a_request_on_a_connection_that_waits_to_be_taken_as_the_gateway_stops_is_answered() {
+fn request_in_the_accept_queue_at_shutdown_is_answered() {
     let reader = ModelServer::start(true, Manner::Good).unwrap();
-    let world = World::start_with("queue", command, reader, ["reader", "writer"], without_resume);
+    let world = PlatformWorld::start_with("queue", command, reader, ["reader", "writer"], without_resume);
     // Every place is taken by a client who asks: one request served, half of the next sent.
     let mut askers = Vec::new();
     loop {
         let mut stream = world.connect();
-        stream.write_all(asks(askers.len() as u64, "").as_bytes()).unwrap();
+        stream.write_all(request_text(askers.len() as u64, "").as_bytes()).unwrap();
         if !answer(&mut BufReader::new(stream.try_clone().unwrap())).0.contains("200") {
             break;
         }
         askers.push(stream);
     }
-    let half = asks(9_999, "");
+    let half = request_text(9_999, "");
     askers.iter_mut().for_each(|stream| stream.write_all(&half.as_bytes()[..40]).unwrap());
     // Eight at a time are told that there is no place, and do not close: the others wait in the system's queue, longer
     // than the gateway goes on after the word to stop.
     let crowd: Vec<TcpStream> = (0..40).map(|_| world.connect()).collect();
     let mut last = world.connect();
-    last.write_all(asks(5_000, "").as_bytes()).unwrap();
+    last.write_all(request_text(5_000, "").as_bytes()).unwrap();
     world.signal("-TERM");
-    let mut told = String::new();
-    let read = last.read_to_string(&mut told);
-    assert!(read.is_ok() && told.starts_with("HTTP/1.1 "), "{read:?}: '{told}'");
+    let mut exchange = String::new();
+    let read = last.read_to_string(&mut exchange);
+    assert!(read.is_ok() && exchange.starts_with("HTTP/1.1 "), "{read:?}: '{exchange}'");
     drop((askers, crowd));
 }
 
 #[test]
-fn half_a_request_on_a_new_connection_as_the_gateway_stops_may_still_come_whole_and_is_answered() {
-    let mut world = both("half", without_resume);
-    let (request, mut rests) = (asks(7, ""), world.gateway.connect());
+fn partial_request_at_shutdown_is_completed_and_answered() {
+    let mut world = scripted_world("half", without_resume);
+    let (request, mut rests) = (request_text(7, ""), world.gateway.connect());
     let mut half = world.gateway.connect();
     half.write_all(&request.as_bytes()[..60]).unwrap();
     // Its half is in the gateway's hands once another connection behind it has been served.
     let (mut streams, mut write) = world.streams(1);
     world.gateway.signal("-TERM");
-    until(&mut world.gateway.log, "stopping");
+    read_log_until(&mut world.gateway.log, "stopping");
     // What rests is ended: from here on nothing new is taken on.
     ended(&mut rests);
     half.write_all(&request.as_bytes()[60..]).unwrap();
-    let told = answer(&mut BufReader::new(half));
-    assert!(told.0.starts_with("HTTP/1.1 503") && told.2, "{told:?}");
+    let exchange = answer(&mut BufReader::new(half));
+    assert!(exchange.0.starts_with("HTTP/1.1 503") && exchange.2, "{exchange:?}");
     // Nor does it go to a reader.
     assert!(world.reader.accept_within(Duration::from_millis(300)).is_none());
     write.say(LAST);
@@ -137,17 +142,17 @@
 }
 
 #[test]
-fn after_the_word_to_stop_a_stream_goes_on_to_its_end_and_whoever_still_comes_is_told_to_come_again() {
-    let mut world = both("late", without_resume);
+fn streams_complete_and_late_requests_get_503_during_shutdown() {
+    let mut world = scripted_world("late", without_resume);
     let mut rests = world.gateway.connect();
     let (mut streams, mut write) = world.streams(1);
     world.gateway.signal("-TERM");
     ended(&mut rests);
     let mut late = world.gateway.connect();
-    late.write_all(asks(2, "").as_bytes()).unwrap();
-    let mut told = String::new();
-    late.read_to_string(&mut told).unwrap();
-    assert!(told.starts_with("HTTP/1.1 503") && told.contains("Connection: close"), "{told}");
+    late.write_all(request_text(2, "").as_bytes()).unwrap();
+    let mut exchange = String::new();
+    late.read_to_string(&mut exchange).unwrap();
+    assert!(exchange.starts_with("HTTP/1.1 503") && exchange.contains("Connection: close"), "{exchange}");
     assert!(world.reader.accept_within(Duration::from_millis(300)).is_none(), "it is not sent on");
     write.say(&(chunk(&event("second")) + LAST));
     expect(&mut streams, "second\"}}]}\n\n\r\n0\r\n\r\n");
@@ -155,17 +160,17 @@
 }
 
 #[test]
-fn a_new_configuration_after_the_word_to_stop_moves_discovery_while_anything_is_in_hand() {
-    let mut world = both("reload", without_resume);
+fn configuration_reload_works_during_shutdown() {
+    let mut world = scripted_world("reload", without_resume);
     let (mut streams, mut write) = world.streams(1);
     world.gateway.signal("-TERM");
-    until(&mut world.gateway.log, "stopping");
+    read_log_until(&mut world.gateway.log, "stopping");
     let moved = Agent::start("").unwrap();
     let text = std::fs::read_to_string(&world.gateway.file).unwrap();
     let text = text.replace(&world._agent.address.to_string(), &moved.address.to_string());
     std::fs::write(&world.gateway.file, text).unwrap();
     world.gateway.signal("-HUP");
-    let late = Instant::now() + PATIENCE;
+    let late = Instant::now() + EVENT_TIMEOUT;
     while moved.asked() == 0 {
         assert!(Instant::now() < late, "the new address is never asked");
         std::thread::sleep(Duration::from_millis(5));
@@ -178,8 +183,8 @@
 }
 
 #[test]
-fn what_a_stream_brought_before_it_broke_arrives_although_its_client_sent_more_than_is_read() {
-    let world = both("broken", |text| text);
+fn broken_stream_is_delivered_over_unread_client_bytes() {
+    let world = scripted_world("broken", |text| text);
     let (mut client, mut write) = world.streams(1);
     // Behind the open request lies more than the gateway takes: closed over that, the connection would be reset.
     client.get_mut().set_nonblocking(true).unwrap();
@@ -190,24 +195,24 @@
     events.iter().for_each(|event| write.say(&chunk(event)));
     drop(write);
     // The writer's end is seen by the gateway once its own connection to it is gone: then it ends the client's.
-    let mut told = Vec::new();
-    let read = client.read_to_end(&mut told);
-    let told = String::from_utf8_lossy(&told);
-    let came = (0..24).filter(|n| told.contains(&format!("{n:05}").repeat(6_000))).count();
-    assert!(read.is_ok() && came == 24 && !told.ends_with(LAST), "{read:?}: {came} of 24 events");
+    let mut exchange = Vec::new();
+    let read = client.read_to_end(&mut exchange);
+    let exchange = String::from_utf8_lossy(&exchange);
+    let came = (0..24).filter(|n| exchange.contains(&format!("{n:05}").repeat(6_000))).count();
+    assert!(read.is_ok() && came == 24 && !exchange.ends_with(LAST), "{read:?}: {came} of 24 events");
 }
 
 #[test]
-fn a_gateway_that_is_told_to_stop_before_its_first_list_ends_well() {
-    let silent = Held::start();
+fn stop_before_the_first_endpoint_list_exits_cleanly() {
+    let silent = ScriptedServer::start();
     let mut gateway = Gateway::start("nolist", silent.address, &[], without_resume);
     gateway.signal("-TERM");
     assert_eq!(gateway.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn a_client_that_ends_its_sending_after_its_last_answer_sees_the_end_of_its_connection() {
-    let world = both("shut", |text| text);
+fn half_close_after_the_last_answer_closes_the_connection() {
+    let world = scripted_world("shut", |text| text);
     let (mut client, mut write) = world.streams(1);
     write.say(LAST);
     expect(&mut client, LAST);
@@ -231,13 +236,13 @@
 const CALL: &str = "GET /v1/servers HTTP/1.1";
 
 /// A gateway whose discovery agent the test holds, and two addresses for its list.
-fn before_agent(name: &str, change: impl Fn(String) -> String) -> (Gateway, Held, [SocketAddr; 2]) {
-    let (agent, nowhere) = (Held::start(), SocketAddr::from(([127, 0, 0, 1], 9)));
+fn before_agent(name: &str, change: impl Fn(String) -> String) -> (Gateway, ScriptedServer, [SocketAddr; 2]) {
+    let (agent, nowhere) = (ScriptedServer::start(), SocketAddr::from(([127, 0, 0, 1], 9)));
     (Gateway::start(name, agent.address, &[], change), agent, [nowhere; 2])
 }
 
 #[test]
-fn an_agent_that_was_silent_is_asked_anew_well_within_the_drain_grace_of_its_return() {
+fn silent_discovery_is_polled_within_the_drain_grace() {
     let grace = Duration::from_millis(250);
     let short = |text: String| text.replace("\"drainGrace\":2000000000", "\"drainGrace\":250000000");
     let (_gateway, agent, servers) = before_agent("return", short);
@@ -246,80 +251,82 @@
         let mut silent = agent.accept();
         assert_eq!(silent.request().lines().next(), Some(CALL));
         std::thread::sleep(later);
-        let waits: Vec<HeldConnection> = std::iter::from_fn(|| agent.accept_within(Duration::ZERO)).collect();
+        let waits: Vec<ScriptedConnection> =
+            std::iter::from_fn(|| agent.accept_within(Duration::ZERO)).collect();
         let back = Instant::now();
-        let mut asks = agent.accept();
+        let mut request_text = agent.accept();
         let waited = back.elapsed();
         assert!(waited < grace * 3 / 4, "{round}: {waited:?}");
-        assert_eq!(asks.request().lines().next(), Some(CALL));
-        asks.say(&whole(&list(round + 1, "true", servers, "leaving")));
+        assert_eq!(request_text.request().lines().next(), Some(CALL));
+        request_text.say(&whole(&list(round + 1, "true", servers, "leaving")));
         // It is taken: what follows is the watch on that connection.
-        let watch = asks.request();
+        let watch = request_text.request();
         assert!(watch.contains(&format!("since={}&", round + 1)), "{watch}");
-        drop((silent, waits, asks));
+        drop((silent, waits, request_text));
         while agent.accept_within(Duration::from_millis(1)).is_some() {}
     }
 }
 
 #[test]
-fn an_index_that_went_back_and_answers_nobody_asked_for_lead_to_the_whole_list() {
+fn index_regression_or_stray_answer_triggers_a_full_list() {
     let (_gateway, agent, servers) = before_agent("index", |text| text);
-    let mut asks = agent.accept();
-    assert_eq!(asks.request().lines().next(), Some(CALL));
+    let mut request_text = agent.accept();
+    assert_eq!(request_text.request().lines().next(), Some(CALL));
     // In chunks, behind an interim answer, and indented.
     let json = list(41, "true", servers, "active").replace(',', ",\n    ");
     let (front, rest) = json.split_at(30);
-    asks.say(&format!(
+    request_text.say(&format!(
         "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}{}{LAST}",
         chunk(front),
         chunk(rest)
     ));
-    assert!(asks.request().contains("?since=41&"));
-    asks.say(&whole("{\"index\":5,\"snapshot\":false,\"endpoints\":[]}"));
+    assert!(request_text.request().contains("?since=41&"));
+    request_text.say(&whole("{\"index\":5,\"snapshot\":false,\"endpoints\":[]}"));
     // Sooner than a watch that is not answered would be given up.
     let soon = Duration::from_millis(1_500);
-    let mut asks = agent.accept_within(soon).expect("a new call");
-    assert_eq!(asks.request().lines().next(), Some(CALL), "nothing newer than 41 would ever come");
+    let mut request_text = agent.accept_within(soon).expect("a new call");
+    assert_eq!(request_text.request().lines().next(), Some(CALL), "nothing newer than 41 would ever come");
     // Twice in one go: the second would be taken for the answer to the watch.
     let twice = whole(&list(5, "true", servers, "active")) + &whole(&list(6, "true", servers, "active"));
-    asks.say(&twice);
-    let mut asks = agent.accept_within(soon).expect("a new call");
-    assert_eq!(asks.request().lines().next(), Some(CALL));
-    asks.say(&whole(&list(7, "true", servers, "leaving")));
-    assert!(asks.request().contains("?since=7&"));
+    request_text.say(&twice);
+    let mut request_text = agent.accept_within(soon).expect("a new call");
+    assert_eq!(request_text.request().lines().next(), Some(CALL));
+    request_text.say(&whole(&list(7, "true", servers, "leaving")));
+    assert!(request_text.request().contains("?since=7&"));
 }
 
 #[test]
-fn an_agent_that_ends_each_connection_with_its_answer_is_not_asked_without_end() {
+fn closing_discovery_agent_is_not_polled_in_a_busy_loop() {
     let (_gateway, agent, servers) = before_agent("closes", |text| text);
     let (from, mut calls) = (Instant::now(), 0);
     while from.elapsed() < Duration::from_secs(2) {
-        let Some(mut asks) = agent.accept_within(Duration::from_millis(20)) else { continue };
-        if asks.request().lines().next() == Some(CALL) {
+        let Some(mut request_text) = agent.accept_within(Duration::from_millis(20)) else { continue };
+        if request_text.request().lines().next() == Some(CALL) {
             calls += 1;
             let body = list(1, "true", servers, "active");
-            asks.say(&whole(&body).replacen("200 OK\r\n", "200 OK\r\nConnection: close\r\n", 1));
+            request_text.say(&whole(&body).replacen("200 OK\r\n", "200 OK\r\nConnection: close\r\n", 1));
         }
     }
     assert!((2..=8).contains(&calls), "{calls} calls in 2 s");
 }
 
 #[test]
-fn an_agent_that_takes_its_time_for_each_answer_is_followed_all_the_same() {
+fn slow_discovery_agent_is_followed() {
     let (_gateway, agent, servers) = before_agent("slow-agent", |text| text);
-    let (followed, until) = (Arc::new(AtomicBool::new(false)), Instant::now() + Duration::from_secs(6));
+    let (followed, read_log_until) =
+        (Arc::new(AtomicBool::new(false)), Instant::now() + Duration::from_secs(6));
     while !followed.load(Ordering::SeqCst) {
-        assert!(Instant::now() < until, "a list that each call has in 0.9 s was not had in 6 s");
-        let Some(mut asks) = agent.accept_within(Duration::from_millis(20)) else { continue };
+        assert!(Instant::now() < read_log_until, "a list that each call has in 0.9 s was not had in 6 s");
+        let Some(mut request_text) = agent.accept_within(Duration::from_millis(20)) else { continue };
         let (followed, body) = (followed.clone(), list(7, "true", servers, "active"));
         std::thread::spawn(move || {
-            if asks.request().lines().next() != Some(CALL) {
+            if request_text.request().lines().next() != Some(CALL) {
                 return;
             }
             std::thread::sleep(Duration::from_millis(900));
             // The gateway may have given the call up meanwhile.
-            let _ = asks.socket().write_all(whole(&body).as_bytes());
-            if asks.request().contains("since=7&") {
+            let _ = request_text.socket().write_all(whole(&body).as_bytes());
+            if request_text.request().contains("since=7&") {
                 followed.store(true, Ordering::SeqCst);
             }
         });
@@ -328,10 +335,11 @@
 
 /// Nothing but words to let go comes to a held server, on new connections or on one that it has, within a time in which
 /// anything that was due would have come.
-fn nothing_more(server: &Held, kept: Option<&mut HeldConnection>) {
-    let until = Instant::now() + Duration::from_millis(800);
+fn nothing_more(server: &ScriptedServer, kept: Option<&mut ScriptedConnection>) {
+    let read_log_until = Instant::now() + Duration::from_millis(800);
     let only_lets_go = |line: &str| assert!(line.is_empty() || line.starts_with("DELETE "), "{line}");
-    while let Some(mut came) = server.accept_within(until.saturating_duration_since(Instant::now())) {
+    while let Some(mut came) = server.accept_within(read_log_until.saturating_duration_since(Instant::now()))
+    {
         only_lets_go(came.request().lines().next().unwrap_or_default());
     }
     if let Some(kept) = kept {
@@ -344,11 +352,11 @@
 const DECLINED: &str = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_during_its_read_or_before_another_attempt() {
+fn nothing_is_sent_after_client_left_during_prefill_or_retry() {
     for (name, says) in [("read", READ), ("declined", DECLINED)] {
-        let world = both(name, |text| text);
+        let world = scripted_world(name, |text| text);
         let mut client = world.gateway.connect();
-        client.write_all(asks(1, "").as_bytes()).unwrap();
+        client.write_all(request_text(1, "").as_bytes()).unwrap();
         let mut read = world.reader.accept();
         assert!(read.request().starts_with("POST "));
         // It has gone before its reader says anything.
@@ -360,14 +368,14 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_no_server_could_take_it() {
-    let (reader, writer) = (Held::start(), Held::start());
+fn nothing_is_sent_after_client_left_while_waiting() {
+    let (reader, writer) = (ScriptedServer::start(), ScriptedServer::start());
     let writes = entry("w", writer.address, "writer", "active");
     let agent = Agent::start(&writes).unwrap();
     let gateway = Gateway::start("held", agent.address, std::slice::from_ref(&writes), |text| text);
     let [leaves, mut stays] = [1, 2].map(|id| {
         let mut client = gateway.connect();
-        client.write_all(asks(id, "").as_bytes()).unwrap();
+        client.write_all(request_text(id, "").as_bytes()).unwrap();
         client
     });
     // Both are held, and one of them goes; then there is a reader.
@@ -385,10 +393,10 @@
 const AT_ONCE: Duration = Duration::from_millis(300);
 
 #[test]
-fn events_are_passed_on_at_once_in_pieces_together_and_around_the_word_to_stop() {
-    let mut world = both("events", without_resume);
+fn events_are_forwarded_at_once_also_around_shutdown() {
+    let mut world = scripted_world("events", without_resume);
     let (mut client, mut write) = world.streams(1);
-    let mut passed = |write: &mut HeldConnection, last_piece: &str, expected: &[&str]| {
+    let mut passed = |write: &mut ScriptedConnection, last_piece: &str, expected: &[&str]| {
         let from = Instant::now();
         write.say(last_piece);
         expected.iter().for_each(|word| expect(&mut client, word));
@@ -410,14 +418,14 @@
     passed(&mut write, &many, &words.iter().map(String::as_str).collect::<Vec<_>>());
     world.gateway.signal("-TERM");
     passed(&mut write, &chunk(&event("with")), &["with"]);
-    until(&mut world.gateway.log, "stopping");
+    read_log_until(&mut world.gateway.log, "stopping");
     passed(&mut write, &(chunk(&event("after")) + LAST), &["after", LAST]);
     assert_eq!(world.gateway.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn a_client_that_takes_nothing_holds_no_other_stream_up() {
-    let world = both("slow", |text| text);
+fn stalled_client_does_not_block_other_streams() {
+    let world = scripted_world("slow", |text| text);
     let mut streams: Vec<_> = (0..60).map(|id| world.streams(id)).collect();
     // One takes nothing of what fills all buffers on its way.
     let (slow, mut floods) = streams.pop().unwrap();
@@ -441,10 +449,10 @@
 }
 
 #[test]
-fn what_lies_behind_a_request_that_ends_its_connection_is_never_sent_on() {
-    let world = both("behind", |text| text);
+fn bytes_behind_connection_close_are_not_forwarded() {
+    let world = scripted_world("behind", |text| text);
     let mut client = world.gateway.connect();
-    let both_at_once = asks(1, "Connection: close\r\n") + &asks(2, "");
+    let both_at_once = request_text(1, "Connection: close\r\n") + &request_text(2, "");
     client.write_all(both_at_once.as_bytes()).unwrap();
     let mut read = world.reader.accept();
     assert!(read.request().contains("Req-Id: 0000000000000001"));
@@ -453,26 +461,30 @@
     write.request();
     write.say(&(STREAM.to_owned() + &chunk(&event("only")) + LAST));
     // The whole answer arrives although more was sent than is read, and then the end.
-    let mut told = String::new();
-    client.read_to_string(&mut told).unwrap();
+    let mut exchange = String::new();
+    client.read_to_string(&mut exchange).unwrap();
     assert!(
-        told.contains("Connection: close") && told.ends_with(LAST) && told.matches("HTTP/1.1").count() == 1,
-        "{told}"
+        exchange.contains("Connection: close")
+            && exchange.ends_with(LAST)
+            && exchange.matches("HTTP/1.1").count() == 1,
+        "{exchange}"
     );
     nothing_more(&world.reader, Some(&mut read));
 }
 
 #[test]
-fn a_client_whose_place_goes_to_another_sees_an_end_and_what_it_sends_then_goes_nowhere() {
+fn evicted_connection_is_closed_and_forwards_nothing() {
     let reader = ModelServer::start(true, Manner::Good).unwrap();
-    let world = World::start_with("evicted", command, reader, ["reader", "writer"], |text| text);
+    let world = PlatformWorld::start_with("evicted", command, reader, ["reader", "writer"], |text| text);
     let mut silent: Vec<TcpStream> = (0..200).map(|_| world.connect()).collect();
     // The table holds fewer: the first of them has given its place to another by now, which its end shows.
     ended(&mut silent[0]);
-    let _ = silent[0].write_all(asks(7, "").as_bytes());
+    let _ = silent[0].write_all(request_text(7, "").as_bytes());
     // It was an end of sending, not a reset, and what came behind it is dropped.
     for id in 100..103 {
-        assert!(world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
+        assert!(
+            world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
+        );
     }
     let seen = world.reader.seen();
     assert!(seen.iter().all(|line| !line.ends_with("0000000000000007")), "{seen:?}");
@@ -481,14 +493,14 @@
 /// The time that a request tells its server, in milliseconds.
 fn told_deadline(request: &str) -> u64 {
     let line = request.lines().find_map(|line| line.strip_prefix("Req-Deadline-Ms: "));
-    line.and_then(|told| told.parse().ok()).unwrap_or_else(|| panic!("no deadline in {request}"))
+    line.and_then(|exchange| exchange.parse().ok()).unwrap_or_else(|| panic!("no deadline in {request}"))
 }
 
 #[test]
-fn the_deadline_passed_on_is_at_most_what_the_client_has_left_also_after_waiting_in_the_gateway() {
+fn forwarded_deadline_is_at_most_the_time_left() {
     // A class whose writes have all the time that their clients have left.
-    let world = both("deadline", |text| text.replace("\"free\"", "\"single_shot\""));
-    let asked = asks(1, "");
+    let world = scripted_world("deadline", |text| text.replace("\"free\"", "\"single_shot\""));
+    let asked = request_text(1, "");
     let deadline = told_deadline(&asked);
     let head_ends = asked.find("\r\n\r\n").unwrap() + 4;
     // A body that takes its time; then a request that was sent ahead, behind a stream that takes its own.
@@ -501,8 +513,8 @@
     let mut read = reader.accept();
     let least = |request: &str, since: Instant| {
         let left = deadline.saturating_sub(since.elapsed().as_millis() as u64);
-        let told = told_deadline(request);
-        assert!(told <= left + 150, "{told} ms are told, {left} ms are left");
+        let exchange = told_deadline(request);
+        assert!(exchange <= left + 150, "{exchange} ms are told, {left} ms are left");
     };
     least(&read.request(), begun);
     read.say(READ);
@@ -510,7 +522,7 @@
     least(&write.request(), begun);
     write.say(&(STREAM.to_owned() + &chunk(&event("first"))));
     let sent_ahead = Instant::now();
-    client.write_all(asks(2, "").as_bytes()).unwrap();
+    client.write_all(request_text(2, "").as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(900));
     write.say(LAST);
     // On the connection that the first read left, or on a new one.
@@ -519,24 +531,24 @@
 }
 
 #[test]
-fn nothing_is_sent_for_clients_that_left_while_many_sockets_became_ready_in_one_turn() {
+fn nothing_is_sent_for_clients_that_left_in_a_busy_turn() {
     const CLIENTS: u64 = 40;
-    let world = both("turn", |text| text);
+    let world = scripted_world("turn", |text| text);
     let mut clients: Vec<TcpStream> = (0..CLIENTS)
         .map(|id| {
             let mut client = world.gateway.connect();
-            client.write_all(asks(id, "").as_bytes()).unwrap();
+            client.write_all(request_text(id, "").as_bytes()).unwrap();
             client
         })
         .collect();
-    let mut reads: Vec<HeldConnection> = (0..CLIENTS).map(|_| world.reader.accept()).collect();
+    let mut reads: Vec<ScriptedConnection> = (0..CLIENTS).map(|_| world.reader.accept()).collect();
     reads.iter_mut().for_each(|read| assert!(read.request().starts_with("POST ")));
     // While the gateway stands still all reads end, further requests come, and all clients go.
     world.gateway.signal("-STOP");
     reads.iter_mut().for_each(|read| read.say(READ));
     for id in CLIENTS..2 * CLIENTS {
         let mut client = world.gateway.connect();
-        client.write_all(asks(id, "").as_bytes()).unwrap();
+        client.write_all(request_text(id, "").as_bytes()).unwrap();
         clients.push(client);
     }
     drop(clients);
@@ -546,9 +558,9 @@
 }
 
 #[test]
-fn what_is_read_is_answered_on_new_connections_too_whatever_is_wrong_with_it() {
-    let world = both("read", |text| text);
-    let good = asks(1, "");
+fn malformed_first_requests_are_answered() {
+    let world = scripted_world("read", |text| text);
+    let good = request_text(1, "");
     let spoilt = [
         ("404", good.replace("/v1/chat/completions", "/elsewhere")),
         ("405", good.replace("POST", "PUT")),
@@ -565,26 +577,29 @@
         let mut client = world.gateway.connect();
         // What is too long may be answered before all of it is taken.
         let _ = client.write_all(request.as_bytes());
-        let told = answer(&mut BufReader::new(client)).0;
-        assert!(told.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {told}");
+        let exchange = answer(&mut BufReader::new(client)).0;
+        assert!(exchange.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {exchange}");
     }
     // One that stops in the middle of its body.
     let mut client = world.gateway.connect();
     client.write_all(&good.as_bytes()[..good.len() - 1]).unwrap();
-    let told = answer(&mut BufReader::new(client)).0;
-    assert!(told.starts_with("HTTP/1.1 408"), "{told}");
+    let exchange = answer(&mut BufReader::new(client)).0;
+    assert!(exchange.starts_with("HTTP/1.1 408"), "{exchange}");
 }
 
 #[test]
-fn where_a_reader_and_others_are_silent_a_third_is_told_to_let_go_well_within_the_time() {
-    let (reader, writers) = (Held::start(), [Held::start(), Held::start(), Held::start()]);
+fn release_reaches_a_third_server_when_two_are_silent() {
+    let (reader, writers) = (
+        ScriptedServer::start(),
+        [ScriptedServer::start(), ScriptedServer::start(), ScriptedServer::start()],
+    );
     let mut entries = vec![entry("r", reader.address, "reader", "active")];
     let names = ["w0", "w1", "w2"];
     entries.extend((0..3).map(|n| entry(names[n], writers[n].address, "writer", "active")));
     let agent = Agent::start(&entries.join(",")).unwrap();
     let gateway = Gateway::start("silent-three", agent.address, &entries, |text| text);
     let mut client = gateway.connect();
-    client.write_all(asks(1, "").as_bytes()).unwrap();
+    client.write_all(request_text(1, "").as_bytes()).unwrap();
     let mut read = reader.accept();
     assert!(read.request().starts_with("POST"));
     read.say(READ);
@@ -595,20 +610,20 @@
     drop(client);
     let left = Instant::now();
     // Nobody answers; all of them are told.
-    let mut told = [None; 3];
-    let mut open: Vec<(usize, HeldConnection)> = Vec::new();
-    while told.contains(&None) {
-        assert!(left.elapsed() < PATIENCE, "told: {told:?}");
+    let mut exchange = [None; 3];
+    let mut open: Vec<(usize, ScriptedConnection)> = Vec::new();
+    while exchange.contains(&None) {
+        assert!(left.elapsed() < EVENT_TIMEOUT, "told: {exchange:?}");
         for (n, held) in writers.iter().enumerate() {
             open.extend(held.accept_within(Duration::ZERO).map(|connection| (n, connection)));
         }
         for (n, connection) in &mut open {
-            if told[*n].is_none() && connection.line_within(Duration::from_millis(1)).is_some() {
-                told[*n] = Some(left.elapsed());
+            if exchange[*n].is_none() && connection.line_within(Duration::from_millis(1)).is_some() {
+                exchange[*n] = Some(left.elapsed());
             }
         }
     }
-    let last = told.iter().flatten().max().copied().unwrap();
-    assert!(last < Duration::from_millis(300), "of 0.5 s to let go: {told:?}");
+    let last = exchange.iter().flatten().max().copied().unwrap();
+    assert!(last < Duration::from_millis(300), "of 0.5 s to let go: {exchange:?}");
     drop((read, write));
 }
--- a/cli/tests/daemon.rs
+++ b/cli/tests/daemon.rs
@@ -98,8 +98,8 @@
 }
 
 fn ended(running: &mut Running) -> Option<i32> {
-    let until = Instant::now() + Duration::from_secs(30);
-    while Instant::now() < until {
+    let read_log_until = Instant::now() + Duration::from_secs(30);
+    while Instant::now() < read_log_until {
         if let Some(status) = running.child.try_wait().unwrap() {
             return status.code();
         }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_term_lets_running_streams_end_and_turns_new_ones_away() {
+fn sigterm_completes_streams_and_rejects_new_requests() {
     let folder = folder("term");
     let server = stand_in("one", "20");
     write_list(&folder, &[("one", server.address)]);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn streams_past_the_drain_time_are_answered_before_the_end() {
+fn streams_past_the_drain_timeout_get_a_final_answer() {
     let folder = folder("drain");
     let server = stand_in("one", "100");
     write_list(&folder, &[("one", server.address)]);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_hup_reloads_the_list_without_dropping_a_stream_and_a_bad_list_changes_nothing() {
+fn sighup_reloads_the_inventory_and_rejects_a_bad_one() {
     let folder = folder("hup");
     let (old, new) = (stand_in("old", "20"), stand_in("new", "5"));
     write_list(&folder, &[("old", old.address)]);
@@ -172,14 +172,14 @@
 }
 
 #[test]
-fn operators_get_health_and_counts_on_a_listener_of_their_own() {
+fn operator_listener_serves_health_and_metrics() {
     let folder = folder("operator");
     let server = stand_in("one", "5");
     write_list(&folder, &[("one", server.address)]);
     let file = write_settings(&folder, "5s");
     let text = std::fs::read_to_string(&file).unwrap();
-    let both = "listen = { chat = \"127.0.0.1:0\", operator = \"127.0.0.1:0\" }";
-    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", both)).unwrap();
+    let scripted_world = "listen = { chat = \"127.0.0.1:0\", operator = \"127.0.0.1:0\" }";
+    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", scripted_world)).unwrap();
     let gateway = start(&["serve", &file]);
     assert!(rest(ask(gateway.address, 3)).contains("[DONE]"));
     let get = |path: &str| {
@@ -198,24 +198,24 @@
 }
 
 #[test]
-fn a_term_while_a_grpc_stream_runs_lets_it_end_whole() {
+fn sigterm_completes_a_running_grpc_stream() {
     let folder = folder("grpc");
     let server = stand_in("one", "10");
     write_list(&folder, &[("one", server.address)]);
     let file = write_settings(&folder, "20s");
     let text = std::fs::read_to_string(&file).unwrap();
-    let both = "listen = { chat = \"127.0.0.1:0\", grpc = \"127.0.0.1:0\" }";
-    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", both)).unwrap();
+    let scripted_world = "listen = { chat = \"127.0.0.1:0\", grpc = \"127.0.0.1:0\" }";
+    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", scripted_world)).unwrap();
     let mut gateway = start(&["serve", &file]);
     let grpc = gateway.second.unwrap();
-    let (mut seen, mut told) = (Seen::nothing(), false);
+    let (mut seen, mut exchange) = (Seen::nothing(), false);
     let exchange = async {
         let (mut sender, driver) = grpc_client::connect(grpc).await.expect("the daemon listens");
         let asked = async {
             let response = grpc_client::call(&mut sender, &Question::new("ask", "why", 100)).await.unwrap();
             // At its first token the daemon is told to stop.
             let first = |_| {
-                if !std::mem::replace(&mut told, true) {
+                if !std::mem::replace(&mut exchange, true) {
                     signal(&gateway, "-TERM");
                 }
             };
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_bad_start_says_why_in_a_line_and_fails() {
+fn failed_start_prints_one_line_and_fails() {
     let folder = folder("bad");
     let file = write_settings(&folder, "5s");
     let run = |arguments: &[&str]| -> (Option<i32>, String) {
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_list_that_could_not_be_kept_is_kept_once_the_disk_takes_it() {
+fn failed_list_storage_is_retried() {
     let folder = folder("full-disk");
     let library = Library::build(&folder).unwrap();
     let faults = Faults::new(&library, folder.join("words"), 1).unwrap();
@@ -276,8 +276,8 @@
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut ready).unwrap();
     assert!(!folder.join("last.json").exists(), "no write has gone well yet");
     faults.set(Fault::DiskFails, 0).unwrap();
-    let until = Instant::now() + Duration::from_secs(10);
-    while !folder.join("last.json").exists() && Instant::now() < until {
+    let read_log_until = Instant::now() + Duration::from_secs(10);
+    while !folder.join("last.json").exists() && Instant::now() < read_log_until {
         std::thread::sleep(Duration::from_millis(20));
     }
     let kept = std::fs::read_to_string(folder.join("last.json"));
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn the_chat_front_serves_although_calls_are_interrupted_and_connections_fail_for_a_moment() {
+fn chat_api_survives_interrupted_calls_and_failed_connects() {
     let folder = folder("interrupted");
     let library = Library::build(&folder).unwrap();
     let faults = Faults::new(&library, folder.join("words"), 1).unwrap();
@@ -322,8 +322,8 @@
             return String::new();
         }
         let line = text[from..].to_lowercase();
-        if let Some(told) = line.strip_prefix("content-length: ") {
-            length = told.trim().parse().unwrap();
+        if let Some(exchange) = line.strip_prefix("content-length: ") {
+            length = exchange.trim().parse().unwrap();
         }
         if line == "\r\n" {
             break;
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_reader_that_leaves_the_inventory_is_told_to_let_go_of_what_it_holds() {
+fn removed_prefill_server_still_gets_its_release() {
     let folder = folder("delisted");
     let (seen, lines_of) = (Arc::new(Mutex::new(Vec::<Came>::new())), ["r1", "r2", "w1", "w2"]);
     let listeners = lines_of.map(|_| TcpListener::bind(("127.0.0.1", 0)).unwrap());
@@ -383,9 +383,9 @@
     let gateway = start(&["serve", &file]);
     let client = ask(gateway.address, 3);
     let wait_for = |what: &str, holds: &dyn Fn(&[Came]) -> bool| {
-        let until = Instant::now() + Duration::from_secs(5);
+        let read_log_until = Instant::now() + Duration::from_secs(5);
         while !holds(&seen.lock().unwrap()) {
-            assert!(Instant::now() < until, "{what}: {:?}", seen.lock().unwrap());
+            assert!(Instant::now() < read_log_until, "{what}: {:?}", seen.lock().unwrap());
             std::thread::sleep(Duration::from_millis(5));
         }
     };
@@ -395,8 +395,8 @@
     signal(&gateway, "-HUP");
     std::thread::sleep(Duration::from_millis(200));
     drop(client);
-    let told = |seen: &[Came]| seen.iter().filter(|(n, _)| *n == reader).count() >= 2;
-    wait_for("its reader is told", &told);
+    let exchange = |seen: &[Came]| seen.iter().filter(|(n, _)| *n == reader).count() >= 2;
+    wait_for("its reader is told", &exchange);
     drop(gateway);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/cli/tests/size.rs
+++ b/cli/tests/fleet_size.rs
@@ -62,12 +62,12 @@
 
 fn resident_mib(process: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
-    let told = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
-    told.trim().trim_end_matches("kB").trim().parse::<u64>().unwrap() / 1_024
+    let exchange = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
+    exchange.trim().trim_end_matches("kB").trim().parse::<u64>().unwrap() / 1_024
 }
 
 #[test]
-fn with_the_whole_service_listed_it_is_ready_soon_and_stays_within_what_control_may_use() {
+fn full_size_fleet_is_ready_soon_within_resource_limits() {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let entries: Vec<String> = (0..SERVERS)
         .map(|n| {
@@ -80,7 +80,7 @@
     let started = Instant::now();
     let gateway = Gateway::start("service", address, &[], |text| text);
     let ready = started.elapsed();
-    let late = Instant::now() + PATIENCE;
+    let late = Instant::now() + EVENT_TIMEOUT;
     while traffic.wholes.load(Ordering::SeqCst) == 0 {
         assert!(Instant::now() < late, "the list is never asked for");
         std::thread::sleep(Duration::from_millis(1));
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -11,31 +11,31 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn requests_in_a_row_and_pipelined_ones_get_the_writers_own_events() {
-    let world = World::start("row");
+fn sequential_and_pipelined_requests_get_the_server_events() {
+    let world = PlatformWorld::start("row");
     let mut stream = world.connect();
     let mut lines = BufReader::new(stream.try_clone().unwrap());
     for id in 0..10 {
-        stream.write_all(asks(id, "").as_bytes()).unwrap();
+        stream.write_all(request_text(id, "").as_bytes()).unwrap();
         assert_eq!(answer(&mut lines), ("HTTP/1.1 200 OK\r\n".to_owned(), events(), true));
     }
-    stream.write_all((asks(10, "") + &asks(11, "")).as_bytes()).unwrap();
+    stream.write_all((request_text(10, "") + &request_text(11, "")).as_bytes()).unwrap();
     assert!(answer(&mut lines).2 && answer(&mut lines).2);
     let path = "POST /v1/chat/completions";
     let seen: Vec<String> = (0..12).map(|id| format!("{path} {id:016x}")).collect();
     assert_eq!((world.reader.seen(), world.writer.seen()), (seen.clone(), seen));
     assert_eq!(
-        world.told(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").split(' ').nth(1),
+        world.exchange(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").split(' ').nth(1),
         Some("200")
     );
 }
 
 #[test]
-fn what_is_malformed_is_turned_away_and_never_reaches_a_model_server() {
-    let world = World::start("malformed");
-    let good = asks(1, "");
+fn malformed_requests_are_rejected_and_not_forwarded() {
+    let world = PlatformWorld::start("malformed");
+    let good = request_text(1, "");
     let without = |from: &str, to: &str| good.replace(from, to).into_bytes();
-    let concealed = "0\r\n\r\n".to_owned() + &asks(2, "");
+    let concealed = "0\r\n\r\n".to_owned() + &request_text(2, "");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("noise", b"\0\x01\x02\r\n\r\n".to_vec()),
         (
@@ -77,8 +77,8 @@
         ("other method", without("POST", "PUT")),
     ];
     for (what, bytes) in cases {
-        let told = world.told(&bytes);
-        assert!(told.starts_with("HTTP/1.1 4") || told.is_empty(), "{what}: {told}");
+        let exchange = world.exchange(&bytes);
+        assert!(exchange.starts_with("HTTP/1.1 4") || exchange.is_empty(), "{what}: {exchange}");
     }
     // These end by time: all at once, so that the test does not add the times up.
     let mut slow: Vec<TcpStream> = ["", "POST /v1/chat", &good[..good.len() - 1]]
@@ -89,31 +89,31 @@
         })
         .into();
     for stream in &mut slow {
-        let mut told = String::new();
-        let _ = stream.read_to_string(&mut told);
-        assert!(told.starts_with("HTTP/1.1 408") || told.is_empty(), "{told}");
+        let mut exchange = String::new();
+        let _ = stream.read_to_string(&mut exchange);
+        assert!(exchange.starts_with("HTTP/1.1 408") || exchange.is_empty(), "{exchange}");
     }
     assert_eq!((world.reader.seen(), world.writer.seen()), (vec![], vec![]));
-    assert!(world.told(asks(3, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
+    assert!(world.exchange(request_text(3, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
 #[test]
-fn an_id_in_hand_is_not_taken_for_another_client() {
-    let world = World::start("id");
+fn request_id_in_flight_is_rejected_for_another_client() {
+    let world = PlatformWorld::start("id");
     world.reader.set(Manner::Slow);
     let mut first = world.connect();
-    first.write_all(asks(1, "").as_bytes()).unwrap();
+    first.write_all(request_text(1, "").as_bytes()).unwrap();
     world.wait_for("the read begins", || !world.reader.seen().is_empty());
-    assert!(world.told(asks(1, "").as_bytes()).starts_with("HTTP/1.1 409"));
+    assert!(world.exchange(request_text(1, "").as_bytes()).starts_with("HTTP/1.1 409"));
     assert!(answer(&mut BufReader::new(first)).2, "the first goes on");
 }
 
 #[test]
-fn where_a_client_leaves_its_attempt_ends_and_what_it_left_is_let_go() {
-    let world = World::start("leaves");
+fn client_cancellation_ends_attempt_and_releases_cache() {
+    let world = PlatformWorld::start("leaves");
     world.reader.set(Manner::Silent);
     let mut stream = world.connect();
-    stream.write_all(asks(1, "").as_bytes()).unwrap();
+    stream.write_all(request_text(1, "").as_bytes()).unwrap();
     world.wait_for("the read begins", || !world.reader.seen().is_empty());
     drop(stream);
     let release = "DELETE /kv/leases/0000000000000001 ".to_owned();
@@ -122,11 +122,11 @@
 }
 
 #[test]
-fn spoilt_answers_are_tried_again_before_the_first_event_and_break_the_stream_after_it() {
-    let world = World::start("spoilt");
+fn malformed_answers_are_retried_only_before_the_first_event() {
+    let world = PlatformWorld::start("spoilt");
     let ask = |id: u64| {
         let mut stream = world.connect();
-        stream.write_all(asks(id, "").as_bytes()).unwrap();
+        stream.write_all(request_text(id, "").as_bytes()).unwrap();
         answer(&mut BufReader::new(stream))
     };
     for (id, manner) in
@@ -152,13 +152,13 @@
 }
 
 #[test]
-fn a_bad_configuration_changes_nothing_and_a_good_one_moves_discovery_at_once() {
-    let mut world = World::start("reload");
+fn bad_configuration_is_rejected_and_a_good_one_applied() {
+    let mut world = PlatformWorld::start("reload");
     let text = std::fs::read_to_string(&world.file).unwrap();
     world.wait_for("discovery is asked", || world.agent.asked() > 0);
     std::fs::write(&world.file, &text[..text.len() / 2]).unwrap();
     world.signal("-HUP");
-    let why = until(&mut world.log, "configuration rejected");
+    let why = read_log_until(&mut world.log, "configuration rejected");
     assert!(why.contains("EOF"), "{why}");
     let entries = [
         entry("r", world.reader.address, "reader", "active"),
@@ -169,13 +169,13 @@
         .unwrap();
     world.signal("-HUP");
     world.wait_for("the new address is asked", || moved.asked() > 0);
-    assert!(world.told(asks(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
+    assert!(world.exchange(request_text(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
 #[test]
-fn a_configuration_that_was_half_written_or_away_when_it_was_told_of_is_taken_once_it_is_whole() {
+fn incomplete_configuration_is_reread_until_complete() {
     for half in [true, false] {
-        let world = World::start(if half { "half-config" } else { "no-config" });
+        let world = PlatformWorld::start(if half { "half-config" } else { "no-config" });
         let text = std::fs::read_to_string(&world.file).unwrap();
         let moved = Agent::start(&entry("r", world.reader.address, "reader", "active")).unwrap();
         match half {
@@ -186,38 +186,38 @@
         std::thread::sleep(Duration::from_millis(1_500));
         let address = (world.agent.address.to_string(), moved.address.to_string());
         std::fs::write(&world.file, text.replace(&address.0, &address.1)).unwrap();
-        let until = Instant::now() + Duration::from_secs(3);
+        let read_log_until = Instant::now() + Duration::from_secs(3);
         while moved.asked() == 0 {
-            assert!(Instant::now() < until, "half written: {half}");
+            assert!(Instant::now() < read_log_until, "half written: {half}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 }
 
 #[test]
-fn told_to_stop_it_answers_what_it_has_and_still_takes_what_comes_and_exits_with_0() {
-    let mut world = World::start("stop");
+fn sigterm_answers_everything_and_exits_with_0() {
+    let mut world = PlatformWorld::start("stop");
     world.writer.set(Manner::Slow);
     let mut kept = world.connect();
     let mut lines = BufReader::new(kept.try_clone().unwrap());
-    kept.write_all(asks(1, "").as_bytes()).unwrap();
+    kept.write_all(request_text(1, "").as_bytes()).unwrap();
     world.wait_for("it is taken", || !world.reader.seen().is_empty());
     world.signal("-TERM");
-    until(&mut world.log, "stopping");
-    assert!(world.told(asks(2, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
+    read_log_until(&mut world.log, "stopping");
+    assert!(world.exchange(request_text(2, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
     assert!(answer(&mut lines).2);
-    kept.write_all(asks(3, "").as_bytes()).unwrap();
+    kept.write_all(request_text(3, "").as_bytes()).unwrap();
     assert!(answer(&mut lines).2, "an open connection is used for as long as it is open");
     // One that would run past the kill is ended without its last chunk, for its client to ask for the rest.
     world.writer.set(Manner::SilentInStream);
-    kept.write_all(asks(4, "").as_bytes()).unwrap();
+    kept.write_all(request_text(4, "").as_bytes()).unwrap();
     let (status, _, whole) = answer(&mut lines);
     assert_eq!((status.contains("200"), whole), (true, false));
     assert_eq!(world.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn a_bad_configuration_at_the_start_is_one_line_with_file_and_field() {
+fn bad_initial_configuration_prints_one_line() {
     let file = file("bad");
     let good = config(loopback(), loopback(), "");
     let cases = [
@@ -241,8 +241,8 @@
 }
 
 #[test]
-fn hundreds_that_ask_for_health_or_say_nothing_and_stay_leave_room_for_those_who_ask() {
-    let world = World::start("crowd");
+fn idle_and_health_check_connections_leave_capacity() {
+    let world = PlatformWorld::start("crowd");
     let crowd: Vec<TcpStream> = (0..400)
         .map(|n| {
             let mut stream = world.connect();
@@ -255,18 +255,18 @@
     let mut kept = world.connect();
     let mut lines = BufReader::new(kept.try_clone().unwrap());
     for id in 0..5 {
-        kept.write_all(asks(id, "").as_bytes()).unwrap();
+        kept.write_all(request_text(id, "").as_bytes()).unwrap();
         assert!(answer(&mut lines).2, "request {id}");
     }
     drop(crowd);
 }
 
 #[test]
-fn a_state_whose_reader_is_silent_is_let_go_by_way_of_another_server() {
-    let world = World::start("other");
+fn release_goes_through_another_server_when_owner_is_silent() {
+    let world = PlatformWorld::start("other");
     world.reader.set(Manner::Deaf);
     let mut stream = world.connect();
-    stream.write_all(asks(1, "").as_bytes()).unwrap();
+    stream.write_all(request_text(1, "").as_bytes()).unwrap();
     world.wait_for("the read begins", || !world.reader.seen().is_empty());
     drop(stream);
     let release = "DELETE /kv/leases/0000000000000001 ".to_owned();
@@ -274,55 +274,58 @@
 }
 
 #[test]
-fn a_server_whose_address_changes_under_its_name_is_found_at_the_new_one() {
-    let world = World::start("address");
+fn server_is_found_at_its_changed_address() {
+    let world = PlatformWorld::start("address");
     let next = ModelServer::start(false, Manner::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
     let mut id = 0;
-    let until = Instant::now() + PATIENCE;
+    let read_log_until = Instant::now() + EVENT_TIMEOUT;
     while next.seen().is_empty() {
-        assert!(Instant::now() < until, "never found");
+        assert!(Instant::now() < read_log_until, "never found");
         id += 1;
-        assert!(world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
+        assert!(
+            world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_flood_beyond_what_can_be_in_hand_is_turned_away_at_once_and_what_is_in_hand_goes_on() {
-    let world = World::start("flood");
+fn flood_beyond_capacity_is_rejected_and_the_rest_completes() {
+    let world = PlatformWorld::start("flood");
     world.reader.set(Manner::Silent);
     let mut flood: Vec<TcpStream> = (0..120)
         .map(|id| {
             let mut stream = world.connect();
-            stream.write_all(asks(id, "").as_bytes()).unwrap();
+            stream.write_all(request_text(id, "").as_bytes()).unwrap();
             stream
         })
         .collect();
     // More than there are connections to model servers for: the rest is told so while the others wait.
-    let told = flood.iter_mut().rev().filter_map(|stream| {
-        let mut told = String::new();
+    let exchange = flood.iter_mut().rev().filter_map(|stream| {
+        let mut exchange = String::new();
         stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-        let _ = stream.read_to_string(&mut told);
-        Some(told).filter(|told| !told.is_empty())
+        let _ = stream.read_to_string(&mut exchange);
+        Some(exchange).filter(|exchange| !exchange.is_empty())
     });
-    let told: Vec<String> = told.collect();
-    let with_a_time = |told: &String| told.starts_with("HTTP/1.1 503") && told.contains("Retry-After: ");
-    assert!(!told.is_empty() && told.iter().all(with_a_time), "{told:?}");
+    let exchange: Vec<String> = exchange.collect();
+    let with_a_time =
+        |exchange: &String| exchange.starts_with("HTTP/1.1 503") && exchange.contains("Retry-After: ");
+    assert!(!exchange.is_empty() && exchange.iter().all(with_a_time), "{exchange:?}");
     drop(flood);
     world.reader.set(Manner::Good);
     world.wait_for("the next is served", || {
         let id = 1000 + world.reader.seen().len() as u64;
-        world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
+        world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
     });
 }
 
 #[test]
-fn while_discovery_is_silent_it_serves_by_the_list_it_has_and_takes_up_the_next_one_after() {
-    let world = World::start("silent");
+fn cached_endpoint_list_serves_while_discovery_is_silent() {
+    let world = PlatformWorld::start("silent");
     world.wait_for("discovery is asked", || world.agent.asked() > 0);
     world.agent.silence(true);
     let next = ModelServer::start(false, Manner::Good).unwrap();
@@ -331,19 +334,19 @@
             .join(","),
     );
     world.wait_for("it is asked anew", || world.agent.asked() > 2);
-    assert!(world.told(asks(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
+    assert!(world.exchange(request_text(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
     assert!(next.seen().is_empty(), "nobody has told of it");
     world.agent.silence(false);
     world.wait_for("the next list is taken up", || {
         let id = 2 + world.reader.seen().len() as u64;
-        world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
+        world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
             && !next.seen().is_empty()
     });
 }
 
 #[test]
-fn where_fewer_descriptors_are_to_be_had_than_it_was_told_it_goes_on_once_some_are_free() {
-    let world = World::start_as("descriptors", |file| {
+fn descriptor_shortage_is_survived() {
+    let world = PlatformWorld::start_as("descriptors", |file| {
         let mut limited = Command::new("sh");
         let run = "ulimit -n 40; exec \"$0\" platform";
         limited.args(["-c", run, env!("CARGO_BIN_EXE_petrelshore")]).env("LB_CONFIG", file);
@@ -355,7 +358,7 @@
     drop(crowd);
     world.wait_for("it serves again", || {
         let id = 1 + world.reader.seen().len() as u64;
-        world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
+        world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
     });
 }
 
@@ -383,15 +386,15 @@
 }
 
 #[test]
-fn mixed_servers_alone_serve_drain_and_are_lost_by_the_rules() {
+fn combined_servers_alone_serve_drain_and_fail() {
     let first = ModelServer::start(false, Manner::Good).unwrap();
-    let world = World::start_with("round", command, first, ["round"; 2], all_round);
+    let world = PlatformWorld::start_with("round", command, first, ["round"; 2], all_round);
     let servers = [&world.reader, &world.writer];
     let ask = |id: u64, kind: &str| {
         let request =
-            asks(id, "Connection: close\r\n").replace("Req-Kind: chat", &format!("Req-Kind: {kind}"));
-        let told = world.told(request.as_bytes());
-        told.split(' ').nth(1).unwrap_or("nothing").to_owned()
+            request_text(id, "Connection: close\r\n").replace("Req-Kind: chat", &format!("Req-Kind: {kind}"));
+        let exchange = world.exchange(request.as_bytes());
+        exchange.split(' ').nth(1).unwrap_or("nothing").to_owned()
     };
     // How often a server has seen an id.
     let came = |server: &ModelServer, id: u64| {
@@ -435,12 +438,12 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_asks_for_much_at_once_and_goes() {
-    let world = World::start("goes");
+fn nothing_is_sent_after_a_pipelining_client_left() {
+    let world = PlatformWorld::start("goes");
     world.reader.set(Manner::Slow);
     let mut stream = world.connect();
     // More than is kept of what comes behind an open request, and no more than the system takes.
-    let flood: String = (0..350).map(|id| asks(id, "")).collect();
+    let flood: String = (0..350).map(|id| request_text(id, "")).collect();
     stream.set_nonblocking(true).unwrap();
     let _ = stream.write_all(flood.as_bytes());
     world.wait_for("the first is read", || !world.reader.seen().is_empty());
@@ -453,8 +456,8 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_discovery_is_silent_shut_nobody_out() {
-    let world = World::start_as("idle", |file| {
+fn idle_clients_do_not_exhaust_descriptors() {
+    let world = PlatformWorld::start_as("idle", |file| {
         let mut limited = Command::new("sh");
         // What the file grants is what the system gives: 256.
         let run = "ulimit -n 256; exec \"$0\" platform";
@@ -468,8 +471,8 @@
     let asked = world.agent.asked();
     world.wait_for("discovery is asked on", || world.agent.asked() > asked + 1);
     for id in 0..5 {
-        let told = world.told(asks(id, "Connection: close\r\n").as_bytes());
-        assert!(told.starts_with("HTTP/1.1 200"), "request {id}: {told}");
+        let exchange = world.exchange(request_text(id, "Connection: close\r\n").as_bytes());
+        assert!(exchange.starts_with("HTTP/1.1 200"), "request {id}: {exchange}");
     }
     drop(idle);
     let next = ModelServer::start(false, Manner::Good).unwrap();
@@ -480,13 +483,13 @@
     world.agent.silence(false);
     world.wait_for("the next list is taken up", || {
         let id = 100 + world.reader.seen().len() as u64;
-        world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
+        world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
             && !next.seen().is_empty()
     });
 }
 
 #[test]
-fn with_a_thousand_servers_and_discovery_down_it_is_ready_within_ten_seconds() {
+fn thousand_cached_servers_are_ready_within_ten_seconds() {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let entries: Vec<String> =
         (0..1024).map(|n| entry(&format!("s{n}"), nowhere, ["reader", "writer"][n % 2], "active")).collect();
@@ -496,17 +499,20 @@
         let started = Instant::now();
         let mut gateway = command(&file).spawn().unwrap();
         let mut log = BufReader::new(gateway.stderr.take().unwrap());
-        let ready = until(&mut log, "ready");
+        let ready = read_log_until(&mut log, "ready");
         let at: SocketAddr =
             ready.split("listen=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap().parse().unwrap();
         let mut stream = TcpStream::connect(at).unwrap();
         stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").unwrap();
-        let mut told = String::new();
-        let _ = stream.read_to_string(&mut told);
+        let mut exchange = String::new();
+        let _ = stream.read_to_string(&mut exchange);
         let took = started.elapsed();
         let _ = gateway.kill();
         let _ = gateway.wait();
-        assert!(told.starts_with("HTTP/1.1 200") && took < Duration::from_secs(10), "{took:?}: {told}");
+        assert!(
+            exchange.starts_with("HTTP/1.1 200") && took < Duration::from_secs(10),
+            "{took:?}: {exchange}"
+        );
     }
     let _ = std::fs::remove_file(&file);
 }
@@ -541,9 +547,9 @@
                     let call = state.lock().unwrap().0;
                     state.lock().unwrap().1 += 1;
                     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-                    let told = match call {
+                    let exchange = match call {
                         Call::Refused => return,
-                        Call::Silent => return std::thread::sleep(PATIENCE),
+                        Call::Silent => return std::thread::sleep(EVENT_TIMEOUT),
                         Call::Trickling => {
                             for byte in whole.as_bytes() {
                                 if stream.write_all(&[*byte]).is_err() || state.lock().unwrap().0 != call {
@@ -561,7 +567,7 @@
                         Call::NoList => "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{\"index".to_owned(),
                         Call::Whole => whole,
                     };
-                    if stream.write_all(told.as_bytes()).is_err() {
+                    if stream.write_all(exchange.as_bytes()).is_err() {
                         return;
                     }
                     if call == Call::Whole {
@@ -576,7 +582,7 @@
 }
 
 #[test]
-fn however_a_call_to_discovery_ended_the_whole_list_is_asked_for_well_within_six_seconds() {
+fn full_list_is_polled_within_six_seconds_of_any_failure() {
     let reader = ModelServer::start(true, Manner::Good).unwrap();
     let list = format!(
         "{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}}",
@@ -587,7 +593,7 @@
         let (before, rest) = text.split_once("\"discovery\":\"").unwrap();
         format!("{before}\"discovery\":\"{address}\"{}", rest.split_once('"').unwrap().1)
     };
-    let world = World::start_with("endings", command, reader, ["reader", "writer"], moved);
+    let world = PlatformWorld::start_with("endings", command, reader, ["reader", "writer"], moved);
     world.wait_for("it is asked", || state.lock().unwrap().2 > 0);
     let endings = [Call::Refused, Call::Silent, Call::Trickling, Call::CutOff, Call::Status, Call::NoList];
     for call in endings {
--- a/cli/tests/soak.rs
+++ b/cli/tests/soak.rs
@@ -7,7 +7,7 @@
 const SECONDS: u64 = 10;
 
 #[test]
-fn overlapping_faults_break_no_rule_on_a_short_seed() {
+fn overlapping_faults_break_no_rule() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{}", std::process::id()));
     let plan = Plan {
         seed: SEED,
--- a/cli/tests/system_calls.rs
+++ b/cli/tests/system_calls.rs
@@ -41,8 +41,8 @@
 /// Asks on a connection of its own; the status line, and whether the answer was whole.
 fn asked(at: SocketAddr, id: u64) -> (String, bool) {
     let mut client = TcpStream::connect(at).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
-    client.write_all(asks(id, "").as_bytes()).unwrap();
+    client.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
+    client.write_all(request_text(id, "").as_bytes()).unwrap();
     let (status, _, whole) = answer(&mut BufReader::new(client));
     (status, whole)
 }
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn calls_that_are_interrupted_or_move_a_few_bytes_lose_no_request() {
+fn interrupted_and_short_system_calls_lose_no_request() {
     let faults = faults("interrupted");
-    let world = World::start_as("interrupted", suffering(&faults));
+    let world = PlatformWorld::start_as("interrupted", suffering(&faults));
     faults.set(Fault::Interrupted, 20).unwrap();
     faults.set(Fault::ShortTransfer, 10).unwrap();
     assert_eq!(served(world.at, 200), 200);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_gateway_whose_log_can_not_be_written_goes_on() {
+fn unwritable_log_does_not_stop_the_gateway() {
     let reader = ModelServer::start(true, Manner::Good).unwrap();
     let writer = ModelServer::start(false, Manner::Good).unwrap();
     let entries =
@@ -79,9 +79,9 @@
     std::fs::write(&file, config(listen, agent.address, &entries.join(","))).unwrap();
     let full = std::fs::File::options().write(true).open("/dev/full").unwrap();
     let mut child = command(&file).stderr(Stdio::from(full)).spawn().unwrap();
-    let until = Instant::now() + PATIENCE;
+    let read_log_until = Instant::now() + EVENT_TIMEOUT;
     while TcpStream::connect(listen).is_err() && child.try_wait().unwrap().is_none() {
-        assert!(Instant::now() < until, "it never listened");
+        assert!(Instant::now() < read_log_until, "it never listened");
         std::thread::sleep(Duration::from_millis(10));
     }
     let served = child.try_wait().unwrap().is_none() && served(listen, 3) == 3;
@@ -92,35 +92,35 @@
 }
 
 #[test]
-fn the_word_to_stop_is_taken_although_calls_are_interrupted() {
+fn stop_signal_survives_interrupted_system_calls() {
     let faults = faults("stop");
-    let mut world = World::start_as("stop-interrupted", suffering(&faults));
+    let mut world = PlatformWorld::start_as("stop-interrupted", suffering(&faults));
     faults.set(Fault::Interrupted, 2).unwrap();
     faults.set(Fault::ShortTransfer, 2).unwrap();
     world.signal("-HUP");
     world.signal("-HUP");
     std::thread::sleep(Duration::from_millis(50));
     world.signal("-TERM");
-    let until = Instant::now() + PATIENCE;
+    let read_log_until = Instant::now() + EVENT_TIMEOUT;
     while world.child.try_wait().unwrap().is_none() {
-        assert!(Instant::now() < until, "it did not take the word to stop");
+        assert!(Instant::now() < read_log_until, "it did not take the word to stop");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_nothing_up() {
+fn unread_log_pipe_does_not_block_the_gateway() {
     let chatty = |file: &PathBuf| {
         let mut command = command(file);
         command.args(["--log-filter", "trace"]);
         command
     };
-    let world = World::start_as("unread-log", chatty);
+    let world = PlatformWorld::start_as("unread-log", chatty);
     assert_eq!(served(world.at, 300), 300);
 }
 
 #[test]
-fn servers_are_used_once_they_are_warm_however_wrong_the_wall_clock_is_at_the_start() {
+fn slow_start_ends_despite_a_wrong_wall_clock() {
     const SECOND: i64 = 1_000_000_000;
     for ahead in [-3_600, 3_600] {
         let faults = faults("wall");
@@ -151,9 +151,9 @@
 }
 
 #[test]
-fn a_request_that_waited_while_accepts_failed_is_given_no_more_than_its_time() {
+fn failed_accepts_do_not_extend_the_client_deadline() {
     let faults = faults("accepts");
-    let (reader, writer) = (Held::start(), Held::start());
+    let (reader, writer) = (ScriptedServer::start(), ScriptedServer::start());
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
     let agent = Agent::start(&entries.join(",")).unwrap();
@@ -163,15 +163,15 @@
     faults.set(Fault::AcceptFails, 1).unwrap();
     let asked = Instant::now();
     let mut client = gateway.connect();
-    client.write_all(asks(1, "").as_bytes()).unwrap();
+    client.write_all(request_text(1, "").as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(500));
     faults.set(Fault::AcceptFails, 0).unwrap();
     let mut read = reader.accept();
     assert!(read.request().starts_with("POST"));
     read.say(READ);
     let request = writer.accept().request();
-    let told = request.split("Req-Deadline-Ms: ").nth(1).and_then(|rest| rest.split('\r').next());
-    let told: u128 = told.unwrap().parse().unwrap();
+    let exchange = request.split("Req-Deadline-Ms: ").nth(1).and_then(|rest| rest.split('\r').next());
+    let exchange: u128 = exchange.unwrap().parse().unwrap();
     let left = 4_000 - asked.elapsed().as_millis();
-    assert!(told <= left + 150, "told {told} ms of {left}");
+    assert!(exchange <= left + 150, "told {exchange} ms of {left}");
 }
