--- /dev/null
+++ b/gateway-core/tests/ingress_limits.rs
@@ -0,0 +1,24 @@
+//! Bounds on connections and bytes of unfinished requests.
+
+use petrelshore_gateway_core::ingress_limits::{IngressError, IngressLimits};
+
+#[test]
+fn connections_and_unread_bytes_are_bounded_in_all_and_for_each_address() {
+    let mut limits = IngressLimits::new(200, 1000);
+    let first = (0..200).filter(|_| limits.acquire_connection(1).is_ok()).count();
+    assert_eq!(
+        (first, limits.acquire_connection(1), limits.acquire_connection(2)),
+        (100, Err(IngressError::AddressAtCapacity), Ok(()))
+    );
+    limits.release_connection(1);
+    assert_eq!((limits.acquire_connection(1), limits.connections()), (Ok(()), 101));
+    assert_eq!(limits.acquire_bytes(1, 600, 500), Err(IngressError::TooLarge));
+    let bodies = (0..64).filter(|_| limits.acquire_bytes(1, 0, 1000).is_ok()).count();
+    assert_eq!(
+        (bodies, limits.acquire_bytes(1, 0, 1), limits.acquire_bytes(2, 0, 1000)),
+        (32, Err(IngressError::AddressAtCapacity), Ok(()))
+    );
+    (0..32).for_each(|_| limits.release_bytes(1, 1000));
+    limits.release_bytes(2, 1000);
+    assert_eq!(limits.bytes(), 0);
+}
