--- a/chat-api/src/serve.rs
+++ b/chat-api/src/serve.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request};
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::{Answer, FinalAnswer, Gateway, Next};
-use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
+use petrelshore_gateway_core::capacity::MAX_BUFFERED_ANSWER_BYTES;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_gateway_core::{FailureReason, Relay};
 use petrelshore_ingress::call::{self, Failed, Fault, Head, Wrong};
@@ -175,7 +175,7 @@
                 }
             }
         }
-        if gathered.len() > WHOLE_ANSWER {
+        if gathered.len() > MAX_BUFFERED_ANSWER_BYTES {
             break;
         }
     }
--- a/cli/src/platform.rs
+++ b/cli/src/platform.rs
@@ -117,7 +117,8 @@
     let leaving = service.shutdown_plan(longest_abandon, clients_resume);
     let at = |after: Nanos| Timer::at(service.clock().instant(told + after));
     let moving = async {
-        let Some((mut after, until)) = leaving.migrate_streams else { return };
+        let Some(window) = leaving.migrate_streams else { return };
+        let (mut after, until) = (window.start, window.end);
         info!(from_ms = after / MILLISECOND, until_ms = until / MILLISECOND, "streams will be moved");
         while after <= until {
             at(after).await;
--- a/gateway-core/src/buffered.rs
+++ b/gateway-core/src/buffered.rs
@@ -9,7 +9,6 @@
 use crate::cache_releases::{CacheRelease, CacheReleases, CacheState, ReleaseOutcome};
 use crate::cancellation_limits::CancellationLimits;
 use crate::capacity::{CapacityError, CapacityLimit, relative_priorities};
-use crate::error_response::SOON;
 use crate::fingerprint::request_fingerprint;
 use crate::idempotency::{self, CompletedRequest, IdempotencyStore, KeyStatus};
 use crate::policy::Chooser;
@@ -181,7 +180,7 @@
     pub fn new(now: Nanos, deployment: Deployment, seed: u64, most: usize, chooser: Chooser) -> Self {
         BufferedRequests {
             effects: deployment.types.iter().map(|t| t.idempotency).collect(),
-            values: relative_priorities(&deployment.types),
+            values: relative_priorities(&deployment),
             longest_retry_after: deployment.max_retry_after,
             room: CapacityLimit::new(now, most),
             replays: IdempotencyStore::default(),
@@ -198,7 +197,7 @@
     /// Takes a request, or says why not. What is taken is owed exactly one final answer.
     pub fn accept(&mut self, now: Nanos, request: Request, out: &mut Vec<Command<P>>) -> Admission {
         if self.draining {
-            return Admission::Rejected(Rejection::Draining { retry_after: SOON });
+            return Admission::Rejected(Rejection::Draining { retry_after: timeouts::DEFAULT_RETRY_AFTER });
         }
         let waits =
             request.completion_budget.unwrap_or(request.first_token_budget).min(request.first_token_budget);
@@ -215,7 +214,9 @@
             match self.replays.begin(now, key, print) {
                 KeyStatus::New => {}
                 KeyStatus::InFlight => {
-                    return Admission::Rejected(Rejection::KeyInFlight { retry_after: SOON });
+                    return Admission::Rejected(Rejection::KeyInFlight {
+                        retry_after: timeouts::DEFAULT_RETRY_AFTER,
+                    });
                 }
                 KeyStatus::DifferentRequest => return Admission::Rejected(Rejection::KeyReused),
                 KeyStatus::Completed(CompletedRequest::Answered { text, end }) => {
--- a/gateway-core/src/capacity.rs
+++ b/gateway-core/src/capacity.rs
@@ -1,115 +1,144 @@
-//! How much a gateway holds at once, and when one that is turned away should come back.
+//! How many sequences a gateway holds at once, and when a rejected client should come back.
 //!
-//! Memory is what a gateway runs out of before it notices: each held sequence keeps a prompt and two sockets. The
-//! bound is met before anything is taken, so an answer is certain and costs nothing.
+//! Memory is what a gateway runs out of before it notices: each sequence in flight keeps a prompt and two sockets.
+//! The limit is checked before a sequence is admitted, so that a rejection is certain and cheap.
 
 use petrelshore::decay::DecayingSum;
-use petrelshore::interface::{Nanos, TrafficType};
+use petrelshore::interface::{Deployment, Nanos, TrafficTypeId};
 use std::collections::BTreeMap;
+use std::error::Error;
+use std::fmt;
 
-/// Memory of how fast sequences leave: some answers long.
-const LEAVING: Nanos = 4_000_000_000;
-/// Part of the room that is kept for what is worth most.
-const RESERVE: f64 = 0.1;
-/// The shortest and longest time to come back that is told while nothing else bounds it.
-const SOONEST: Nanos = 100_000_000;
-const LATEST: Nanos = 30_000_000_000;
-/// So many a second are hoped to leave whatever was seen: two sums that fade alike have a ratio that does not.
-const HOPED: f64 = 1.0;
-/// A single client address may hold this part of the room, but never fewer than `FEW`.
-const ONE_CLIENT: f64 = 0.25;
-const FEW: usize = 64;
-
-/// Whole answers are gathered in memory up to so many bytes; no answer's most tokens come near it.
-pub const WHOLE_ANSWER: usize = 8 << 20;
-
-/// What each traffic type is worth against the highest.
-pub fn relative_priorities(types: &[TrafficType]) -> Vec<f64> {
-    let highest = types.iter().map(|t| t.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
-    types.iter().map(|t| t.priority_weight / highest).collect()
+/// Half-life of the rates of releases and rejections, in nanoseconds: some answers are long.
+const RATE_HALF_LIFE: Nanos = 4_000_000_000;
+/// Share of the capacity that is reserved for the traffic types of the highest priority.
+const PRIORITY_RESERVE_SHARE: f64 = 0.1;
+/// Bounds of Retry-After, in nanoseconds; settings may bound it more.
+const MIN_RETRY_AFTER: Nanos = 100_000_000;
+const MAX_RETRY_AFTER: Nanos = 30_000_000_000;
+/// Sequences a second that are expected to be released whatever was observed: two sums that decay alike have a ratio
+/// that does not.
+const MIN_RELEASES_PER_SECOND: f64 = 1.0;
+/// Share of the capacity that one client address may hold, but never fewer sequences than the number below.
+const MAX_CLIENT_SHARE: f64 = 0.25;
+const MIN_CLIENT_SEQUENCES: usize = 64;
+
+/// Buffered answers are collected in memory up to so many bytes; the token limit of no answer comes near it.
+pub const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
+
+/// The priority weight of each traffic type as a share of the highest.
+pub fn relative_priorities(deployment: &Deployment) -> Vec<f64> {
+    let types = (0..deployment.types.len()).map(TrafficTypeId);
+    types.map(|traffic| deployment.relative_priority(traffic)).collect()
 }
 
-/// Room for sequences in hand, counted over all fronts of the gateway.
+/// Capacity for sequences in flight, over all ingresses of the gateway.
 #[derive(Debug)]
 pub struct CapacityLimit {
-    most: usize,
-    held: usize,
-    /// Places that something else than sequences takes up.
-    also: usize,
-    by_client: BTreeMap<u64, usize>,
-    left: DecayingSum,
-    started: Nanos,
-    /// So many were turned away of late: those who come back queue behind each other.
-    turned_away: DecayingSum,
+    capacity: usize,
+    in_flight: usize,
+    /// Capacity that something else than sequences takes up.
+    otherwise_used: usize,
+    in_flight_by_client: BTreeMap<u64, usize>,
+    released: DecayingSum,
+    /// When this limit was made.
+    started_at: Nanos,
+    /// Rejections of late: clients that retry queue behind each other.
+    rejected: DecayingSum,
 }
 
-/// Why there was no room.
+/// Why a sequence was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityError {
+    /// The gateway is at capacity for this priority.
     Gateway,
+    /// The client's address holds all that one may.
     Client,
 }
 
+impl fmt::Display for CapacityError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            CapacityError::Gateway => "the gateway is at capacity",
+            CapacityError::Client => "the client has too many requests in flight",
+        })
+    }
+}
+
+impl Error for CapacityError {}
+
 impl CapacityLimit {
-    pub fn new(now: Nanos, most: usize) -> Self {
-        let empty = DecayingSum::new(LEAVING);
+    /// Capacity for `capacity` sequences, all of it free.
+    pub fn new(now: Nanos, capacity: usize) -> Self {
+        let rate = DecayingSum::new(RATE_HALF_LIFE);
         CapacityLimit {
-            most,
-            held: 0,
-            also: 0,
-            by_client: BTreeMap::new(),
-            left: empty.clone(),
-            started: now,
-            turned_away: empty,
+            capacity,
+            in_flight: 0,
+            otherwise_used: 0,
+            in_flight_by_client: BTreeMap::new(),
+            released: rate.clone(),
+            started_at: now,
+            rejected: rate,
         }
     }
 
-    /// Takes room for a sequence of such a value, 1 for the highest; `client` tells who asks.
-    pub fn acquire(&mut self, now: Nanos, client: u64, value: f64) -> Result<(), CapacityError> {
-        let open = self.most as f64 * (1.0 - RESERVE * (1.0 - value.clamp(0.0, 1.0)));
-        let own = self.by_client.get(&client).copied().unwrap_or(0);
-        let no_room = if (self.held + self.also) as f64 >= open {
-            CapacityError::Gateway
-        } else if own >= self.one_client() {
-            CapacityError::Client
-        } else {
-            self.held += 1;
-            *self.by_client.entry(client).or_insert(0) += 1;
-            return Ok(());
-        };
-        self.turned_away.add(now, 1.0);
-        Err(no_room)
+    /// Takes capacity for a sequence. `client` identifies the client's address; `priority` is that of the sequence's
+    /// traffic type, 1 for the highest.
+    pub fn acquire(&mut self, now: Nanos, client: u64, priority: f64) -> Result<(), CapacityError> {
+        let admission = self.check(client, priority);
+        match admission {
+            Ok(()) => {
+                self.in_flight += 1;
+                *self.in_flight_by_client.entry(client).or_insert(0) += 1;
+            }
+            Err(_) => self.rejected.add(now, 1.0),
+        }
+        admission
+    }
+
+    fn check(&self, client: u64, priority: f64) -> Result<(), CapacityError> {
+        let reserved_share = PRIORITY_RESERVE_SHARE * (1.0 - priority.clamp(0.0, 1.0));
+        let available = self.capacity as f64 * (1.0 - reserved_share);
+        if (self.in_flight + self.otherwise_used) as f64 >= available {
+            return Err(CapacityError::Gateway);
+        }
+        let of_client = self.in_flight_by_client.get(&client).copied().unwrap_or(0);
+        if of_client >= self.client_capacity() {
+            return Err(CapacityError::Client);
+        }
+        Ok(())
     }
 
-    /// So many places are taken up by something else now.
-    pub fn set_otherwise_used(&mut self, places: usize) {
-        self.also = places;
+    /// Sets how much of the capacity something else than sequences takes up now.
+    pub fn set_otherwise_used(&mut self, sequences: usize) {
+        self.otherwise_used = sequences;
     }
 
-    /// Gives the room of one sequence back.
+    /// Gives the capacity of one sequence back.
     pub fn release(&mut self, now: Nanos, client: u64) {
-        self.held = self.held.saturating_sub(1);
-        if let Some(own) = self.by_client.get_mut(&client) {
-            *own = own.saturating_sub(1);
-            if *own == 0 {
-                self.by_client.remove(&client);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if let Some(of_client) = self.in_flight_by_client.get_mut(&client) {
+            *of_client = of_client.saturating_sub(1);
+            if *of_client == 0 {
+                self.in_flight_by_client.remove(&client);
             }
         }
-        self.left.add(now, 1.0);
+        self.released.add(now, 1.0);
     }
 
-    /// When to come back: once as many have left as were turned away of late, within `longest`.
-    pub fn retry_after(&self, now: Nanos, longest: Option<Nanos>) -> Nanos {
-        let leaving = self.left.per_second(now, self.started) + HOPED;
-        let wait = (self.turned_away.read(now).max(1.0) / leaving * 1e9) as Nanos;
-        wait.clamp(SOONEST, longest.unwrap_or(LATEST).max(SOONEST))
+    /// Retry-After: the time in which as many sequences are released as were rejected of late, at most `max`.
+    pub fn retry_after(&self, now: Nanos, max: Option<Nanos>) -> Nanos {
+        let releases_per_second = self.released.per_second(now, self.started_at) + MIN_RELEASES_PER_SECOND;
+        let wait = (self.rejected.read(now).max(1.0) / releases_per_second * 1e9) as Nanos;
+        wait.clamp(MIN_RETRY_AFTER, max.unwrap_or(MAX_RETRY_AFTER).max(MIN_RETRY_AFTER))
     }
 
+    /// Sequences in flight.
     pub fn in_use(&self) -> usize {
-        self.held
+        self.in_flight
     }
 
-    fn one_client(&self) -> usize {
-        ((self.most as f64 * ONE_CLIENT) as usize).max(FEW)
+    fn client_capacity(&self) -> usize {
+        ((self.capacity as f64 * MAX_CLIENT_SHARE) as usize).max(MIN_CLIENT_SEQUENCES)
     }
 }
--- a/gateway-core/src/error_response.rs
+++ b/gateway-core/src/error_response.rs
@@ -7,13 +7,10 @@
 use crate::FailureReason;
 use crate::buffered::{FinalAnswer, Rejection};
 use crate::ingress_limits::IngressError;
+use crate::timeouts::DEFAULT_RETRY_AFTER;
 use petrelshore::interface::Nanos;
 use std::fmt;
 
-/// When to come back where nothing tells a better time: to a gateway that stops or that is busy reading, or with a
-/// key that is in hand.
-pub const SOON: Nanos = 1_000_000_000;
-
 /// What a client may do by itself after an answer that is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
@@ -84,7 +81,7 @@
             FinalAnswer::Completed { .. } => None,
             FinalAnswer::Rejected { retry_after, reason } => Some(ErrorResponse {
                 cause: ErrorCause::Rejected(*reason),
-                retry: Retry::After(retry_after.unwrap_or(SOON)),
+                retry: Retry::After(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
             }),
             FinalAnswer::Aborted { reason } => {
                 Some(ErrorResponse { cause: ErrorCause::Aborted(*reason), retry: Retry::Never })
@@ -118,9 +115,10 @@
     fn from(shut: IngressError) -> ErrorResponse {
         match shut {
             IngressError::TooLarge => ErrorResponse { cause: ErrorCause::TooLarge, retry: Retry::Mended },
-            IngressError::AtCapacity | IngressError::AddressAtCapacity => {
-                ErrorResponse { cause: ErrorCause::IngressAtCapacity, retry: Retry::After(SOON) }
-            }
+            IngressError::AtCapacity | IngressError::AddressAtCapacity => ErrorResponse {
+                cause: ErrorCause::IngressAtCapacity,
+                retry: Retry::After(DEFAULT_RETRY_AFTER),
+            },
         }
     }
 }
--- a/gateway-core/src/graceful_shutdown.rs
+++ b/gateway-core/src/graceful_shutdown.rs
@@ -1,106 +1,144 @@
-//! How a gateway leaves that was told to stop and will be killed after a while.
+//! How a gateway shuts down that got its stop signal and will be killed some time after it.
 //!
-//! Fronts notice late, and another gateway may not be back yet: clients go on connecting for a moment, and use the
-//! connections that they have for as long as these are open. So it goes on as before for as long as it can, then lets
-//! those go that ask nothing. Where clients ask for the rest of a broken stream, streams that would be killed are
-//! ended in time; elsewhere it takes nothing late, and they run on for as long as they can.
+//! Ingresses notice late, and another gateway may not be back yet: clients go on connecting for a moment, and use
+//! their connections for as long as these are open. So the gateway goes on accepting for as long as it can, then
+//! closes idle connections. Where clients resume broken streams elsewhere, streams that the kill would break are ended
+//! in time; otherwise new requests are rejected early and streams run on for as long as they can.
 //!
-//! Streams that are ended all together come back all together, each with a prompt to be read anew, and the readers jam.
-//! So they are ended one after the other, over as long as there is somebody who takes them up.
+//! Streams that are ended at the same moment are resumed at the same moment, each with a prompt to prefill, which
+//! overloads the prefill servers. So they are ended one after the other, for as long as another gateway can resume
+//! them.
 
 use petrelshore::decay::DecayingSum;
 use petrelshore::interface::Nanos;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// New connections may come for so long.
-const STILL_COMING: Nanos = 600 * MILLISECOND;
-/// The kill comes this long after the longest time for which a client waits, counted as `MOST` where that is longer.
-const KILL_AFTER: Nanos = 700 * MILLISECOND;
-const MOST: Nanos = 3_000 * MILLISECOND;
-/// The last stream is moved this long before it: the next gateway may be told to stop right after this one is gone,
-/// and must have time to take it up before that.
-const MOVED_BEFORE: Nanos = 1_100 * MILLISECOND;
-/// While another gateway is away too, streams are moved this late: it may be back by then.
-const MOVED_LATE_BEFORE: Nanos = 600 * MILLISECOND;
-/// Nothing more is taken this long before it, and everything is ended.
-const SHUT_BEFORE: Nanos = 900 * MILLISECOND;
-const ENDED_BEFORE: Nanos = 400 * MILLISECOND;
-/// After that, last answers arrive and readers are told what to let go of, until this long before the kill.
-const GONE_BEFORE: Nanos = 100 * MILLISECOND;
 
-/// How long another gateway is away that was restarted, about.
-const AWAY: Nanos = 3_000 * MILLISECOND;
-/// Clients of late who came for the rest of a stream, as a part of what is in hand, from which on another gateway must
-/// have ended its streams just now. Servers that break are few at a time.
-const MOVED_HERE: f64 = 0.25;
+/// New connections may still come for this long after the stop signal.
+const MIN_ACCEPT_TIME: Nanos = 600 * MILLISECOND;
+/// The kill comes so long after the longest time for which a client waits.
+const KILL_DELAY: Nanos = 700 * MILLISECOND;
+/// Where clients wait for longer than this, it counts as this.
+const MAX_COUNTED_ABANDON_TIME: Nanos = 3_000 * MILLISECOND;
+/// The last stream is migrated this long before the kill: the next gateway may get its stop signal right after this
+/// one has exited, and must have time to resume the stream before that.
+const MIGRATION_MARGIN: Nanos = 1_100 * MILLISECOND;
+/// While no other gateway is available, streams are migrated this late: one may be back by then.
+const LATE_MIGRATION_MARGIN: Nanos = 600 * MILLISECOND;
+/// This long before the kill new requests are rejected.
+const ACCEPT_MARGIN: Nanos = 900 * MILLISECOND;
+/// This long before the kill everything that still runs is ended.
+const TERMINATION_MARGIN: Nanos = 400 * MILLISECOND;
+/// Until this long before the kill final answers are sent and KV caches released.
+const EXIT_MARGIN: Nanos = 100 * MILLISECOND;
 
-/// Who has come for the rest of a stream that broke elsewhere.
+/// How long a gateway takes to restart, about.
+const RESTART_TIME: Nanos = 3_000 * MILLISECOND;
+/// Resumed streams of late, as a share of the sequences in flight, above which another gateway must have migrated its
+/// streams just now: servers that fail are few at a time.
+const MIN_RESUMED_SHARE: f64 = 0.25;
+
+/// How many streams that broke elsewhere were resumed here of late.
 pub struct ResumeRate {
     resumed: DecayingSum,
 }
 
 impl Default for ResumeRate {
     fn default() -> Self {
-        ResumeRate { resumed: DecayingSum::new(AWAY) }
+        ResumeRate { resumed: DecayingSum::new(RESTART_TIME) }
     }
 }
 
 impl ResumeRate {
+    /// Counts a client that resumes a stream here.
     pub fn record(&mut self, now: Nanos) {
         self.resumed.add(now, 1.0);
     }
 
-    /// Whether another gateway seems to have left just now, with so many sequences in hand here.
-    pub fn another_gateway_stopped(&self, now: Nanos, in_hand: usize) -> bool {
-        self.resumed.read(now) > MOVED_HERE * in_hand.max(1) as f64
+    /// Whether another gateway seems to have stopped just now, with `in_flight` sequences here.
+    pub fn another_gateway_stopped(&self, now: Nanos, in_flight: usize) -> bool {
+        self.resumed.read(now) > MIN_RESUMED_SHARE * in_flight.max(1) as f64
     }
 }
 
-/// Times from the word to stop on.
+/// Whether clients resume a stream that breaks, at another gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientResumption {
+    /// They ask for the rest of the answer.
+    Supported,
+    /// A stream that breaks is lost.
+    Unsupported,
+}
+
+/// Whether another gateway can resume the streams of this one now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PeerGateways {
+    /// One seems to run.
+    Available,
+    /// There is none, or one seems to be restarting.
+    Unavailable,
+}
+
+/// When running streams are migrated, as times from the stop signal.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MigrationWindow {
+    /// When the first may be ended.
+    pub start: Nanos,
+    /// When the last is ended.
+    pub end: Nanos,
+}
+
+/// What a gateway does when, as times from the stop signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// From when to when streams that run are ended for their clients to ask for the rest elsewhere.
-    pub migrate_streams: Option<(Nanos, Nanos)>,
-    /// Until then what comes is taken.
+    /// When running streams are ended for their clients to resume elsewhere; none where clients do not.
+    pub migrate_streams: Option<MigrationWindow>,
+    /// Until when new requests are accepted.
     pub accept_until: Nanos,
     /// When what still runs is ended; none where it runs on.
     pub terminate_at: Option<Nanos>,
-    /// When the process is to have ended, whatever is left then; none where everything runs on.
+    /// When the process has to have exited, whatever is left; none where everything runs on.
     pub exit_by: Option<Nanos>,
 }
 
-/// `alone` where no other gateway seems to be there now.
-pub fn plan_shutdown(longest_abandon: Nanos, clients_resume: bool, alone: bool) -> ShutdownPlan {
-    if !clients_resume {
+/// Plans the shutdown of a gateway whose clients wait for at most `longest_abandon_time`.
+pub fn plan_shutdown(
+    longest_abandon_time: Nanos,
+    resumption: ClientResumption,
+    peers: PeerGateways,
+) -> ShutdownPlan {
+    if resumption == ClientResumption::Unsupported {
         return ShutdownPlan {
             migrate_streams: None,
-            accept_until: STILL_COMING,
+            accept_until: MIN_ACCEPT_TIME,
             terminate_at: None,
             exit_by: None,
         };
     }
-    let kill = longest_abandon.min(MOST) + KILL_AFTER;
-    let before = |time: Nanos| kill.saturating_sub(time).max(STILL_COMING);
-    let move_streams = match alone {
-        true => (before(MOVED_BEFORE), before(MOVED_LATE_BEFORE)),
-        false => (STILL_COMING, before(MOVED_BEFORE)),
+    let kill = longest_abandon_time.min(MAX_COUNTED_ABANDON_TIME) + KILL_DELAY;
+    let before_kill = |margin: Nanos| kill.saturating_sub(margin).max(MIN_ACCEPT_TIME);
+    let (start, end) = match peers {
+        PeerGateways::Available => (MIN_ACCEPT_TIME, before_kill(MIGRATION_MARGIN)),
+        PeerGateways::Unavailable => (before_kill(MIGRATION_MARGIN), before_kill(LATE_MIGRATION_MARGIN)),
     };
     ShutdownPlan {
-        migrate_streams: Some(move_streams),
-        accept_until: before(SHUT_BEFORE),
-        terminate_at: Some(before(ENDED_BEFORE)),
-        exit_by: Some(before(GONE_BEFORE)),
+        migrate_streams: Some(MigrationWindow { start, end }),
+        accept_until: before_kill(ACCEPT_MARGIN),
+        terminate_at: Some(before_kill(TERMINATION_MARGIN)),
+        exit_by: Some(before_kill(EXIT_MARGIN)),
     }
 }
 
 impl ShutdownPlan {
-    /// How many of the streams that run are to be ended by now, where the next time to ask is `next`.
-    pub fn streams_to_migrate(&self, at: Nanos, next: Nanos, running: usize) -> usize {
+    /// How many of `running` streams to end now, at `elapsed` from the stop signal, where the next call comes at
+    /// `next_call` from it.
+    pub fn streams_to_migrate(&self, elapsed: Nanos, next_call: Nanos, running: usize) -> usize {
         match self.migrate_streams {
-            Some((from, until)) if at >= from => {
-                let left = until.saturating_sub(at).max(1);
-                let part = (next.saturating_sub(at) as f64 / left as f64).min(1.0);
-                (running as f64 * part).ceil() as usize
+            Some(MigrationWindow { start, end }) if elapsed >= start => {
+                let time_left = end.saturating_sub(elapsed).max(1);
+                let until_next_call = next_call.saturating_sub(elapsed);
+                let share = (until_next_call as f64 / time_left as f64).min(1.0);
+                (running as f64 * share).ceil() as usize
             }
             _ => 0,
         }
--- a/gateway-core/src/passthrough.rs
+++ b/gateway-core/src/passthrough.rs
@@ -9,7 +9,7 @@
 use crate::cache_leases::CacheLeases;
 use crate::cache_releases::{CacheRelease, CacheReleases, CacheState, PLACES, ReleaseOutcome};
 use crate::capacity::{CapacityLimit, relative_priorities};
-use crate::graceful_shutdown::{ResumeRate, ShutdownPlan, plan_shutdown};
+use crate::graceful_shutdown::{ClientResumption, PeerGateways, ResumeRate, ShutdownPlan, plan_shutdown};
 use crate::invariants::Violation;
 use crate::send_gate::{CurrentEndpoint, PendingSend, SendDenial, check_send};
 use crate::{Action, Counts, Dispatch, FailureReason, NewSequence, RequestManager};
@@ -91,7 +91,7 @@
             releases: CacheReleases::new(deployment.release_timeout),
             arrivals: ResumeRate::default(),
             room: CapacityLimit::new(now, most),
-            values: relative_priorities(&deployment.types),
+            values: relative_priorities(&deployment),
             longest_retry_after: deployment.max_retry_after,
             manager: RequestManager::new(now, deployment, seed),
             servers: BTreeMap::new(),
@@ -312,7 +312,10 @@
     /// How this gateway leaves that is told to stop now.
     pub fn shutdown_plan(&self, now: Nanos, longest_abandon: Nanos, clients_resume: bool) -> ShutdownPlan {
         let alone = self.gateways == 1 || self.arrivals.another_gateway_stopped(now, self.tracked());
-        plan_shutdown(longest_abandon, clients_resume, alone)
+        let peers = if alone { PeerGateways::Unavailable } else { PeerGateways::Available };
+        let resumption =
+            if clients_resume { ClientResumption::Supported } else { ClientResumption::Unsupported };
+        plan_shutdown(longest_abandon, resumption, peers)
     }
 
     /// Ends as many of the streams that run as that plan has end before `next`, for their clients to ask for the rest
--- a/grpc-api/src/exchange.rs
+++ b/grpc-api/src/exchange.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header, request::Parts};
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::{Answer, FinalAnswer, Next, Usage};
-use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
+use petrelshore_gateway_core::capacity::MAX_BUFFERED_ANSWER_BYTES;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_gateway_core::{FailureReason, Relay, timeouts};
 use petrelshore_ingress::call::{self, Fault, Wrong};
@@ -137,7 +137,7 @@
 
 async fn whole(reply: &mut Reply, mut answer: Answer, begun: v1::Begun) -> Result<(), Told> {
     let mut text = String::new();
-    while text.len() <= WHOLE_ANSWER {
+    while text.len() <= MAX_BUFFERED_ANSWER_BYTES {
         match reply.unless_gone(answer.next()).await? {
             Some(Next::Text(more)) => text.push_str(&more),
             Some(Next::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage })) => {
