--- a/gateway-core/src/client_connections/tests.rs
+++ b/gateway-core/src/client_connections/tests.rs
@@ -1,65 +1,80 @@
 use super::*;
 
+const SECOND: Nanos = 1_000 * MILLISECOND;
+
+fn admit(table: &mut ConnectionTable, now: Nanos) -> ConnectionId {
+    match table.accept(now, |_| true) {
+        Accepted { entry: Entry::Admitted(id), evicted: None } => id,
+        other => panic!("{other:?}"),
+    }
+}
+
+fn accepted(entry: Entry, evicted: Option<ConnectionId>) -> Accepted {
+    Accepted { entry, evicted }
+}
+
 #[test]
-fn a_request_that_begins_is_kept_on_a_used_connection_and_has_to_be_whole_on_a_new_one() {
-    for whole in [false, true] {
+fn started_request_protects_used_connection_but_not_new_one() {
+    for complete in [false, true] {
         let mut table = ConnectionTable::new(2);
-        let (new, used) = (admitted(&mut table, 0), admitted(&mut table, 0));
+        let (new, used) = (admit(&mut table, 0), admit(&mut table, 0));
         table.idle(0, used);
         [new, used].into_iter().for_each(|id| table.request_started(id));
-        if whole {
+        if complete {
             table.request_received(new);
         }
-        assert_eq!(table.accept(9 * SECOND, |_| true).1, (!whole).then_some(new), "{whole}");
+        assert_eq!(
+            table.accept(9 * SECOND, |_| true).evicted,
+            (!complete).then_some(new),
+            "complete: {complete}"
+        );
     }
 }
 
 #[test]
-fn a_gateway_that_leaves_may_end_what_rests_at_once_and_what_has_just_come_after_a_moment() {
+fn shutdown_closes_idle_connections_at_once_and_new_ones_later() {
     let mut table = ConnectionTable::new(2);
-    let (new, used) = (admitted(&mut table, SECOND), admitted(&mut table, SECOND));
+    let (new, used) = (admit(&mut table, SECOND), admit(&mut table, SECOND));
     table.idle(SECOND, used);
-    assert_eq!((table.keep_open_until(new), table.keep_open_until(used)), (SECOND + SILENT_LEAST, 0));
-}
-
-const SECOND: Nanos = 1_000 * MILLISECOND;
-
-fn admitted(table: &mut ConnectionTable, now: Nanos) -> ConnectionId {
-    match table.accept(now, |_| true) {
-        (Entry::Admitted(id), None) => id,
-        other => panic!("{other:?}"),
-    }
+    assert_eq!((table.keep_open_until(new), table.keep_open_until(used)), (SECOND + CROWDED_MIN_SILENCE, 0));
 }
 
 #[test]
-fn in_a_crowd_silent_ones_go_first_then_the_longest_idle_and_never_one_that_asks() {
+fn crowded_table_evicts_silent_then_longest_idle_but_never_active() {
     let mut table = ConnectionTable::new(5);
-    let ids: Vec<ConnectionId> = (0..4).map(|_| admitted(&mut table, 0)).collect();
+    let ids: Vec<ConnectionId> = (0..4).map(|_| admit(&mut table, 0)).collect();
     table.request_received(ids[0]);
     table.idle(2 * SECOND, ids[1]);
     table.idle(SECOND, ids[2]);
     assert_eq!(
         table.accept(3 * SECOND, |_| true),
-        (Entry::Admitted(ConnectionId(4)), Some(ids[3])),
+        accepted(Entry::Admitted(ConnectionId(4)), Some(ids[3])),
         "the silent one"
     );
     table.request_received(ConnectionId(4));
-    assert_eq!(table.accept(3 * SECOND, |_| true).1, Some(ids[2]), "the longest idle");
+    assert_eq!(table.accept(3 * SECOND, |_| true).evicted, Some(ids[2]), "the longest idle");
     table.request_received(ConnectionId(5));
     assert_eq!(
         table.accept(3 * SECOND, |_| true),
-        (Entry::Admitted(ConnectionId(6)), None),
+        accepted(Entry::Admitted(ConnectionId(6)), None),
         "idle for too short a time"
     );
     table.request_received(ConnectionId(6));
     table.request_received(ids[1]);
-    assert_eq!(table.accept(9 * SECOND, |_| true), (Entry::Full, None), "all ask");
+    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Full, None), "all are active");
     table.closed(ids[1]);
-    assert_eq!(table.accept(9 * SECOND, |_| true), (Entry::Admitted(ConnectionId(7)), None));
-    assert_eq!(table.accept(9 * SECOND, |_| true), (Entry::Soon, None), "the silent one has only come");
-    let (entry, leaves) = table.accept(9 * SECOND + FULL_LEAST, |_| true);
-    assert_eq!((entry, leaves), (Entry::Admitted(ConnectionId(8)), Some(ConnectionId(7))));
+    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Admitted(ConnectionId(7)), None));
+    assert_eq!(
+        table.accept(9 * SECOND, |_| true),
+        accepted(Entry::RetrySoon, None),
+        "the silent one has only just connected"
+    );
+    let later = 9 * SECOND + FULL_MIN_SILENCE;
+    assert_eq!(
+        table.accept(later, |_| true),
+        accepted(Entry::Admitted(ConnectionId(8)), Some(ConnectionId(7)))
+    );
     table.closed(ConnectionId(8));
-    assert_eq!(table.accept(9 * SECOND, |_| true), (Entry::Admitted(ConnectionId(9)), None));
-    assert_eq!((table.len(), table.keep_open_until(ConnectionId(9))), (5, 9 * SECOND + SILENT_LEAST));
+    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Admitted(ConnectionId(9)), None));
+    assert_eq!((table.len(), table.keep_open_until(ConnectionId(9))), (5, 9 * SECOND + CROWDED_MIN_SILENCE));
 }
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -6,7 +6,9 @@
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
-use petrelshore_gateway_core::client_connections::{ConnectionId, ConnectionTable, Entry, FULL_LEAST};
+use petrelshore_gateway_core::client_connections::{
+    Accepted, ConnectionId, ConnectionTable, Entry, FULL_MIN_SILENCE,
+};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
 use petrelshore_http1::wire::{Peer, Wire};
 use petrelshore_ingress::listener::{AcceptedClient, BodyReservation, Listener};
@@ -104,9 +106,9 @@
     async fn enter(&self, listener: &Listener, accepted: AcceptedClient) {
         let AcceptedClient { stream, backlogged_since, .. } = accepted;
         let mut entry = self.ask_in();
-        if entry == Entry::Soon {
+        if entry == Entry::RetrySoon {
             listener.mark_backlog();
-            Timer::after(Duration::from_nanos(FULL_LEAST)).await;
+            Timer::after(Duration::from_nanos(FULL_MIN_SILENCE)).await;
             entry = self.ask_in();
         }
         let (spawner, clients) = (self.0.service.spawner().clone(), self.clone());
@@ -159,8 +161,9 @@
     /// Asks for a place, and closes whom that takes it from.
     fn ask_in(&self) -> Entry {
         let now = self.0.service.clock().now();
-        let (entry, leaves) = self.0.connection_table.borrow_mut().accept(now, |id| self.rests(id));
-        leaves.into_iter().for_each(|leaves| self.evict(leaves));
+        let Accepted { entry, evicted } =
+            self.0.connection_table.borrow_mut().accept(now, |id| self.rests(id));
+        evicted.into_iter().for_each(|evicted| self.evict(evicted));
         entry
     }
 
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
 use petrelshore::interface::Nanos;
-use petrelshore_gateway_core::client_connections::{BODY_WITHIN, ConnectionId, HEAD_WITHIN};
+use petrelshore_gateway_core::client_connections::{BODY_TIMEOUT, ConnectionId, HEAD_TIMEOUT};
 use petrelshore_gateway_core::ingress_limits::IngressError;
 use petrelshore_gateway_core::passthrough::{FinalAnswer, Rejection};
 use petrelshore_http1::Unreadable;
@@ -143,7 +143,7 @@
     if !wire.buffer.is_empty() {
         return if wire.peer().has_left() { Err(Close::ByClient) } else { Ok(()) };
     }
-    let within = Duration::from_nanos(clients.connection_table().borrow().idle_deadline(connection));
+    let within = Duration::from_nanos(clients.connection_table().borrow().idle_timeout(connection));
     let late = async {
         Timer::after(within).await;
         Err(Close::Idle)
@@ -161,7 +161,7 @@
 
 async fn head(clients: &Clients, began: Nanos, wire: &mut Wire) -> Came {
     let late = async {
-        Timer::at(clients.service().clock().instant(began + HEAD_WITHIN)).await;
+        Timer::at(clients.service().clock().instant(began + HEAD_TIMEOUT)).await;
         Came::Turned(Turned::new(408, "the head was not whole in time"))
     };
     let whole = async {
@@ -200,7 +200,7 @@
         _ => return turned(404, "there is nothing here"),
     }
     let late = async {
-        Timer::at(clients.service().clock().instant(since.began + BODY_WITHIN)).await;
+        Timer::at(clients.service().clock().instant(since.began + BODY_TIMEOUT)).await;
         turned(408, "the body was not whole in time")
     };
     let (body, mut room) = future::or(body(clients, connection, head, wire), late).await?;
