--- a/engine-client/src/pool.rs
+++ b/engine-client/src/pool.rs
@@ -37,7 +37,8 @@
 
     /// A connection that was used before and is open as far as can be told, and how long it was idle.
     pub fn pooled(&self, to: SocketAddr) -> Option<(Sender, Nanos)> {
-        self.idle.borrow_mut().check_out(self.now(), to, Sender::is_ready)
+        let pooled = self.idle.borrow_mut().check_out(self.now(), to, Sender::is_ready)?;
+        Some((pooled.connection, pooled.idle_for))
     }
 
     /// An answer has come on a pooled connection.
--- a/gateway-core/src/buffered.rs
+++ b/gateway-core/src/buffered.rs
@@ -7,10 +7,10 @@
 
 use crate::attempt_outcome::AttemptEnd;
 use crate::cache_releases::{CacheRelease, CacheReleases, CacheState, ReleaseOutcome};
-use crate::cancellation_limits::CancellationLimits;
+use crate::cancellation_limits::{CancellationLimits, ClientId, TooManyCancelled};
 use crate::capacity::{CapacityError, CapacityLimit, relative_priorities};
 use crate::fingerprint::request_fingerprint;
-use crate::idempotency::{self, CompletedRequest, IdempotencyStore, KeyStatus};
+use crate::idempotency::{self, CompletedRequest, IdempotencyKey, IdempotencyStore, KeyStatus};
 use crate::policy::Chooser;
 use crate::token_estimate::PromptEstimate;
 use crate::{Action, Counts, Dispatch, FailureReason, NewSequence, Relay, RequestManager, timeouts};
@@ -204,7 +204,8 @@
         if !timeouts::has_time_left(now, request.arrived_at, waits) {
             return Admission::Rejected(Rejection::DeadlineTooShort);
         }
-        if let Err(retry_after) = self.withdrawals.check(now, (request.client, request.tenant)) {
+        let client = ClientId { address: request.client, tenant: request.tenant };
+        if let Err(TooManyCancelled { retry_after }) = self.withdrawals.check(now, client) {
             return Admission::Rejected(Rejection::TooManyCancelled { retry_after });
         }
         let id = SequenceId(self.last_id.wrapping_add(1));
@@ -299,7 +300,8 @@
             let fetched = dispatch.prefill_server.and_then(|reader| ticket.held_at(reader));
             fetched.into_iter().for_each(|at| drop(ticket.states.remove(at)));
             if !std::mem::replace(&mut ticket.began, true) {
-                self.withdrawals.first_token(now, (ticket.request.client, ticket.request.tenant));
+                let client = ClientId { address: ticket.request.client, tenant: ticket.request.tenant };
+                self.withdrawals.first_token(now, client);
             }
         }
         self.release(now, dispatch.id, out);
@@ -378,8 +380,9 @@
         if let Some(ticket) = self.tickets.get_mut(&id) {
             ticket.left = true;
             if !over && !ticket.began && !ticket.answered {
-                let Request { client, tenant, arrived_at: arrived, .. } = ticket.request;
-                self.withdrawals.cancelled(now, (client, tenant), now.saturating_sub(arrived));
+                let Request { client: address, tenant, arrived_at: arrived, .. } = ticket.request;
+                let client = ClientId { address, tenant };
+                self.withdrawals.cancelled(now, client, now.saturating_sub(arrived));
             }
         }
         if !over {
@@ -546,7 +549,7 @@
         if let (Some(key), Some(text)) = (key_of(&ticket.request), &ticket.gathered) {
             let window = match self.effects[ticket.request.traffic.0] {
                 Idempotency::Keyed { window, .. } => window,
-                _ => idempotency::WINDOW,
+                _ => idempotency::DEFAULT_WINDOW,
             };
             match &last {
                 FinalAnswer::Rejected { .. } => self.replays.remove(&key),
@@ -579,18 +582,18 @@
             // Its client left before any final answer: what may have run must not run again by its key.
             if ticket.may_have_run && !ticket.answered {
                 let end = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
-                self.replays.complete(now, &key, "", end, idempotency::WINDOW);
+                self.replays.complete(now, &key, "", end, idempotency::DEFAULT_WINDOW);
             }
             self.replays.remove(&key);
         }
     }
 }
 
-fn key_of(request: &Request) -> Option<idempotency::Key> {
+fn key_of(request: &Request) -> Option<IdempotencyKey> {
     let key = request.idempotency_key.as_ref()?;
     // A tenant's number names it as well as its name would, within one gateway's run.
     let tenant = request.tenant.map_or(String::new(), |TenantId(tenant)| tenant.to_string());
-    Some((tenant, key.to_string()))
+    Some(IdempotencyKey { tenant, key: key.to_string() })
 }
 
 /// Names an attempt at the model servers, over all gateways and runs.
--- a/gateway-core/src/idempotency.rs
+++ b/gateway-core/src/idempotency.rs
@@ -1,142 +1,172 @@
-//! Final answers by idempotency key: a client that repeats a request gets the answer its first one got.
+//! Final answers by idempotency key: a client that repeats a request gets the answer that its first one got.
 //!
-//! Rule 2 as a client sees it: work that may have run is not run again because its answer got lost on the way.
-//! While a request is in hand, a repeat waits outside. After a generated or aborted end a repeat within the window
-//! gets that same end; an abort is repeated as an abort, since what it ran is not known. After a rejection nothing
-//! has run, and a repeat is a new request. The same key with another request is a client's mistake and says so.
+//! This is rule 2 as a client sees it: work that may have run is not run again because its answer got lost on the way.
+//! While the first request is in flight, a repeat is rejected. Once it was completed or aborted, a repeat within the
+//! window gets that same answer; an abort is repeated as an abort, since what ran is not known. After a rejection
+//! nothing has run, and a repeat is a new request. The same key with another request is an error of the client.
 
 use petrelshore::interface::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Ends are kept for this long where no traffic type says more; a tokened type's own window comes first.
-pub const WINDOW: Nanos = 60_000_000_000;
-/// Bytes of text kept for all keys together, and for a single answer.
-const BYTES: usize = 32 << 20;
-const ONE: usize = 1 << 20;
-/// Keys kept, whatever their texts.
-const KEYS: usize = 100_000;
-
-/// Whose key it is, and the key.
-pub type Key = (String, String);
+/// How long answers are kept where the traffic type has no window of its own, in nanoseconds.
+pub const DEFAULT_WINDOW: Nanos = 60_000_000_000;
+/// Bytes of text kept for all keys together.
+const MAX_TEXT_BYTES: usize = 32 << 20;
+/// Bytes of text kept for one key.
+const MAX_TEXT_BYTES_PER_KEY: usize = 1 << 20;
+/// Completed keys that are kept, whatever their texts.
+const MAX_KEYS: usize = 100_000;
+
+/// An idempotency key, which belongs to a tenant.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdempotencyKey {
+    /// The tenant, by a name that no other has.
+    pub tenant: String,
+    /// The key that the tenant chose.
+    pub key: String,
+}
 
-/// How a request with a key ended. `E` is the front's final answer.
+/// How a request with a key ended. `E` is the final answer of the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CompletedRequest<E> {
-    /// With its whole text.
-    Answered { text: Rc<str>, end: E },
-    /// It ended so, but its text was too large to keep: it can't be told again, and must not run again.
+    /// Its answer is kept.
+    Answered {
+        /// All text of the answer.
+        text: Rc<str>,
+        /// The final answer.
+        end: E,
+    },
+    /// Its text was too large to keep: the answer can't be repeated, and the request must not run again.
     TooLarge,
 }
 
-/// What to do with a request that has a key.
+/// What is known of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus<E> {
-    /// It is new, and now in hand.
+    /// Nothing; its request is in flight from now on.
     New,
-    /// Its first one is still running.
+    /// Its first request is still in flight.
     InFlight,
-    /// Its first one ended so.
+    /// Its first request has ended.
     Completed(CompletedRequest<E>),
-    /// The key stands for another request.
+    /// The key belongs to another request.
     DifferentRequest,
 }
 
+struct CompletedEntry<E> {
+    fingerprint: u64,
+    expires_at: Nanos,
+    text_bytes: usize,
+    request: CompletedRequest<E>,
+}
+
 enum Entry<E> {
-    InHand { fingerprint: u64 },
-    Ended { fingerprint: u64, until: Nanos, bytes: usize, ended: CompletedRequest<E> },
+    InFlight { fingerprint: u64 },
+    Completed(CompletedEntry<E>),
+}
+
+impl<E> Entry<E> {
+    fn fingerprint(&self) -> u64 {
+        match self {
+            Entry::InFlight { fingerprint } => *fingerprint,
+            Entry::Completed(completed) => completed.fingerprint,
+        }
+    }
 }
 
+/// Requests in flight and completed ones, by their idempotency keys.
 pub struct IdempotencyStore<E> {
-    entries: BTreeMap<Key, Entry<E>>,
-    /// Ended keys, the oldest first.
-    order: VecDeque<(Nanos, Key)>,
-    bytes: usize,
+    entries: BTreeMap<IdempotencyKey, Entry<E>>,
+    /// When completed keys expire, in the order of their completion.
+    completed: VecDeque<(Nanos, IdempotencyKey)>,
+    text_bytes: usize,
 }
 
 impl<E: Clone> Default for IdempotencyStore<E> {
     fn default() -> Self {
-        IdempotencyStore { entries: BTreeMap::new(), order: VecDeque::new(), bytes: 0 }
+        IdempotencyStore { entries: BTreeMap::new(), completed: VecDeque::new(), text_bytes: 0 }
     }
 }
 
 impl<E: Clone> IdempotencyStore<E> {
-    /// A request with a key has come; `fingerprint` tells requests apart.
-    pub fn begin(&mut self, now: Nanos, key: &Key, fingerprint: u64) -> KeyStatus<E> {
-        self.age(now);
+    /// A request with a key has come; `fingerprint` identifies what it asks for.
+    pub fn begin(&mut self, now: Nanos, key: &IdempotencyKey, fingerprint: u64) -> KeyStatus<E> {
+        self.drop_expired(now);
         match self.entries.get(key) {
-            Some(Entry::InHand { fingerprint: first } | Entry::Ended { fingerprint: first, .. })
-                if *first != fingerprint =>
-            {
-                KeyStatus::DifferentRequest
-            }
-            Some(Entry::InHand { .. }) => KeyStatus::InFlight,
-            Some(Entry::Ended { ended, .. }) => KeyStatus::Completed(ended.clone()),
             None => {
-                self.entries.insert(key.clone(), Entry::InHand { fingerprint });
+                self.entries.insert(key.clone(), Entry::InFlight { fingerprint });
                 KeyStatus::New
             }
+            Some(entry) if entry.fingerprint() != fingerprint => KeyStatus::DifferentRequest,
+            Some(Entry::InFlight { .. }) => KeyStatus::InFlight,
+            Some(Entry::Completed(completed)) => KeyStatus::Completed(completed.request.clone()),
         }
     }
 
-    /// A request with a key ended with nothing run, or was never taken: the key is free again.
-    pub fn remove(&mut self, key: &Key) {
-        if matches!(self.entries.get(key), Some(Entry::InHand { .. })) {
+    /// A request in flight ended without having run, or was never admitted: its key is free again.
+    pub fn remove(&mut self, key: &IdempotencyKey) {
+        if matches!(self.entries.get(key), Some(Entry::InFlight { .. })) {
             self.entries.remove(key);
         }
     }
 
-    /// A request with a key has ended, and something may have run. It is known for `window`.
-    pub fn complete(&mut self, now: Nanos, key: &Key, text: &str, end: E, window: Nanos) {
-        let Some(Entry::InHand { fingerprint }) = self.entries.get(key) else { return };
+    /// A request in flight has ended, and may have run. Its answer is kept for `window`.
+    pub fn complete(&mut self, now: Nanos, key: &IdempotencyKey, text: &str, end: E, window: Nanos) {
+        let Some(Entry::InFlight { fingerprint }) = self.entries.get(key) else { return };
         let fingerprint = *fingerprint;
-        let (bytes, ended) = match text.len() <= ONE {
-            true => (text.len(), CompletedRequest::Answered { text: Rc::from(text), end }),
-            false => (0, CompletedRequest::TooLarge),
+        let (text_bytes, request) = if text.len() <= MAX_TEXT_BYTES_PER_KEY {
+            (text.len(), CompletedRequest::Answered { text: Rc::from(text), end })
+        } else {
+            (0, CompletedRequest::TooLarge)
         };
-        let until = now.saturating_add(window);
-        self.bytes += bytes;
-        self.entries.insert(key.clone(), Entry::Ended { fingerprint, until, bytes, ended });
-        self.order.push_back((until, key.clone()));
-        self.bound();
+        let expires_at = now.saturating_add(window);
+        let entry = CompletedEntry { fingerprint, expires_at, text_bytes, request };
+        self.text_bytes += text_bytes;
+        self.entries.insert(key.clone(), Entry::Completed(entry));
+        self.completed.push_back((expires_at, key.clone()));
+        self.enforce_limits();
     }
 
+    /// Bytes of text that are kept.
     pub fn bytes(&self) -> usize {
-        self.bytes
+        self.text_bytes
     }
 
+    /// Keys that are known.
     pub fn keys(&self) -> usize {
         self.entries.len()
     }
 
-    /// Drops what is past its window. Windows differ, so the oldest may outlive one behind it for a while.
-    fn age(&mut self, now: Nanos) {
-        while self.order.front().is_some_and(|(until, _)| *until <= now) {
-            self.drop_first();
+    /// Drops expired keys. Windows differ, so that the oldest may hold up an expired one behind it for a while.
+    fn drop_expired(&mut self, now: Nanos) {
+        while self.completed.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
+            self.drop_oldest();
         }
     }
 
-    /// Past its memory it forgets texts, the oldest first, before it forgets that a key has run.
-    fn bound(&mut self) {
-        let mut at = 0;
-        while self.bytes > BYTES && at < self.order.len() {
-            if let Some(Entry::Ended { bytes, ended, .. }) = self.entries.get_mut(&self.order[at].1) {
-                self.bytes -= std::mem::take(bytes);
-                *ended = CompletedRequest::TooLarge;
+    /// Past the memory limit texts are dropped, the oldest first; that their keys have run is remembered for longer.
+    fn enforce_limits(&mut self) {
+        for (_, key) in &self.completed {
+            if self.text_bytes <= MAX_TEXT_BYTES {
+                break;
+            }
+            if let Some(Entry::Completed(completed)) = self.entries.get_mut(key) {
+                self.text_bytes -= std::mem::take(&mut completed.text_bytes);
+                completed.request = CompletedRequest::TooLarge;
             }
-            at += 1;
         }
-        while self.order.len() > KEYS {
-            self.drop_first();
+        while self.completed.len() > MAX_KEYS {
+            self.drop_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
-        let Some((until, key)) = self.order.pop_front() else { return };
-        if let Some(Entry::Ended { until: same, bytes, .. }) = self.entries.get(&key)
-            && *same == until
+    fn drop_oldest(&mut self) {
+        let Some((expires_at, key)) = self.completed.pop_front() else { return };
+        if let Some(Entry::Completed(completed)) = self.entries.get(&key)
+            && completed.expires_at == expires_at
         {
-            self.bytes -= bytes;
+            self.text_bytes -= completed.text_bytes;
             self.entries.remove(&key);
         }
     }
--- a/gateway-core/tests/cancellation_limits.rs
+++ b/gateway-core/tests/cancellation_limits.rs
@@ -1,53 +1,58 @@
 //! Limits on requests that clients cancel before their first token.
 
-use petrelshore_gateway_core::cancellation_limits::CancellationLimits;
+use petrelshore::interface::TenantId;
+use petrelshore_gateway_core::cancellation_limits::{CancellationLimits, ClientId};
 
-const MS: u64 = 1_000_000;
-const S: u64 = 1_000 * MS;
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
+
+fn client(address: u64) -> ClientId {
+    ClientId { address, tenant: None }
+}
 
 #[test]
-fn a_client_that_asks_and_withdraws_runs_out_of_credit_and_gets_it_back() {
-    let mut withdrawals = CancellationLimits::default();
-    let (flood, other) = ((1, None), (1, Some(petrelshore::interface::TenantId(0))));
-    let mut taken = 0;
+fn client_that_cancels_all_uses_up_its_credit_and_regains_it() {
+    let mut limits = CancellationLimits::default();
+    let (flood, other) = (client(1), ClientId { address: 1, tenant: Some(TenantId(0)) });
+    let mut admitted = 0;
     // A thousand streams a second, each opened and cancelled, for ten seconds.
     for event in 0..10_000 {
-        let now = S + event * MS;
-        if withdrawals.check(now, flood).is_ok() {
-            taken += 1;
-            withdrawals.cancelled(now, flood, MS / 2);
+        let now = SECOND + event * MILLISECOND;
+        if limits.check(now, flood).is_ok() {
+            admitted += 1;
+            limits.cancelled(now, flood, MILLISECOND / 2);
         }
-        assert_eq!(withdrawals.check(now, other), Ok(()), "another tenant of that address pays for it");
+        assert_eq!(limits.check(now, other), Ok(()), "another tenant of that address pays for it");
     }
-    // 32 at once, and what fades of them in ten seconds.
-    assert!((32..=32 + 10 * 5).contains(&taken), "{taken}");
-    let now = 11 * S;
-    let wait = withdrawals.check(now, flood).expect_err("the credit is used up");
-    assert!(wait > 0 && withdrawals.check(now + wait, flood).is_ok(), "the time told is not true: {wait}");
-    assert!(withdrawals.check(now + wait / 2, flood).is_err() || wait < 2);
+    // 32 at once, and what decays of them in ten seconds.
+    assert!((32..=32 + 10 * 5).contains(&admitted), "{admitted}");
+    let now = 11 * SECOND;
+    let wait = limits.check(now, flood).expect_err("the credit is used up").retry_after;
+    assert!(wait > 0 && limits.check(now + wait, flood).is_ok(), "Retry-After is wrong: {wait}");
+    assert!(limits.check(now + wait / 2, flood).is_err() || wait < 2);
 }
 
 #[test]
-fn clients_that_leave_now_and_then_or_after_long_are_never_refused() {
-    let mut withdrawals = CancellationLimits::default();
-    let (some, slow) = ((1, None), (2, None));
+fn occasional_or_late_cancellations_are_never_rejected() {
+    let mut limits = CancellationLimits::default();
+    let (occasional, late) = (client(1), client(2));
     for event in 0..20_000 {
-        let now = S + event * MS;
-        assert_eq!((withdrawals.check(now, some), withdrawals.check(now, slow)), (Ok(()), Ok(())));
-        // A third of one's leave at once; all of the other's wait two seconds in vain.
+        let now = SECOND + event * MILLISECOND;
+        assert_eq!((limits.check(now, occasional), limits.check(now, late)), (Ok(()), Ok(())));
+        // One cancels a third of its requests at once; the other cancels all after two seconds in vain.
         match event % 3 {
-            0 => withdrawals.cancelled(now, some, 50 * MS),
-            _ => withdrawals.first_token(now, some),
+            0 => limits.cancelled(now, occasional, 50 * MILLISECOND),
+            _ => limits.first_token(now, occasional),
         }
-        withdrawals.cancelled(now, slow, 2 * S);
+        limits.cancelled(now, late, 2 * SECOND);
     }
 }
 
 #[test]
-fn withdrawals_remember_a_bounded_number_of_clients_and_the_worst_of_them() {
-    let mut withdrawals = CancellationLimits::default();
-    (0..100).for_each(|_| withdrawals.cancelled(S, (7, None), MS));
-    (100..20_000).for_each(|client| withdrawals.cancelled(S, (client, None), MS));
-    assert!(withdrawals.remembered() <= 4_096, "{}", withdrawals.remembered());
-    assert!(withdrawals.check(S, (7, None)).is_err(), "the worst was forgotten");
+fn tracked_clients_are_bounded_and_the_worst_is_kept() {
+    let mut limits = CancellationLimits::default();
+    (0..100).for_each(|_| limits.cancelled(SECOND, client(7), MILLISECOND));
+    (100..20_000).for_each(|address| limits.cancelled(SECOND, client(address), MILLISECOND));
+    assert!(limits.tracked_clients() <= 4_096, "{}", limits.tracked_clients());
+    assert!(limits.check(SECOND, client(7)).is_err(), "the worst was dropped");
 }
--- a/gateway-core/tests/idempotency.rs
+++ b/gateway-core/tests/idempotency.rs
@@ -1,48 +1,51 @@
 //! Replays of completed requests by idempotency key.
 
-use petrelshore_gateway_core::idempotency::{CompletedRequest, IdempotencyStore, KeyStatus};
+use petrelshore_gateway_core::idempotency::{CompletedRequest, IdempotencyKey, IdempotencyStore, KeyStatus};
 
-const MS: u64 = 1_000_000;
-const S: u64 = 1_000 * MS;
+const SECOND: u64 = 1_000_000_000;
+
+fn key_of(tenant: &str, key: &str) -> IdempotencyKey {
+    IdempotencyKey { tenant: tenant.to_owned(), key: key.to_owned() }
+}
 
 #[test]
-fn a_repeat_gets_the_end_that_its_first_one_got_and_nothing_runs_twice() {
-    let key = ("riders".to_owned(), "k".to_owned());
-    let mut replays: IdempotencyStore<&str> = IdempotencyStore::default();
-    assert_eq!(replays.begin(0, &key, 1), KeyStatus::New);
+fn repeat_gets_the_first_answer_and_nothing_runs_twice() {
+    let key = key_of("riders", "k");
+    let mut store: IdempotencyStore<&str> = IdempotencyStore::default();
+    assert_eq!(store.begin(0, &key, 1), KeyStatus::New);
     assert_eq!(
-        (replays.begin(0, &key, 1), replays.begin(0, &key, 2)),
+        (store.begin(0, &key, 1), store.begin(0, &key, 2)),
         (KeyStatus::InFlight, KeyStatus::DifferentRequest)
     );
-    replays.complete(S, &key, "text", "generated", 10 * S);
-    let again = KeyStatus::Completed(CompletedRequest::Answered { text: "text".into(), end: "generated" });
+    store.complete(SECOND, &key, "text", "generated", 10 * SECOND);
+    let replay = KeyStatus::Completed(CompletedRequest::Answered { text: "text".into(), end: "generated" });
     assert_eq!(
-        (replays.begin(10 * S, &key, 1), replays.begin(10 * S, &key, 2)),
-        (again, KeyStatus::DifferentRequest)
+        (store.begin(10 * SECOND, &key, 1), store.begin(10 * SECOND, &key, 2)),
+        (replay, KeyStatus::DifferentRequest)
     );
-    assert_eq!((replays.begin(12 * S, &key, 1), replays.bytes()), (KeyStatus::New, 0));
-    replays.remove(&key);
-    assert_eq!((replays.begin(12 * S, &key, 3), replays.keys()), (KeyStatus::New, 1));
-    let other = ("workshops".to_owned(), "k".to_owned());
-    assert_eq!(replays.begin(12 * S, &other, 9), KeyStatus::New, "tenants can't meet in a key");
+    assert_eq!((store.begin(12 * SECOND, &key, 1), store.bytes()), (KeyStatus::New, 0));
+    store.remove(&key);
+    assert_eq!((store.begin(12 * SECOND, &key, 3), store.keys()), (KeyStatus::New, 1));
+    let other = key_of("workshops", "k");
+    assert_eq!(store.begin(12 * SECOND, &other, 9), KeyStatus::New, "tenants can't share a key");
 }
 
 #[test]
-fn kept_texts_are_bounded_and_a_key_is_remembered_longer_than_its_text() {
-    let mut replays: IdempotencyStore<u8> = IdempotencyStore::default();
+fn texts_are_bounded_and_keys_outlive_them() {
+    let mut store: IdempotencyStore<u8> = IdempotencyStore::default();
     let text = "x".repeat(1 << 20);
-    let key = |number: u64| ("t".to_owned(), number.to_string());
+    let key = |number: u64| key_of("t", &number.to_string());
     for number in 0..100 {
-        assert_eq!(replays.begin(number, &key(number), 1), KeyStatus::New);
-        replays.complete(number, &key(number), &text, 7, 100 * S);
-        assert!(replays.bytes() <= 32 << 20);
+        assert_eq!(store.begin(number, &key(number), 1), KeyStatus::New);
+        store.complete(number, &key(number), &text, 7, 100 * SECOND);
+        assert!(store.bytes() <= 32 << 20);
     }
-    assert_eq!(replays.begin(S, &key(0), 1), KeyStatus::Completed(CompletedRequest::TooLarge));
+    assert_eq!(store.begin(SECOND, &key(0), 1), KeyStatus::Completed(CompletedRequest::TooLarge));
     assert!(matches!(
-        replays.begin(S, &key(99), 1),
+        store.begin(SECOND, &key(99), 1),
         KeyStatus::Completed(CompletedRequest::Answered { end: 7, .. })
     ));
-    replays.begin(S, &key(500), 1);
-    replays.complete(S, &key(500), &"y".repeat((1 << 20) + 1), 7, S);
-    assert_eq!(replays.begin(S, &key(500), 1), KeyStatus::Completed(CompletedRequest::TooLarge));
+    store.begin(SECOND, &key(500), 1);
+    store.complete(SECOND, &key(500), &"y".repeat((1 << 20) + 1), 7, SECOND);
+    assert_eq!(store.begin(SECOND, &key(500), 1), KeyStatus::Completed(CompletedRequest::TooLarge));
 }
--- a/gateway-core/tests/passthrough.rs
+++ b/gateway-core/tests/passthrough.rs
@@ -6,7 +6,7 @@
 use petrelshore::interface::*;
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::cache_releases::CacheRelease;
-use petrelshore_gateway_core::connection_pool::ConnectionPool;
+use petrelshore_gateway_core::connection_pool::{ConnectionPool, PooledConnection};
 use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests, Rejection};
 use petrelshore_gateway_core::send_gate::{PendingSend, SendDenial};
 use petrelshore_gateway_core::{Action, Dispatch, FailureReason, NewSequence, Relay, RequestManager};
@@ -229,7 +229,7 @@
     assert_eq!(idle.idle(), 3, "no more than so many");
     assert!(idle.close_oldest_idle());
     assert_eq!((idle.check_out(4 * S, 1, |_| true), idle.idle()), (None, 2), "the first had waited longest");
-    assert_eq!(idle.check_out(6 * S, 2, |_| true), Some((2, 4 * S)));
+    assert_eq!(idle.check_out(6 * S, 2, |_| true), Some(PooledConnection { connection: 2, idle_for: 4 * S }));
     assert_eq!(idle.check_out(7 * S + 1, 3, |_| true), None, "its server may be about to close it");
     assert!(!idle.close_oldest_idle());
 }
--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -350,7 +350,9 @@
 
 impl Shared {
     fn pooled(&self, to: SocketAddr) -> Option<(PooledConnection, Nanos)> {
-        self.idle.borrow_mut().check_out(self.clock.now(), to, |connection| connection.wire.quiet())
+        let quiet = |connection: &PooledConnection| connection.wire.quiet();
+        let pooled = self.idle.borrow_mut().check_out(self.clock.now(), to, quiet)?;
+        Some((pooled.connection, pooled.idle_for))
     }
 
     /// A new connection. Where all permits are taken, the one that was idle for longest makes room; where none was, that
