--- a/chat-api/src/reply.rs
+++ b/chat-api/src/reply.rs
@@ -95,7 +95,14 @@
             Fault::NoSuchMethod => (405, None),
         };
         let kind = if status == 401 { "authentication_error" } else { "invalid_request_error" };
-        Error { status, kind, code, param: wrong.field, message: wrong.message, retry: Retry::Mended }
+        Error {
+            status,
+            kind,
+            code,
+            param: wrong.field,
+            message: wrong.message,
+            retry: Retry::AfterCorrection,
+        }
     }
 }
 
--- a/gateway-core/src/error_response.rs
+++ b/gateway-core/src/error_response.rs
@@ -1,51 +1,57 @@
-//! What a client is told of a request that was not answered, and what it may do by itself then.
+//! The error that a client gets in place of an answer, and whether it may retry by itself then.
 //!
-//! Every front words these in its own protocol; which of them may be tried again is decided here, once for all. A
-//! retry is called harmless only where nothing ran. An abort promises nothing, and no front may word it as something
-//! that clients send again by themselves.
+//! Every API words these errors in its own protocol; which of them may be retried is decided here, once for all. A
+//! retry is called harmless only where nothing ran. An abort promises nothing, and no API may word it as an error that
+//! clients retry by themselves.
 
 use crate::FailureReason;
 use crate::buffered::{FinalAnswer, Rejection};
 use crate::ingress_limits::IngressError;
 use crate::timeouts::DEFAULT_RETRY_AFTER;
 use petrelshore::interface::Nanos;
+use std::error::Error;
 use std::fmt;
 
-/// What a client may do by itself after an answer that is none.
+/// Whether a client may retry by itself after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// Nothing ran: coming again is harmless, after this time.
+    /// Nothing ran: a retry is harmless, after this time.
     After(Nanos),
-    /// Nothing ran, but the same request would fail again.
-    Mended,
-    /// The work may have run.
+    /// Nothing ran, but the request has to be corrected first: it would fail again as it is.
+    AfterCorrection,
+    /// Not by itself: the work may have run.
     Never,
 }
 
 /// Why a request was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCause {
+    /// It was admitted, and given up before anything ran.
     Rejected(FailureReason),
+    /// It was given up after something may have run.
     Aborted(FailureReason),
-    /// The gateway holds all that it may.
+    /// The gateway has as many requests in flight as it may.
     GatewayAtCapacity,
-    /// This client holds all that one may.
+    /// This client has as many requests in flight as one may.
     ClientAtCapacity,
-    /// This client withdraws what it asks before it is answered.
+    /// This client cancels too many requests before their answer.
     TooManyCancelled,
-    /// Too many bodies of requests are being read.
+    /// The bodies of too many requests are being received.
     IngressAtCapacity,
+    /// The gateway is shutting down.
     Draining,
+    /// A request with the same idempotency key is in flight.
     KeyInFlight,
+    /// The idempotency key belongs to another request.
     KeyReused,
-    /// The client's time is too short for any answer.
+    /// The client waits for too short a time for any answer.
     DeadlineTooShort,
     /// The request is larger than any may be.
     TooLarge,
 }
 
 impl ErrorCause {
-    /// One word for programs, the same in every front.
+    /// The error code, for programs, the same in every API.
     pub fn code(self) -> &'static str {
         match self {
             ErrorCause::Rejected(_) => "rejected",
@@ -61,23 +67,25 @@
         }
     }
 
-    /// The field of the request's head that is to blame, if one is.
+    /// The header of the request that is at fault, if one is.
     pub fn field(self) -> Option<&'static str> {
         matches!(self, ErrorCause::KeyInFlight | ErrorCause::KeyReused).then_some("Idempotency-Key")
     }
 }
 
-/// A request's end without an answer.
+/// The error that a client gets in place of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
+    /// Why it gets one.
     pub cause: ErrorCause,
+    /// Whether it may retry.
     pub retry: Retry,
 }
 
 impl ErrorResponse {
-    /// Of a final answer; none for one that was generated.
-    pub fn from_final_answer(last: &FinalAnswer) -> Option<ErrorResponse> {
-        match last {
+    /// The error of a final answer; none where that is a completed one.
+    pub fn from_final_answer(answer: &FinalAnswer) -> Option<ErrorResponse> {
+        match answer {
             FinalAnswer::Completed { .. } => None,
             FinalAnswer::Rejected { retry_after, reason } => Some(ErrorResponse {
                 cause: ErrorCause::Rejected(*reason),
@@ -91,8 +99,8 @@
 }
 
 impl From<Rejection> for ErrorResponse {
-    fn from(refusal: Rejection) -> ErrorResponse {
-        let (cause, retry) = match refusal {
+    fn from(rejection: Rejection) -> ErrorResponse {
+        let (cause, retry) = match rejection {
             Rejection::GatewayAtCapacity { retry_after } => {
                 (ErrorCause::GatewayAtCapacity, Retry::After(retry_after))
             }
@@ -104,25 +112,29 @@
             }
             Rejection::Draining { retry_after } => (ErrorCause::Draining, Retry::After(retry_after)),
             Rejection::KeyInFlight { retry_after } => (ErrorCause::KeyInFlight, Retry::After(retry_after)),
-            Rejection::KeyReused => (ErrorCause::KeyReused, Retry::Mended),
-            Rejection::DeadlineTooShort => (ErrorCause::DeadlineTooShort, Retry::Mended),
+            Rejection::KeyReused => (ErrorCause::KeyReused, Retry::AfterCorrection),
+            Rejection::DeadlineTooShort => (ErrorCause::DeadlineTooShort, Retry::AfterCorrection),
         };
         ErrorResponse { cause, retry }
     }
 }
 
 impl From<IngressError> for ErrorResponse {
-    fn from(shut: IngressError) -> ErrorResponse {
-        match shut {
-            IngressError::TooLarge => ErrorResponse { cause: ErrorCause::TooLarge, retry: Retry::Mended },
-            IngressError::AtCapacity | IngressError::AddressAtCapacity => ErrorResponse {
-                cause: ErrorCause::IngressAtCapacity,
-                retry: Retry::After(DEFAULT_RETRY_AFTER),
-            },
+    fn from(error: IngressError) -> ErrorResponse {
+        match error {
+            IngressError::TooLarge => {
+                ErrorResponse { cause: ErrorCause::TooLarge, retry: Retry::AfterCorrection }
+            }
+            IngressError::AtCapacity | IngressError::AddressAtCapacity => {
+                let retry = Retry::After(DEFAULT_RETRY_AFTER);
+                ErrorResponse { cause: ErrorCause::IngressAtCapacity, retry }
+            }
         }
     }
 }
 
+impl Error for ErrorResponse {}
+
 impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -51,7 +51,7 @@
     if let Some(field) = &wrong.field {
         details.set_bad_request(vec![tonic_types::FieldViolation::new(field, &wrong.message)]);
     }
-    Status::with_error_details_and_metadata(code, &wrong.message, details, pushback(Retry::Mended))
+    Status::with_error_details_and_metadata(code, &wrong.message, details, pushback(Retry::AfterCorrection))
 }
 
 fn of_unanswered(unanswered: &ErrorResponse) -> Status {
@@ -88,7 +88,7 @@
 fn pushback(retry: Retry) -> MetadataMap {
     let millis = match retry {
         Retry::After(wait) => i64::try_from(wait.div_ceil(1_000_000)).unwrap_or(i64::MAX),
-        Retry::Mended | Retry::Never => -1,
+        Retry::AfterCorrection | Retry::Never => -1,
     };
     let mut metadata = MetadataMap::new();
     metadata.insert(PUSHBACK, MetadataValue::from(millis));
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -5,7 +5,7 @@
 use nickel_lang_core::eval::cache::CacheImpl;
 use nickel_lang_core::program::{Program, ProgramBuilder};
 use petrelshore::interface::*;
-use petrelshore_gateway_core::settings_validation::{self, About};
+use petrelshore_gateway_core::settings_validation::{self, SettingProblem};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -187,17 +187,17 @@
 }
 
 /// The field that a finding is about.
-fn place(about: &About, traffic: &[Traffic]) -> String {
+fn place(problem: &SettingProblem, traffic: &[Traffic]) -> String {
     let of = |id: &TrafficTypeId, field: &str| format!("traffic.{}.{field}", traffic[id.0].name);
-    match about {
-        About::AbandonTooShort { traffic, .. } | About::AbandonBeforeSlo { traffic } => {
+    match problem {
+        SettingProblem::AbandonTooShort { traffic, .. } | SettingProblem::AbandonBeforeSlo { traffic } => {
             of(traffic, "abandon_time")
         }
-        About::WindowTooShort { traffic, .. } => of(traffic, "repeats.window"),
-        About::NothingReads | About::NothingWrites => "kinds".to_owned(),
-        About::TooFewAttempts { .. } => "attempts".to_owned(),
-        About::ReleaseTooShort { .. } => "release_within".to_owned(),
-        About::ColdPart { .. } => "cold".to_owned(),
+        SettingProblem::IdempotencyWindowTooShort { traffic, .. } => of(traffic, "repeats.window"),
+        SettingProblem::NoPrefillServer | SettingProblem::NoDecodeServer => "kinds".to_owned(),
+        SettingProblem::TooFewAttempts { .. } => "attempts".to_owned(),
+        SettingProblem::ReleaseTimeoutTooShort { .. } => "release_within".to_owned(),
+        SettingProblem::SlowStartWithoutCapacity { .. } => "cold".to_owned(),
     }
 }
 
@@ -344,7 +344,7 @@
     let abandon_times: Vec<Nanos> = traffic.iter().map(|t| t.abandon_time).collect();
     for finding in settings_validation::check(&deployment, &abandon_times) {
         let broken = finding.rule.map_or(String::new(), |rule| format!(" (rule {rule} could not be kept)"));
-        d.wrong(&place(&finding.about, &traffic), format!("{}{broken}", finding.about));
+        d.wrong(&place(&finding.problem, &traffic), format!("{}{broken}", finding.problem));
     }
     let folder = file.parent().unwrap_or(Path::new(""));
     let limits = Limits {
