--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -1,26 +1,36 @@
-//! Who is refused: by the length of prompts and by session, in a small model of readers and writers.
+//! Which requests are rejected, by prompt length and by session, in a small model of prefill and decode servers.
 
 mod common;
 
-use common::*;
+use common::{MS, S, START, deployment};
 use oorandom::Rand64;
-use petrelshore::interface::*;
+use petrelshore::interface::{
+    CellId, Deployment, Endpoint, EndpointState, Nanos, Outcome, Role, SequenceId, ServerId, ServerKind,
+    ServerKindId, SessionId, SnapshotKind, Step, TrafficType, TrafficTypeId, ZoneId,
+};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::{Action, NewSequence, Relay, RequestManager};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pairs of a reader and a writer, and prompt tokens that a reader reads a second.
-const PAIRS: u64 = 8;
-const SPEED: f64 = 16_000.0;
-/// Median and spread of the logarithm of what each turn adds to its prompt.
-const TOKENS: f64 = 2_000.0;
-const SPREAD: f64 = 0.8;
-const MEAN: f64 = 2_754.0;
+/// Pairs of a prefill server and a decode server.
+const SERVER_PAIRS: u64 = 8;
+/// Prompt tokens that a prefill server prefills per second.
+const PREFILL_TOKENS_PER_SECOND: f64 = 16_000.0;
+/// What each turn adds to the prompt of its session, in tokens: a log-normal distribution.
+const MEDIAN_TURN_TOKENS: f64 = 2_000.0;
+const TURN_TOKENS_SIGMA: f64 = 0.8;
+const MEAN_TURN_TOKENS: f64 = 2_754.0;
+const TURNS: u64 = 4;
+const TURN_INTERVAL: Nanos = 3 * S;
+const FIRST_TOKEN_TIME: Nanos = 60 * MS;
+const DECODE_TIME: Nanos = 2 * S;
+/// How long clients of each traffic type wait for their first token, in seconds.
+const ABANDON_SECONDS: [u64; 2] = [6, 10];
 
 fn two_types(gateways: usize) -> Deployment {
     let kind = |role| ServerKind { role, memory_tokens: 200_000.0 };
-    let traffic = |utility, latency_slo| TrafficType {
-        priority_weight: utility,
+    let traffic = |priority_weight, latency_slo| TrafficType {
+        priority_weight,
         latency_slo,
         slo_per_prompt_token: 40_000,
         token_interval: 60 * MS,
@@ -34,231 +44,300 @@
     }
 }
 
+fn endpoint(index: u64) -> Endpoint {
+    Endpoint {
+        server: ServerId(index + 1),
+        kind: ServerKindId((index % 2) as usize),
+        cell: CellId((index / 4) as i64),
+        zone: ZoneId(0),
+        weight: 1.0,
+        started_at: 0,
+        state: EndpointState::Ready,
+    }
+}
+
+/// An attempt of a sequence at one of the gateways.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    gateway: usize,
+    sequence: SequenceId,
+    attempt: usize,
+}
+
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// The next turn of a session.
-    Turn(u64),
-    /// A read that its reader has done, or a first token.
-    Read(usize, SequenceId, usize),
-    Began(usize, SequenceId, usize),
-    Whole(usize, SequenceId, usize),
-    /// A gateway's own timer.
-    PendingSend(usize),
+    Turn {
+        session: u64,
+    },
+    PrefillDone(AttemptId),
+    FirstToken(AttemptId),
+    Completed(AttemptId),
+    Timeout {
+        gateway: usize,
+    },
 }
 
-/// One request of a session, by its prompt, and whether it was answered.
-struct Asked {
+/// One turn of a session.
+struct Request {
     session: u64,
     traffic: usize,
-    prompt: f64,
+    prompt_tokens: f64,
     answered: bool,
 }
 
-struct World {
+/// A session so far.
+#[derive(Default)]
+struct Session {
+    prompt_tokens: f64,
+}
+
+struct Model {
     gateways: Vec<RequestManager>,
+    random: Rand64,
+    /// Events by their time and, at the same time, in the order in which they were scheduled.
     events: BTreeSet<(Nanos, u64, Event)>,
-    drawn: u64,
-    /// Until when each reader is busy with what it was sent.
-    busy: BTreeMap<ServerId, Nanos>,
-    asked: Vec<Asked>,
-    by_id: BTreeMap<SequenceId, usize>,
+    scheduled: u64,
+    /// Until when each prefill server is busy with what it was sent.
+    busy_until: BTreeMap<ServerId, Nanos>,
+    sessions: BTreeMap<u64, Session>,
+    requests: Vec<Request>,
+    request_by_id: BTreeMap<SequenceId, usize>,
 }
 
-impl World {
-    fn later(&mut self, at: Nanos, event: Event) {
-        self.drawn += 1;
-        self.events.insert((at, self.drawn, event));
+impl Model {
+    fn new(gateways: usize, seed: u64) -> Self {
+        let endpoints: Vec<Endpoint> = (0..2 * SERVER_PAIRS).map(endpoint).collect();
+        let start = |index: usize| {
+            let mut manager = RequestManager::new(START, two_types(gateways), seed + index as u64);
+            manager.update_endpoints(START, SnapshotKind::Full, &endpoints);
+            manager
+        };
+        Model {
+            gateways: (0..gateways).map(start).collect(),
+            random: Rand64::new(u128::from(seed) + 99),
+            events: BTreeSet::new(),
+            scheduled: 0,
+            busy_until: BTreeMap::new(),
+            sessions: BTreeMap::new(),
+            requests: Vec::new(),
+            request_by_id: BTreeMap::new(),
+        }
     }
 
-    fn carry_out(&mut self, now: Nanos, gateway: usize, actions: Vec<Action>) {
-        for action in actions {
-            let Action::Send(dispatch) = action else { continue };
-            let (id, attempt) = (dispatch.id, dispatch.attempt);
-            if dispatch.step == Step::Prefill {
-                let prompt = self.asked[self.by_id[&id]].prompt;
-                let busy = self.busy.entry(dispatch.server).or_insert(0);
-                *busy = (*busy).max(now) + (prompt / SPEED * 1e9) as Nanos;
-                let done = *busy;
-                self.later(done, Event::Read(gateway, id, attempt));
-            } else {
-                self.later(now + 60 * MS, Event::Began(gateway, id, attempt));
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.scheduled += 1;
+        self.events.insert((at, self.scheduled, event));
+    }
+
+    /// Schedules sessions of some turns each, whose prompts grow, at `load` times what the prefill servers can do.
+    fn schedule_sessions(&mut self, load: f64, end: Nanos) {
+        let capacity = PREFILL_TOKENS_PER_SECOND * SERVER_PAIRS as f64;
+        // The prompt of a session's turn is two and a half times what a turn adds, on average.
+        let sessions_per_second = load * capacity / MEAN_TURN_TOKENS / TURNS as f64 / 2.5;
+        let (mut at, mut session) = (START, 0);
+        while at < end {
+            at += (-self.random.rand_float().max(1e-12).ln() / sessions_per_second * 1e9) as Nanos;
+            session += 1;
+            for turn in 0..TURNS {
+                self.schedule(at + turn * TURN_INTERVAL, Event::Turn { session });
             }
         }
-        if let Some(due) = self.gateways[gateway].next_timeout() {
-            self.later(due.max(now), Event::PendingSend(gateway));
-        }
     }
-}
 
-/// Plays `seconds` at so many times what the readers can do; what was asked after the first fifth of them.
-fn play(gateways: usize, load: f64, seconds: u64, seed: u64) -> Vec<Asked> {
-    let entry = |n: u64| Endpoint {
-        server: ServerId(n + 1),
-        kind: ServerKindId((n % 2) as usize),
-        cell: CellId((n / 4) as i64),
-        zone: ZoneId(0),
-        weight: 1.0,
-        started_at: 0,
-        state: EndpointState::Ready,
-    };
-    let fleet: Vec<Endpoint> = (0..2 * PAIRS).map(entry).collect();
-    let start = |n: usize| {
-        let mut manager = RequestManager::new(START, two_types(gateways), seed + n as u64);
-        manager.update_endpoints(START, SnapshotKind::Full, &fleet);
-        manager
-    };
-    let mut world = World {
-        gateways: (0..gateways).map(start).collect(),
-        events: BTreeSet::new(),
-        drawn: 0,
-        busy: BTreeMap::new(),
-        asked: Vec::new(),
-        by_id: BTreeMap::new(),
-    };
-    let mut chance = Rand64::new(u128::from(seed) + 99);
-    let mut prompts: BTreeMap<u64, (f64, usize)> = BTreeMap::new();
-    // Sessions of four turns, each some seconds after the one before, whose prompts grow.
-    let rate = load * SPEED * PAIRS as f64 / MEAN / 4.0 / 2.5;
-    let (mut at, mut session) = (START, 0);
-    let until = START + seconds * S;
-    while at < until {
-        at += (-chance.rand_float().max(1e-12).ln() / rate * 1e9) as Nanos;
-        session += 1;
-        for turn in 0..4 {
-            world.later(at + turn * 3 * S, Event::Turn(session));
-        }
+    fn turn_tokens(&mut self) -> f64 {
+        let normal = (-2.0 * self.random.rand_float().max(1e-12).ln()).sqrt()
+            * (2.0 * std::f64::consts::PI * self.random.rand_float()).cos();
+        MEDIAN_TURN_TOKENS * (TURN_TOKENS_SIGMA * normal).exp()
     }
-    while let Some((now, _, event)) = world.events.pop_first() {
-        let mut out = Vec::new();
+
+    /// A client sends the next turn of a session to a random gateway, which is returned.
+    fn send_turn(&mut self, now: Nanos, session: u64, actions: &mut Vec<Action>) -> usize {
+        let added_tokens = self.turn_tokens();
+        let state = self.sessions.entry(session).or_default();
+        state.prompt_tokens += added_tokens;
+        let (prompt_tokens, traffic) = (state.prompt_tokens, (session % 2) as usize);
+        let id = SequenceId(self.requests.len() as u64 + 1);
+        self.request_by_id.insert(id, self.requests.len());
+        self.requests.push(Request { session, traffic, prompt_tokens, answered: false });
+        let gateway = self.random.rand_range(0..self.gateways.len() as u64) as usize;
+        let new = NewSequence {
+            id,
+            traffic: TrafficTypeId(traffic),
+            tenant: None,
+            session: Some(SessionId(session)),
+            prefix: None,
+            prompt_tokens,
+            prefix_tokens: 0.0,
+            max_output_tokens: 400.0,
+            output_length_hint: None,
+            resumed: false,
+            relay: Relay::Passthrough,
+            first_token_deadline: now + ABANDON_SECONDS[traffic] * S,
+            completion_deadline: None,
+        };
+        self.gateways[gateway].accept(now, new, actions);
+        gateway
+    }
+
+    fn attempt_ended(&mut self, now: Nanos, id: AttemptId, end: AttemptEnd, actions: &mut Vec<Action>) {
+        self.gateways[id.gateway].attempt_ended(now, id.sequence, id.attempt, end, actions);
+    }
+
+    fn handle(&mut self, now: Nanos, event: Event) {
+        let mut actions = Vec::new();
         let gateway = match event {
-            Event::Turn(_) if now >= until => continue,
-            Event::Turn(session) => {
-                let normal = (-2.0 * chance.rand_float().max(1e-12).ln()).sqrt()
-                    * (2.0 * std::f64::consts::PI * chance.rand_float()).cos();
-                let (prompt, turns) = prompts.entry(session).or_insert((0.0, 0));
-                *prompt += TOKENS * (SPREAD * normal).exp();
-                *turns += 1;
-                let (prompt, traffic) = (*prompt, (session % 2) as usize);
-                let id = SequenceId(world.asked.len() as u64 + 1);
-                world.by_id.insert(id, world.asked.len());
-                world.asked.push(Asked { session, traffic, prompt, answered: false });
-                let gateway = chance.rand_range(0..gateways as u64) as usize;
-                let new = NewSequence {
-                    id,
-                    traffic: TrafficTypeId(traffic),
-                    tenant: None,
-                    session: Some(SessionId(session)),
-                    prefix: None,
-                    prompt_tokens: prompt,
-                    prefix_tokens: 0.0,
-                    max_output_tokens: 400.0,
-                    output_length_hint: None,
-                    resumed: false,
-                    relay: Relay::Passthrough,
-                    first_token_deadline: now + [6, 10][traffic] * S,
-                    completion_deadline: None,
-                };
-                world.gateways[gateway].accept(now, new, &mut out);
-                gateway
-            }
-            Event::Read(gateway, id, attempt) => {
-                world.gateways[gateway].attempt_ended(
-                    now,
-                    id,
-                    attempt,
-                    AttemptEnd::PrefillDone { cached_tokens: 0.0 },
-                    &mut out,
-                );
-                gateway
+            Event::Turn { session } => self.send_turn(now, session, &mut actions),
+            Event::PrefillDone(id) => {
+                let end = AttemptEnd::PrefillDone { cached_tokens: 0.0 };
+                self.attempt_ended(now, id, end, &mut actions);
+                id.gateway
             }
-            Event::Began(gateway, id, attempt) => {
-                world.gateways[gateway].first_token(now, id, attempt);
-                world.later(now + 2 * S, Event::Whole(gateway, id, attempt));
-                gateway
+            Event::FirstToken(id) => {
+                self.gateways[id.gateway].first_token(now, id.sequence, id.attempt);
+                self.schedule(now + DECODE_TIME, Event::Completed(id));
+                id.gateway
             }
-            Event::Whole(gateway, id, attempt) => {
-                world.gateways[gateway].attempt_ended(now, id, attempt, AttemptEnd::Completed, &mut out);
-                if out
-                    .iter()
-                    .any(|action| matches!(action, Action::Complete { outcome: Outcome::Completed, .. }))
-                {
-                    let asked = world.by_id[&id];
-                    world.asked[asked].answered = true;
+            Event::Completed(id) => {
+                self.attempt_ended(now, id, AttemptEnd::Completed, &mut actions);
+                let completes =
+                    |action: &Action| matches!(action, Action::Complete { outcome: Outcome::Completed, .. });
+                if actions.iter().any(completes) {
+                    let index = self.request_by_id[&id.sequence];
+                    self.requests[index].answered = true;
                 }
-                gateway
+                id.gateway
             }
-            Event::PendingSend(gateway) => {
-                world.gateways[gateway].on_timeout(now, &mut out);
+            Event::Timeout { gateway } => {
+                self.gateways[gateway].on_timeout(now, &mut actions);
                 gateway
             }
         };
-        world.carry_out(now, gateway, out);
+        self.execute(now, gateway, actions);
     }
-    let warm = world.asked.len() / 5;
-    world.asked.split_off(warm)
+
+    fn execute(&mut self, now: Nanos, gateway: usize, actions: Vec<Action>) {
+        for action in actions {
+            let Action::Send(dispatch) = action else { continue };
+            let id = AttemptId { gateway, sequence: dispatch.id, attempt: dispatch.attempt };
+            if dispatch.step == Step::Prefill {
+                let prompt_tokens = self.requests[self.request_by_id[&id.sequence]].prompt_tokens;
+                let busy_until = self.busy_until.entry(dispatch.server).or_insert(0);
+                *busy_until =
+                    (*busy_until).max(now) + (prompt_tokens / PREFILL_TOKENS_PER_SECOND * 1e9) as Nanos;
+                let done_at = *busy_until;
+                self.schedule(done_at, Event::PrefillDone(id));
+            } else {
+                self.schedule(now + FIRST_TOKEN_TIME, Event::FirstToken(id));
+            }
+        }
+        if let Some(timeout) = self.gateways[gateway].next_timeout() {
+            self.schedule(timeout.max(now), Event::Timeout { gateway });
+        }
+    }
+}
+
+/// Runs the model for `seconds`, at `load` times what the prefill servers can do; the requests after the first fifth.
+fn simulate(gateways: usize, load: f64, seconds: u64, seed: u64) -> Vec<Request> {
+    let end = START + seconds * S;
+    let mut model = Model::new(gateways, seed);
+    model.schedule_sessions(load, end);
+    while let Some((now, _, event)) = model.events.pop_first() {
+        if now < end || !matches!(event, Event::Turn { .. }) {
+            model.handle(now, event);
+        }
+    }
+    let warm_up = model.requests.len() / 5;
+    model.requests.split_off(warm_up)
 }
 
-fn share<'a>(asked: impl Iterator<Item = &'a Asked>) -> f64 {
-    let (all, answered) =
-        asked.fold((0, 0), |(all, answered), one| (all + 1, answered + u32::from(one.answered)));
-    f64::from(answered) / f64::from(all.max(1))
+fn answered_share<'a>(requests: impl Iterator<Item = &'a Request>) -> f64 {
+    let (total, answered) = requests
+        .fold((0, 0), |(total, answered), request| (total + 1, answered + u32::from(request.answered)));
+    f64::from(answered) / f64::from(total.max(1))
 }
 
-/// Of a class: its answered share, and those of the tenth with the longest prompts and of the next fifth, against it.
-fn by_length(asked: &[Asked], traffic: usize) -> (f64, f64, f64) {
-    let mut class: Vec<&Asked> = asked.iter().filter(|one| one.traffic == traffic).collect();
-    class.sort_by(|a, b| b.prompt.total_cmp(&a.prompt));
-    let (tenth, fifth) = (class.len() / 10, class.len() / 10 + class.len() / 5);
-    let all = share(class.iter().copied());
-    let of = |part: &[&Asked]| share(part.iter().copied()) / all.max(1e-9);
-    (all, of(&class[..tenth]), of(&class[tenth..fifth]))
+/// The answered share of a traffic type, and those of its longest prompts as multiples of it.
+struct ShareByLength {
+    overall: f64,
+    longest_tenth: f64,
+    next_fifth: f64,
+}
+
+fn share_by_length(requests: &[Request], traffic: usize) -> ShareByLength {
+    let mut of_type: Vec<&Request> = requests.iter().filter(|request| request.traffic == traffic).collect();
+    of_type.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
+    let tenth = of_type.len() / 10;
+    let next_fifth = tenth..tenth + of_type.len() / 5;
+    let overall = answered_share(of_type.iter().copied());
+    let relative = |part: &[&Request]| answered_share(part.iter().copied()) / overall.max(1e-9);
+    ShareByLength {
+        overall,
+        longest_tenth: relative(&of_type[..tenth]),
+        next_fifth: relative(&of_type[next_fifth]),
+    }
 }
 
 #[test]
-fn the_longest_prompts_are_answered_like_their_class_on_a_quiet_day_and_half_as_often_on_others() {
+fn longest_prompts_get_a_fair_share_of_answers() {
     for gateways in [3, 30] {
-        for (load, least) in [(0.6, 2.0 / 3.0), (1.0, 0.5)] {
+        for (load, min_share) in [(0.6, 2.0 / 3.0), (1.0, 0.5)] {
             for seed in 0..3 {
-                let asked = play(gateways, load, 60, seed * 100);
+                let requests = simulate(gateways, load, 60, seed * 100);
                 for traffic in 0..2 {
-                    let (all, tenth, fifth) = by_length(&asked, traffic);
-                    let told = format!(
-                        "{gateways} gateways, load {load}, seed {seed}, type {traffic}: {all:.3}, {tenth:.3}, {fifth:.3}"
+                    let ShareByLength { overall, longest_tenth, next_fifth } =
+                        share_by_length(&requests, traffic);
+                    assert!(
+                        longest_tenth >= min_share && next_fifth >= min_share,
+                        "{gateways} gateways, load {load}, seed {seed}, type {traffic}: \
+                         {overall:.3}, {longest_tenth:.3}, {next_fifth:.3}"
                     );
-                    assert!(tenth >= least && fifth >= least, "{told}");
                 }
             }
         }
     }
 }
 
-/// Sessions all of whose turns were refused, as a part of all, against what chance gives where each turn is refused
-/// with the same probability.
-fn singled_out(asked: &[Asked]) -> (f64, f64) {
-    let mut sessions: BTreeMap<u64, (i32, i32)> = BTreeMap::new();
-    for one in asked {
-        let (turns, refused) = sessions.entry(one.session).or_default();
-        *turns += 1;
-        *refused += i32::from(!one.answered);
+/// Share of the sessions all of whose turns were rejected.
+struct RejectedSessions {
+    observed: f64,
+    /// What chance gives if each turn is rejected with the same probability.
+    by_chance: f64,
+}
+
+fn rejected_sessions(requests: &[Request]) -> RejectedSessions {
+    #[derive(Default)]
+    struct Turns {
+        total: i32,
+        rejected: i32,
+    }
+    let mut sessions: BTreeMap<u64, Turns> = BTreeMap::new();
+    for request in requests {
+        let turns = sessions.entry(request.session).or_default();
+        turns.total += 1;
+        turns.rejected += i32::from(!request.answered);
+    }
+    let sessions: Vec<Turns> = sessions.into_values().filter(|turns| turns.total > 1).collect();
+    let rejected_share = 1.0 - answered_share(requests.iter());
+    let count = sessions.len().max(1) as f64;
+    let rejected_throughout = sessions.iter().filter(|turns| turns.total == turns.rejected).count();
+    RejectedSessions {
+        observed: rejected_throughout as f64 / count,
+        by_chance: sessions.iter().map(|turns| rejected_share.powi(turns.total)).sum::<f64>() / count,
     }
-    let whole: Vec<(i32, i32)> = sessions.into_values().filter(|(turns, _)| *turns > 1).collect();
-    let refused = 1.0 - share(asked.iter());
-    let all = whole.len().max(1) as f64;
-    let throughout = whole.iter().filter(|(turns, refused)| turns == refused).count() as f64 / all;
-    let chance = whole.iter().map(|(turns, _)| refused.powi(*turns)).sum::<f64>() / all;
-    (throughout, chance)
 }
 
 #[test]
-fn no_set_of_sessions_is_refused_throughout_beyond_what_chance_gives() {
+fn sessions_are_not_rejected_throughout_beyond_chance() {
     for gateways in [3, 30] {
         for load in [0.6, 0.9] {
             for seed in 0..3 {
-                let asked = play(gateways, load, 60, seed * 100);
-                let (throughout, chance) = singled_out(&asked);
-                let told =
-                    format!("{gateways} gateways, load {load}, seed {seed}: {throughout:.3}, {chance:.3}");
-                assert!(throughout <= chance + 0.12, "{told}");
+                let requests = simulate(gateways, load, 60, seed * 100);
+                let RejectedSessions { observed, by_chance } = rejected_sessions(&requests);
+                assert!(
+                    observed <= by_chance + 0.12,
+                    "{gateways} gateways, load {load}, seed {seed}: {observed:.3}, {by_chance:.3}"
+                );
             }
         }
     }
--- a/gateway-core/tests/cache_releases.rs
+++ b/gateway-core/tests/cache_releases.rs
@@ -3,20 +3,20 @@
 use petrelshore::interface::ServerId;
 use petrelshore_gateway_core::cache_releases::{CacheRelease, CacheReleases, CacheState, ReleaseOutcome};
 
-const MS: u64 = 1_000_000;
-const S: u64 = 1_000 * MS;
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
 
 #[test]
-fn a_release_is_told_again_until_it_is_answered_and_not_for_ever() {
-    let release = CacheRelease { server: petrelshore::interface::ServerId(1), request_id: "a-0".to_owned() };
-    let mut releases = CacheReleases::new(400 * MS);
+fn release_is_retried_until_acknowledged_or_abandoned() {
+    let release = CacheRelease { server: ServerId(1), request_id: "a-0".to_owned() };
+    let mut releases = CacheReleases::new(400 * MILLISECOND);
     releases.add(0, &release, CacheState::Held);
-    let mut told = Vec::new();
-    while let Some(due) = releases.next_timeout() {
-        told.extend(releases.on_timeout(due).iter().map(|_| due));
+    let mut sent = Vec::new();
+    while let Some(timeout) = releases.next_timeout() {
+        sent.extend(releases.on_timeout(timeout).iter().map(|_| timeout));
     }
-    assert_eq!(&told[..3], &[100 * MS, 300 * MS, 700 * MS]);
-    assert!(told.len() < 30 && told.last().is_some_and(|at| *at < 61 * S));
+    assert_eq!(&sent[..3], &[100 * MILLISECOND, 300 * MILLISECOND, 700 * MILLISECOND]);
+    assert!(sent.len() < 30 && sent.last().is_some_and(|time| *time < 61 * SECOND));
     assert_eq!((releases.pending(), releases.abandoned()), (0, 1));
     releases.add(0, &release, CacheState::Held);
     releases.finished(0, &release, ReleaseOutcome::Acknowledged);
@@ -24,39 +24,44 @@
 }
 
 #[test]
-fn the_state_of_a_read_that_was_cut_off_is_asked_for_until_the_read_can_no_longer_come() {
-    let release = CacheRelease { server: petrelshore::interface::ServerId(1), request_id: "a-0".to_owned() };
-    let mut releases = CacheReleases::new(400 * MS);
+fn uncertain_cache_is_released_until_its_prefill_can_not_run() {
+    let release = CacheRelease { server: ServerId(1), request_id: "a-0".to_owned() };
+    let mut releases = CacheReleases::new(400 * MILLISECOND);
     releases.add(0, &release, CacheState::Uncertain);
-    // Its reader holds nothing yet, and says so; the read is still on its way.
-    releases.finished(MS, &release, ReleaseOutcome::Acknowledged);
-    let mut told = Vec::new();
-    while let Some(due) = releases.next_timeout().filter(|due| *due < 10 * S) {
-        if !releases.on_timeout(due).is_empty() {
-            told.push(due);
-            releases.finished(due + MS, &release, ReleaseOutcome::Acknowledged);
+    // Its prefill server holds nothing yet, and says so; the prefill may still reach it.
+    releases.finished(MILLISECOND, &release, ReleaseOutcome::Acknowledged);
+    let mut sent = Vec::new();
+    while let Some(timeout) = releases.next_timeout().filter(|timeout| *timeout < 10 * SECOND) {
+        if !releases.on_timeout(timeout).is_empty() {
+            sent.push(timeout);
+            releases.finished(timeout + MILLISECOND, &release, ReleaseOutcome::Acknowledged);
         }
     }
-    assert!(told[0] <= 100 * MS && told.iter().any(|at| *at >= 2 * S), "{told:?}");
-    assert!(told.windows(2).all(|two| two[1] - two[0] <= 200 * MS), "it may come at any time: {told:?}");
-    assert!(told.len() <= 12 && releases.pending() == 0, "{told:?}");
-    // A reader that provably does not run holds nothing, and nothing is on its way to it.
+    assert!(sent[0] <= 100 * MILLISECOND && sent.iter().any(|time| *time >= 2 * SECOND), "{sent:?}");
+    assert!(
+        sent.windows(2).all(|pair| pair[1] - pair[0] <= 200 * MILLISECOND),
+        "it may arrive at any time: {sent:?}"
+    );
+    assert!(sent.len() <= 12 && releases.pending() == 0, "{sent:?}");
+    // A server that provably does not run holds nothing, and nothing can reach it.
     releases.add(0, &release, CacheState::Uncertain);
-    releases.finished(MS, &release, ReleaseOutcome::ServerGone);
+    releases.finished(MILLISECOND, &release, ReleaseOutcome::ServerGone);
     assert_eq!(releases.pending(), 0);
 }
 
 #[test]
-fn a_reader_that_cannot_be_had_is_told_by_way_of_those_heard_last_and_then_of_others() {
-    let mut owed = CacheReleases::new(500 * MS);
+fn unreachable_server_is_released_through_recent_relays_then_others() {
+    let mut releases = CacheReleases::new(500 * MILLISECOND);
     let release = CacheRelease { server: ServerId(2), request_id: "a".to_owned() };
-    let ready: Vec<(u64, ServerId)> = (1..=7).map(|n| (n * MS, ServerId(n))).collect();
-    owed.add(0, &release, CacheState::Held);
-    let by = |owed: &CacheReleases| owed.relays(&release, &ready).iter().map(|id| id.0).collect::<Vec<u64>>();
-    assert_eq!(by(&owed), [7, 6, 5], "the others were cut off for longer");
-    assert_eq!(owed.on_timeout(150 * MS).len(), 1);
-    assert_eq!(by(&owed), [4, 3, 1], "not the reader itself");
-    assert_eq!(owed.on_timeout(400 * MS).len(), 1);
-    assert_eq!(by(&owed), [7, 6, 5]);
-    assert_eq!(owed.relays(&release, &[(0, ServerId(2))]), []);
+    let ready: Vec<(u64, ServerId)> = (1..=7).map(|n| (n * MILLISECOND, ServerId(n))).collect();
+    releases.add(0, &release, CacheState::Held);
+    let relays = |releases: &CacheReleases| {
+        releases.relays(&release, &ready).iter().map(|id| id.0).collect::<Vec<u64>>()
+    };
+    assert_eq!(relays(&releases), [7, 6, 5], "the others have been unreachable for longer");
+    assert_eq!(releases.on_timeout(150 * MILLISECOND).len(), 1);
+    assert_eq!(relays(&releases), [4, 3, 1], "not the server itself");
+    assert_eq!(releases.on_timeout(400 * MILLISECOND).len(), 1);
+    assert_eq!(relays(&releases), [7, 6, 5]);
+    assert_eq!(releases.relays(&release, &[(0, ServerId(2))]), []);
 }
--- a/gateway-core/tests/flow_control.rs
+++ b/gateway-core/tests/flow_control.rs
@@ -2,53 +2,53 @@
 
 use petrelshore_gateway_core::flow_control::FlowControl;
 
-const MS: u64 = 1_000_000;
-const S: u64 = 1_000 * MS;
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
 
 #[test]
-fn a_stream_that_is_not_read_leaves_the_others_room() {
-    let mut windows = FlowControl::default();
-    (1..=9).step_by(2).for_each(|stream| windows.stream_opened(stream));
+fn unread_stream_leaves_window_to_the_others() {
+    let mut flow = FlowControl::default();
+    (1..=9).step_by(2).for_each(|stream| flow.stream_opened(stream));
     // Stream 1 is never read, and sends whatever it may.
-    let all = windows.sendable(1);
-    windows.data_sent(0, 1, all);
-    assert_eq!((all, windows.sendable(1)), (40_959, 0));
-    // The others are read: each gives back what it was sent, and none of them ever lacks room.
+    let all = flow.sendable(1);
+    flow.data_sent(0, 1, all);
+    assert_eq!((all, flow.sendable(1)), (40_959, 0));
+    // The others are read: each has its bytes acknowledged, and none of them is ever blocked.
     for turn in 0..10_000 {
         let stream = 3 + 2 * (turn % 4);
-        assert!(windows.sendable(stream) >= 1000, "turn {turn}");
-        windows.data_sent(turn as u64, stream, 1000);
-        windows.window_update(turn as u64, stream, 1000);
-        windows.window_update(turn as u64, 0, 1000);
+        assert!(flow.sendable(stream) >= 1000, "turn {turn}");
+        flow.data_sent(turn as u64, stream, 1000);
+        flow.window_update(turn as u64, stream, 1000);
+        flow.window_update(turn as u64, 0, 1000);
     }
-    assert_eq!((windows.next_timeout(), windows.stream_to_reset(100 * S)), (None, None));
-    // A client that tells a larger window gives each more of it.
-    windows.window_update(0, 0, 1_000_000);
-    assert!(windows.sendable(1) > 500_000);
+    assert_eq!((flow.next_timeout(), flow.stream_to_reset(100 * SECOND)), (None, None));
+    // A client that announces a larger window gives each stream more of it.
+    flow.window_update(0, 0, 1_000_000);
+    assert!(flow.sendable(1) > 500_000);
 }
 
 #[test]
-fn of_a_connection_that_stands_still_the_stream_that_holds_most_is_ended_and_no_other_at_once() {
-    let mut windows = FlowControl::default();
-    (1..=7).step_by(2).for_each(|stream| windows.stream_opened(stream));
-    windows.data_sent(S, 1, 40_000);
-    windows.data_sent(S, 3, 25_000);
-    windows.data_sent(S, 5, 535);
-    assert_eq!((windows.stream_to_reset(3 * S), windows.next_timeout()), (None, Some(4 * S)));
-    assert_eq!((windows.stream_to_reset(4 * S), windows.stream_to_reset(5 * S)), (Some(1), None));
-    windows.stream_closed(1);
-    // It helped: its bytes are given back.
-    windows.window_update(5 * S, 0, 40_000);
-    assert_eq!((windows.next_timeout(), windows.stream_to_reset(60 * S)), (None, None));
-    // A crowd of equals is not at fault one by one, and nor is a stream that is alone.
-    let mut crowd = FlowControl::default();
+fn blocked_connection_resets_only_the_stream_that_holds_most() {
+    let mut flow = FlowControl::default();
+    (1..=7).step_by(2).for_each(|stream| flow.stream_opened(stream));
+    flow.data_sent(SECOND, 1, 40_000);
+    flow.data_sent(SECOND, 3, 25_000);
+    flow.data_sent(SECOND, 5, 535);
+    assert_eq!((flow.stream_to_reset(3 * SECOND), flow.next_timeout()), (None, Some(4 * SECOND)));
+    assert_eq!((flow.stream_to_reset(4 * SECOND), flow.stream_to_reset(5 * SECOND)), (Some(1), None));
+    flow.stream_closed(1);
+    // It helped: its bytes are acknowledged.
+    flow.window_update(5 * SECOND, 0, 40_000);
+    assert_eq!((flow.next_timeout(), flow.stream_to_reset(60 * SECOND)), (None, None));
+    // None of many equal streams is the cause, nor is a stream that is alone.
+    let mut equals = FlowControl::default();
     (0..100).for_each(|stream| {
-        crowd.stream_opened(stream + 1);
-        crowd.data_sent(0, stream + 1, 656);
+        equals.stream_opened(stream + 1);
+        equals.data_sent(0, stream + 1, 656);
     });
-    assert_eq!(crowd.stream_to_reset(60 * S), None);
+    assert_eq!(equals.stream_to_reset(60 * SECOND), None);
     let mut alone = FlowControl::default();
     alone.stream_opened(1);
     alone.data_sent(0, 1, 65_535);
-    assert_eq!(alone.stream_to_reset(60 * S), None);
+    assert_eq!(alone.stream_to_reset(60 * SECOND), None);
 }
--- a/gateway-core/tests/http2_abuse.rs
+++ b/gateway-core/tests/http2_abuse.rs
@@ -2,24 +2,24 @@
 
 use petrelshore_gateway_core::http2_abuse::{Abuse, AbuseDetector, KeepaliveAction, PeerFrame};
 
-const MS: u64 = 1_000_000;
-const S: u64 = 1_000 * MS;
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
 
 #[test]
-fn pings_for_nothing_are_bad_manners_and_those_that_measure_a_path_are_not() {
-    let mut abuse = AbuseDetector::new(0, 100);
+fn unprompted_pings_are_abuse_but_path_measurements_are_not() {
+    let mut detector = AbuseDetector::new(0, 100);
     // A client that measures its path: a ping for each burst that it gets, forty a second.
     for event in 1..10_000 {
-        abuse.frame_sent();
-        abuse.frame_received(event * 25 * MS, PeerFrame::Ping);
+        detector.frame_sent();
+        detector.frame_received(event * 25 * MILLISECOND, PeerFrame::Ping);
     }
-    assert_eq!(abuse.detected(), None);
+    assert_eq!(detector.detected(), None);
     // One that keeps an idle connection alive every ten seconds.
-    (1..100).for_each(|event| abuse.frame_received(300 * S + event * 10 * S, PeerFrame::Ping));
-    assert_eq!(abuse.detected(), None);
+    (1..100).for_each(|event| detector.frame_received(300 * SECOND + event * 10 * SECOND, PeerFrame::Ping));
+    assert_eq!(detector.detected(), None);
     let mut flood = AbuseDetector::new(0, 100);
     let first = (1..1000).find(|event| {
-        flood.frame_received(event * MS, PeerFrame::Ping);
+        flood.frame_received(event * MILLISECOND, PeerFrame::Ping);
         flood.detected().is_some()
     });
     assert_eq!((first, flood.detected()), (Some(10), Some(Abuse::Pings)));
@@ -27,45 +27,54 @@
     let mut flood = AbuseDetector::new(0, 100);
     (0..1000).for_each(|event| {
         flood.frame_sent();
-        flood.frame_received(event * MS, PeerFrame::Ping);
+        flood.frame_received(event * MILLISECOND, PeerFrame::Ping);
     });
     assert_eq!(flood.detected(), Some(Abuse::Pings));
 }
 
 #[test]
-fn all_calls_may_be_reset_at_once_and_resets_without_end_may_not() {
-    let mut abuse = AbuseDetector::new(0, 1000);
+fn bursts_of_resets_are_allowed_but_endless_floods_are_abuse() {
+    let mut detector = AbuseDetector::new(0, 1000);
     for round in 1..20 {
-        (0..1000).for_each(|_| abuse.frame_received(round * 10 * S, PeerFrame::Reset));
+        (0..1000).for_each(|_| detector.frame_received(round * 10 * SECOND, PeerFrame::Reset));
     }
-    assert_eq!(abuse.detected(), None);
+    assert_eq!(detector.detected(), None);
     let mut flood = AbuseDetector::new(0, 1000);
-    (0..5000).for_each(|event| flood.frame_received(event * MS, PeerFrame::Reset));
+    (0..5000).for_each(|event| flood.frame_received(event * MILLISECOND, PeerFrame::Reset));
     assert_eq!(flood.detected(), Some(Abuse::Resets));
-    for (what, bad) in [(PeerFrame::Settings, Abuse::Settings), (PeerFrame::Small, Abuse::SmallFrames)] {
+    for (frame, abuse) in [(PeerFrame::Settings, Abuse::Settings), (PeerFrame::Small, Abuse::SmallFrames)] {
         let mut flood = AbuseDetector::new(0, 1000);
-        (0..50_000).for_each(|event| flood.frame_received(event * MS / 100, what));
-        assert_eq!(flood.detected(), Some(bad));
+        (0..50_000).for_each(|event| flood.frame_received(event * MILLISECOND / 100, frame));
+        assert_eq!(flood.detected(), Some(abuse));
     }
 }
 
 #[test]
-fn a_peer_with_calls_that_says_nothing_is_asked_and_then_gone() {
-    let mut abuse = AbuseDetector::new(0, 10);
-    abuse.call_started();
-    abuse.frame_received(S, PeerFrame::Call);
-    assert_eq!((abuse.next_timeout(), abuse.on_timeout(15 * S)), (16 * S, None));
-    assert_eq!((abuse.on_timeout(16 * S), abuse.on_timeout(17 * S)), (Some(KeepaliveAction::Ping), None));
-    // Any word of it is an answer.
-    abuse.frame_received(18 * S, PeerFrame::Small);
-    assert_eq!((abuse.next_timeout(), abuse.on_timeout(33 * S)), (33 * S, Some(KeepaliveAction::Ping)));
-    assert_eq!((abuse.on_timeout(42 * S), abuse.on_timeout(43 * S)), (None, Some(KeepaliveAction::PeerGone)));
-    // Without calls nobody asks; the connection is closed when it is idle for long.
+fn silent_peer_with_calls_is_pinged_and_then_gone() {
+    let mut detector = AbuseDetector::new(0, 10);
+    detector.call_started();
+    detector.frame_received(SECOND, PeerFrame::Call);
+    assert_eq!((detector.next_timeout(), detector.on_timeout(15 * SECOND)), (16 * SECOND, None));
+    assert_eq!(
+        (detector.on_timeout(16 * SECOND), detector.on_timeout(17 * SECOND)),
+        (Some(KeepaliveAction::Ping), None)
+    );
+    // Any frame is an answer.
+    detector.frame_received(18 * SECOND, PeerFrame::Small);
+    assert_eq!(
+        (detector.next_timeout(), detector.on_timeout(33 * SECOND)),
+        (33 * SECOND, Some(KeepaliveAction::Ping))
+    );
+    assert_eq!(
+        (detector.on_timeout(42 * SECOND), detector.on_timeout(43 * SECOND)),
+        (None, Some(KeepaliveAction::PeerGone))
+    );
+    // Without calls nothing is pinged; the connection is closed once it is idle for long.
     let mut idle = AbuseDetector::new(0, 10);
     idle.call_started();
-    idle.call_ended(S);
+    idle.call_ended(SECOND);
     assert_eq!(
-        (idle.on_timeout(299 * S), idle.on_timeout(301 * S)),
+        (idle.on_timeout(299 * SECOND), idle.on_timeout(301 * SECOND)),
         (None, Some(KeepaliveAction::CloseIdle))
     );
 }
--- a/gateway-core/tests/ingress_limits.rs
+++ b/gateway-core/tests/ingress_limits.rs
@@ -3,7 +3,7 @@
 use petrelshore_gateway_core::ingress_limits::{IngressError, IngressLimits};
 
 #[test]
-fn connections_and_unread_bytes_are_bounded_in_all_and_for_each_address() {
+fn connections_and_bytes_are_bounded_in_total_and_per_address() {
     let mut limits = IngressLimits::new(200, 1000);
     let first = (0..200).filter(|_| limits.acquire_connection(1).is_ok()).count();
     assert_eq!(
