--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -14,7 +14,9 @@
 };
 use petrelshore_gateway_core::cache_releases::{CacheRelease, ReleaseOutcome};
 use petrelshore_gateway_core::{Chooser, Counts, Dispatch};
-use petrelshore_inventory::{Change, Doubt, Format, Guard, Membership, Problem, kept, read_list};
+use petrelshore_inventory::{
+    Change, ChangeGuard, Format, Membership, Problem, SuspiciousChange, cached_list, read_list,
+};
 use petrelshore_runtime::Clock;
 use petrelshore_runtime::TimerDriver;
 use petrelshore_settings::Settings;
@@ -36,7 +38,7 @@
     Unreadable(String),
     Refused(Vec<Problem>),
     /// It reads well and is not believed.
-    Doubted(Doubt),
+    Doubted(SuspiciousChange),
 }
 
 impl std::fmt::Display for ReloadError {
@@ -72,7 +74,7 @@
     client: Client,
     requests: RefCell<BufferedRequests<Rc<RawValue>>>,
     membership: RefCell<Membership>,
-    guard: RefCell<Guard>,
+    guard: RefCell<ChangeGuard>,
     addresses: RefCell<BTreeMap<ServerId, SocketAddr>>,
     /// Where servers were reached that are listed no more, the last to leave at the end: they may run on.
     former: RefCell<VecDeque<(ServerId, SocketAddr)>>,
@@ -140,10 +142,10 @@
 
     fn first_list(&self) -> Result<(), ReloadError> {
         let inner = &self.0;
-        match kept::load(&inner.settings.kept, inner.clock.now()) {
-            Ok(Some((list, since))) => {
-                info!(servers = list.servers.len(), "starting from the list of an earlier run");
-                let change = inner.membership.borrow_mut().remember(list, since);
+        match cached_list::load(&inner.settings.kept, inner.clock.now()) {
+            Ok(Some(cached)) => {
+                info!(servers = cached.list.servers.len(), "starting from the list of an earlier run");
+                let change = inner.membership.borrow_mut().restore(cached);
                 inner.listed(change);
             }
             Ok(None) => {}
@@ -164,11 +166,12 @@
         let inner = &self.0;
         let file = &inner.settings.inventory;
         let unreadable = |what: String| ReloadError::Unreadable(format!("{}: {what}", file.display()));
-        let format = Format::of(file).ok_or_else(|| unreadable("is neither .csv nor .yaml".to_owned()))?;
+        let format =
+            Format::from_path(file).ok_or_else(|| unreadable("is neither .csv nor .yaml".to_owned()))?;
         let text = std::fs::read_to_string(file).map_err(|error| unreadable(error.to_string()))?;
         let list = read_list(file, format, &text, &inner.settings.kinds).map_err(ReloadError::Refused)?;
         let count = list.servers.len();
-        let believed = inner.guard.borrow_mut().judge(inner.membership.borrow().list(), &list);
+        let believed = inner.guard.borrow_mut().check(inner.membership.borrow().list(), &list);
         believed.map_err(ReloadError::Doubted)?;
         let change = inner.membership.borrow_mut().replace(inner.clock.now(), list);
         inner.listed(change);
@@ -402,7 +405,7 @@
         self.told(dispatch.server, load);
         self.detach(dispatch.id, dispatch.attempt);
         if ending == AttemptEnd::NotConnected {
-            let change = self.membership.borrow_mut().absent(self.clock.now(), dispatch.server);
+            let change = self.membership.borrow_mut().unreachable(self.clock.now(), dispatch.server);
             change.into_iter().for_each(|change| self.listed(change));
         }
         self.tell(|requests, now, out| requests.attempt_ended(now, &dispatch, ending, out));
@@ -420,7 +423,7 @@
         let Some(load) = load else { return };
         let now = self.clock.now();
         if let Some(seconds) = load.started_seconds {
-            let change = self.membership.borrow_mut().told_start(now, server, (seconds * 1e9) as Nanos);
+            let change = self.membership.borrow_mut().start_reported(now, server, (seconds * 1e9) as Nanos);
             change.into_iter().for_each(|change| self.listed(change));
         }
         if load.memory_share.is_some() || load.queued_prompt_tokens.is_some() {
@@ -460,7 +463,7 @@
         self.spawner.run(async move {
             let mut failures = 1;
             loop {
-                Timer::after(kept::store_again_after(failures)).await;
+                Timer::after(cached_list::store_backoff(failures)).await;
                 if inner.store_list() {
                     break;
                 }
@@ -473,7 +476,7 @@
     /// Stores the list as it is now; whether that went well.
     fn store_list(&self) -> bool {
         let (membership, file) = (self.membership.borrow(), &self.settings.kept);
-        let stored = kept::store(file, membership.list(), membership.since(), self.clock.now());
+        let stored = cached_list::store(file, membership.list(), membership.start_times(), self.clock.now());
         if let Err(error) = &stored {
             warn!(%error, file = %file.display(), "the list could not be kept for a later run");
         }
--- a/inventory/src/lib.rs
+++ b/inventory/src/lib.rs
@@ -1,47 +1,22 @@
-//! The inventory of model servers: read as it is kept, judged whole, and merged with what connections show.
+//! The inventory of model servers: read from a file, checked as one list, and merged with what connections show.
 //!
-//! [`read_list`] turns the text of a CSV or YAML file into a [`List`], or says every problem with file, line and
-//! field. [`Membership`] keeps the last good list and tells the decisions what changes. [`kept`] is how that list
-//! outlives a kill. Only [`kept::store`] and [`kept::load`] touch the disk.
+//! [`read_list`] turns the text of a CSV or YAML file into an [`EndpointList`], or reports every problem with its file,
+//! line and field. [`Membership`] holds the last good list and reports changes to the scheduler. [`cached_list`] is how
+//! that list survives a kill. Only [`cached_list::store`] and [`cached_list::load`] touch the disk.
 
-mod formats;
-mod guard;
-pub mod kept;
+pub mod cached_list;
+mod change_guard;
+mod csv_entries;
+mod endpoint_list;
+mod entry;
+mod entry_validation;
+mod list_file;
 mod membership;
+mod problem;
+mod yaml_entries;
 
-pub use formats::{Format, Problem, read_list};
-pub use guard::{Doubt, Guard};
+pub use change_guard::{ChangeGuard, SuspiciousChange};
+pub use endpoint_list::{EndpointList, Server};
+pub use list_file::{Format, read_list};
 pub use membership::{Change, Membership};
-
-use petrelshore::interface::{EndpointState, ServerId};
-use petrelshore_gateway_core::fingerprint::stable_id;
-use std::net::SocketAddr;
-
-/// A model server as the list has it.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Server {
-    pub name: String,
-    pub address: SocketAddr,
-    pub kind: String,
-    pub cell: String,
-    pub zone: String,
-    pub weight: f64,
-    pub draining: bool,
-}
-
-impl Server {
-    /// The same at every gateway.
-    pub fn id(&self) -> ServerId {
-        ServerId(stable_id(&self.name))
-    }
-
-    pub fn condition(&self) -> EndpointState {
-        if self.draining { EndpointState::Draining } else { EndpointState::Ready }
-    }
-}
-
-/// A whole list, ordered by name, each name and address once.
-#[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct List {
-    pub servers: Vec<Server>,
-}
+pub use problem::Problem;
