--- a/bench-adapter/src/decode.rs
+++ b/bench-adapter/src/decode.rs
@@ -1,10 +1,11 @@
 //! Lines of the wire, field by field. What is malformed is named, never guessed.
 
 use petrelshore::interface::*;
-pub use petrelshore_platform_protocol::Malformed;
-use petrelshore_platform_protocol::load::{self, Field};
+use petrelshore_platform_protocol::load_report::{self, Field};
 use std::str::FromStr;
 
+pub type Malformed = String;
+
 /// One line: a message's kind and its fields. A text field runs to the end of the line.
 pub struct Line<'a> {
     pub kind: &'a str,
@@ -95,6 +96,6 @@
 
     pub fn report(&self, fields: &[Field]) -> Result<Option<LoadReport>, Malformed> {
         let Some(row) = self.text("healthInfo").filter(|_| !fields.is_empty()) else { return Ok(None) };
-        load::row(row, fields).map(Some).ok_or_else(|| self.wrong("healthInfo", row))
+        load_report::decode_row(row, fields).map(Some).ok_or_else(|| self.wrong("healthInfo", row))
     }
 }
--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use petrelshore::interface::*;
 use petrelshore_gateway_core::fingerprint::stable_id;
 use petrelshore_gateway_core::{Action, Dispatch, NewSequence, Relay, RequestManager};
-use petrelshore_platform_protocol::settings::{Names, settings};
+use petrelshore_platform_protocol::settings::{self, Names};
 use std::collections::HashMap;
 use std::fmt::Write;
 
@@ -22,7 +22,8 @@
     pub fn configure(number: u64, now: Nanos, line: &Line, reply: &mut String) -> Result<Self, Malformed> {
         let options = serde_json::from_str(line.need("options")?);
         let options = options.map_err(|error| format!("CONFIGURE: field options: {error}"))?;
-        let (deployment, names) = settings(&options).map_err(|wrong| format!("CONFIGURE: {wrong}"))?;
+        let (deployment, names) =
+            settings::decode(&options).map_err(|wrong| format!("CONFIGURE: {wrong}"))?;
         if deployment.discovery == Discovery::Polled {
             let _ = writeln!(reply, "SUBSCRIBE i={number} want=1");
         }
@@ -39,7 +40,7 @@
         let tenant = match line.text("team") {
             None | Some("0") => None,
             Some(team) => {
-                let place = self.names.tenants.place(team);
+                let place = self.names.tenants.id(team);
                 Some(place.ok_or_else(|| line.wrong("team", team))?)
             }
         };
--- a/capacity/src/slopes.rs
+++ b/capacity/src/slopes.rs
@@ -7,7 +7,7 @@
 use crate::warm::{Load, WARM_UP, Warm};
 use petrelshore::interface::*;
 use petrelshore_gateway_core::Chooser;
-use petrelshore_platform_protocol::list::listed;
+use petrelshore_platform_protocol::endpoint_list;
 use petrelshore_platform_protocol::settings::Names;
 use petrelshore_platform_protocol::tenants::Tenants;
 use serde::Serialize;
@@ -236,7 +236,7 @@
     let (mut decode, mut apply, mut next) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..LIST_ROUNDS {
         let from = Instant::now();
-        let list = serde_json::from_str(text).ok().and_then(|json| listed(&json, &names).ok());
+        let list = serde_json::from_str(text).ok().and_then(|json| endpoint_list::decode(&json, &names).ok());
         decode.push(from.elapsed());
         let Some(list) = list else { continue };
         let endpoints: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
--- a/cli/src/platform.rs
+++ b/cli/src/platform.rs
@@ -10,7 +10,7 @@
 use petrelshore_ingress::listener::bind;
 use petrelshore_platform_gateway::{Service, discovery};
 use petrelshore_platform_ingress::Clients;
-use petrelshore_platform_protocol::config::{Config, config};
+use petrelshore_platform_protocol::config::{self, Config};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
     let file = std::env::var(FILE).map_err(|_| NoConfig::Malformed(format!("{FILE} is not set")))?;
     let text =
         std::fs::read_to_string(&file).map_err(|error| NoConfig::Unread(format!("{file}: {error}")))?;
-    config(&text).map_err(|what| NoConfig::Malformed(format!("{file}: {what}")))
+    config::decode(&text).map_err(|what| NoConfig::Malformed(format!("{file}: {what}")))
 }
 
 /// Reads the file at the start, again where it could not be read.
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -30,8 +30,8 @@
 pub fn check(file: &Path) -> Result<(), String> {
     let settings = settings(file)?;
     let inventory = &settings.inventory;
-    let format =
-        Format::from_path(inventory).ok_or_else(|| format!("{}: is neither .csv nor .yaml", inventory.display()))?;
+    let format = Format::from_path(inventory)
+        .ok_or_else(|| format!("{}: is neither .csv nor .yaml", inventory.display()))?;
     let text =
         std::fs::read_to_string(inventory).map_err(|error| format!("{}: {error}", inventory.display()))?;
     let list = read_list(inventory, format, &text, &settings.kinds).map_err(|problems| lines(&problems))?;
--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -11,7 +11,7 @@
 use petrelshore_http1::connecting::Unconnected;
 use petrelshore_http1::head::AnswerHead;
 use petrelshore_http1::wire::{Broken, Wire};
-use petrelshore_platform_protocol::load::{self, Field};
+use petrelshore_platform_protocol::load_report::{self, Field};
 use petrelshore_runtime::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -376,7 +376,7 @@
     }
 
     fn load_of(&self, head: &AnswerHead) -> Option<LoadReport> {
-        load::pairs(head.fields.only("Srv-Load")?, &self.fields)
+        load_report::decode_pairs(head.fields.only("Srv-Load")?, &self.fields)
     }
 }
 
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -6,7 +6,7 @@
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_http1::body::{Body, Framing};
 use petrelshore_http1::head::AnswerHead;
-use petrelshore_platform_protocol::load;
+use petrelshore_platform_protocol::load_report;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -77,7 +77,9 @@
                 return Err(AttemptEnd::Malformed);
             }
             let told = line.strip_prefix(LOAD.as_bytes()).and_then(|text| std::str::from_utf8(text).ok());
-            self.load = told.and_then(|text| load::pairs(text.trim(), &self.client.fields)).or(self.load);
+            self.load = told
+                .and_then(|text| load_report::decode_pairs(text.trim(), &self.client.fields))
+                .or(self.load);
         }
         Ok(())
     }
--- a/platform-engine-client/tests/server_behaviour.rs
+++ b/platform-engine-client/tests/server_behaviour.rs
@@ -6,7 +6,7 @@
 use petrelshore_emulator::platform::{Manner, ModelServer, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_platform_engine_client::{AttemptRequest, Client, SendPermission};
-use petrelshore_platform_protocol::load::{Field, Measure};
+use petrelshore_platform_protocol::load_report::{Field, Measure};
 use petrelshore_runtime::Clock;
 use std::cell::Cell;
 use std::io::{Read, Write};
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -7,8 +7,7 @@
 use petrelshore::interface::Nanos;
 use petrelshore_http1::body::Body;
 use petrelshore_http1::wire::{Broken, Wire};
-use petrelshore_platform_protocol::Malformed;
-use petrelshore_platform_protocol::list::{Listed, listed};
+use petrelshore_platform_protocol::endpoint_list::{self, EndpointList};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -80,10 +79,10 @@
     }
 }
 
-type ListRequest<'a> = Pin<Box<dyn Future<Output = Result<(Wire, Listed), Malformed>> + 'a>>;
+type ListRequest<'a> = Pin<Box<dyn Future<Output = Result<(Wire, EndpointList), String>> + 'a>>;
 
 /// The whole list, by the first call that has it, and the connection that it came on.
-async fn whole(service: &Service, address: SocketAddr, waits: Waits) -> (Wire, Listed) {
+async fn whole(service: &Service, address: SocketAddr, waits: Waits) -> (Wire, EndpointList) {
     let mut calls: Vec<ListRequest<'_>> = Vec::new();
     let mut last_patient = None;
     loop {
@@ -130,8 +129,8 @@
     address: SocketAddr,
     waits: Waits,
     mut wire: Wire,
-    mut list: Listed,
-) -> Malformed {
+    mut list: EndpointList,
+) -> String {
     loop {
         for what in &list.left_out {
             warn!(%what, "discovery: an entry is left out");
@@ -160,7 +159,7 @@
     since: &str,
     within: Duration,
     service: &Service,
-) -> Result<Listed, Malformed> {
+) -> Result<EndpointList, String> {
     let asked = async {
         let message = format!("GET /v1/servers{since} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         wire.write(message.as_bytes()).await.map_err(|error| error.to_string())?;
@@ -183,7 +182,7 @@
             return Err(format!("status {}", head.status));
         }
         let json = serde_json::from_slice(&data).map_err(|error| error.to_string())?;
-        listed(&json, service.names())
+        endpoint_list::decode(&json, service.names()).map_err(|error| error.to_string())
     };
     let late = async {
         Timer::after(within).await;
--- a/platform-gateway/src/service.rs
+++ b/platform-gateway/src/service.rs
@@ -15,7 +15,7 @@
 use petrelshore_ingress::listener::BodyReservation;
 use petrelshore_platform_engine_client::{AttemptRequest, Client, SendPermission};
 use petrelshore_platform_protocol::config::Config;
-use petrelshore_platform_protocol::list::Listed;
+use petrelshore_platform_protocol::endpoint_list::EndpointList;
 use petrelshore_platform_protocol::settings::Names;
 use petrelshore_runtime::{Clock, Spawner, TimerDriver};
 use std::cell::{Cell, RefCell};
@@ -103,7 +103,7 @@
             spawner,
         };
         let service = Service(Rc::new(inner));
-        service.update_endpoints(Listed { scope: SnapshotKind::Cached, ..config.known });
+        service.update_endpoints(EndpointList { scope: SnapshotKind::Cached, ..config.known });
         let inner = service.0.clone();
         service.0.spawner.run(async move {
             let next_due = || inner.requests.borrow().next_timeout();
@@ -138,7 +138,7 @@
     }
 
     /// The list of servers, or what has changed in it.
-    pub fn update_endpoints(&self, list: Listed) {
+    pub fn update_endpoints(&self, list: EndpointList) {
         let inner = &self.0;
         inner.requests.borrow_mut().update_endpoints(inner.clock.now(), list.scope, &list.entries);
         let listed = inner.requests.borrow().server_addresses();
--- a/platform-gateway/tests/service.rs
+++ b/platform-gateway/tests/service.rs
@@ -10,7 +10,7 @@
 use petrelshore_gateway_core::{NewSequence, Relay};
 use petrelshore_ingress::listener::BodyReservation;
 use petrelshore_platform_gateway::{Answer, Message, Next, Service};
-use petrelshore_platform_protocol::config::config;
+use petrelshore_platform_protocol::config;
 use petrelshore_runtime::Spawner;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let config = config(&config_text(nowhere, nowhere, &entries.join(","))).unwrap();
+    let config = config::decode(&config_text(nowhere, nowhere, &entries.join(","))).unwrap();
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(async {
         let service = Service::start(config, 20, Spawner::new(&executor));
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -16,7 +16,7 @@
 use petrelshore_ingress::listener::{BodyReservation, stall_timeout};
 use petrelshore_platform_engine_client::SET;
 use petrelshore_platform_gateway::{Answer, Message, Next};
-use petrelshore_platform_protocol::request::sequence;
+use petrelshore_platform_protocol::request_head;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::debug;
@@ -212,7 +212,8 @@
         .or_else(|_| turned(400, "the body is not JSON"))?;
 
     let field = |name: &str| head.fields.only(name);
-    let new = sequence(field, clients.service().names(), since.came).or_else(|what| turned(400, what))?;
+    let new = request_head::decode(field, clients.service().names(), since.came)
+        .or_else(|error| turned(400, error.to_string()))?;
     let id = Rc::from(field("Req-Id").unwrap_or_default());
     let peer = wire.peer();
     if peer.has_left() {
--- a/platform-protocol/src/config.rs
+++ b/platform-protocol/src/config.rs
@@ -1,56 +1,78 @@
 //! The file that a gateway of the platform starts from.
 
-use crate::Malformed;
-use crate::list::{Listed, listed};
-use crate::settings::{Names, at, each, flag, list, nanos, settings, word, wrong};
+use crate::endpoint_list::{self, EndpointList};
+use crate::error::DecodeError;
+use crate::json::{array, at, boolean, decode_each, invalid, nanos, string};
+use crate::settings::{self, Names};
 use petrelshore::interface::{Deployment, Nanos, StartTimeClock};
 use serde_json::Value;
 use std::net::SocketAddr;
 
+const BYTES_PER_MEGABYTE: usize = 1 << 20;
+
+/// What a gateway starts from.
 #[derive(Debug)]
 pub struct Config {
+    /// The gateway's name.
     pub name: String,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
+    /// Where it follows the endpoint list.
     pub discovery: SocketAddr,
+    /// The seed of its random draws.
     pub seed: u64,
+    /// The memory that it may use.
     pub memory_bytes: usize,
+    /// The file descriptors that it may use.
     pub descriptors: usize,
-    pub known: Listed,
+    /// The model servers known when the file was written.
+    pub known: EndpointList,
+    /// What the scheduler needs to know of the deployment.
     pub deployment: Deployment,
+    /// The names that lists and requests use.
     pub names: Names,
-    /// Nothing new may go to a server later than this after word that it drains or is gone.
+    /// Nothing new may go to a server later than this after a notice that it is draining or gone.
     pub drain_grace: Nanos,
     /// A model server closes a connection that was idle for so long.
     pub idle_for: Nanos,
-    /// Clients ask for the rest of a stream that broke.
+    /// Whether clients request the rest of a stream that broke.
     pub clients_resume: bool,
     /// The longest time for which a client waits for a first token.
     pub longest_abandon: Nanos,
 }
 
-pub fn config(text: &str) -> Result<Config, Malformed> {
-    let json: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    let address = |field: &str| -> Result<SocketAddr, Malformed> {
-        word(&json, field)?.parse().map_err(|_| wrong(field, &json[field]))
-    };
-    let seed = u64::from_str_radix(word(&json, "seed")?, 16).map_err(|_| wrong("seed", &json["seed"]))?;
-    let s = at(&json, "settings")?;
-    let (mut deployment, names) = settings(s)?;
+/// Decodes the text of a configuration file.
+///
+/// # Errors
+/// The first field that is missing or malformed.
+pub fn decode(text: &str) -> Result<Config, DecodeError> {
+    let json: Value = serde_json::from_str(text).map_err(DecodeError::Json)?;
+    let seed = string(&json, "seed")?;
+    let seed = u64::from_str_radix(seed, 16).map_err(|_| invalid("seed", &json["seed"]))?;
+    let settings = at(&json, "settings")?;
+    let (mut deployment, names) = settings::decode(settings)?;
     deployment.start_time_clock = StartTimeClock::Wall;
-    let limits = each("lanes", list(s, "lanes")?, |lane| nanos(lane, "hardLimit"))?;
+    let abandon_times = decode_each("lanes", array(settings, "lanes")?, |lane| nanos(lane, "hardLimit"))?;
     Ok(Config {
-        name: word(&json, "name")?.to_owned(),
-        listen: address("listen")?,
-        discovery: address("discovery")?,
+        name: string(&json, "name")?.to_owned(),
+        listen: address(&json, "listen")?,
+        discovery: address(&json, "discovery")?,
         seed,
-        memory_bytes: (nanos(&json, "limits.memory_mb")? as usize).saturating_mul(1 << 20),
+        memory_bytes: (nanos(&json, "limits.memory_mb")? as usize).saturating_mul(BYTES_PER_MEGABYTE),
         descriptors: nanos(&json, "limits.sockets")? as usize,
-        known: listed(at(&json, "known")?, &names)?,
-        drain_grace: nanos(s, "rules.drainGrace")?,
-        idle_for: nanos(s, "allowed.connIdle")?,
-        clients_resume: flag(s, "specifics.resume")?,
-        longest_abandon: limits.into_iter().max().ok_or_else(|| wrong("lanes", &s["lanes"]))?,
+        known: endpoint_list::decode(at(&json, "known")?, &names)?,
+        drain_grace: nanos(settings, "rules.drainGrace")?,
+        idle_for: nanos(settings, "allowed.connIdle")?,
+        clients_resume: boolean(settings, "specifics.resume")?,
+        longest_abandon: abandon_times
+            .into_iter()
+            .max()
+            .ok_or_else(|| invalid("lanes", &settings["lanes"]))?,
         deployment,
         names,
     })
 }
+
+fn address(json: &Value, field: &str) -> Result<SocketAddr, DecodeError> {
+    string(json, field)?.parse().map_err(|_| invalid(field, &json[field]))
+}
--- a/platform-protocol/src/settings.rs
+++ b/platform-protocol/src/settings.rs
@@ -1,176 +1,214 @@
-//! The settings object, by the names of the simulator's wire.
+//! The settings object, by the names of the bench's wire.
 
-use crate::Malformed;
-use crate::load::{Field, fields};
+use crate::error::DecodeError;
+use crate::json::{array, at, boolean, decode_each, invalid, nanos, non_negative, number, string, strings};
+use crate::load_report::{Field, fields};
 use crate::tenants::Tenants;
-use petrelshore::interface::*;
+use petrelshore::interface::{
+    Delivery, Deployment, Discovery, Idempotency, KeyScope, Nanos, Role, ServerKind, StartTimeClock, Tenant,
+    TrafficType, Weights, ZoneId,
+};
 use serde_json::Value;
 
+const LATENCY_SLO_PER_TOKEN: &str = "specifics.aimUsPer1000PromptTokens";
+const TOKEN_INTERVAL: &str = "specifics.tokenAim";
+const KIND_ROLE: &str = "specifics.kindRole";
+const KIND_MEMORY: &str = "specifics.memoryTokens";
+/// The factor of a deployment without tenants: nothing is over its quota.
+const NO_OVER_QUOTA_FACTOR: f64 = 1.0;
+
 /// The names that settings give to what the wire then calls by name.
 #[derive(Debug)]
 pub struct Names {
+    /// Names of traffic types, by id.
     pub types: Vec<String>,
+    /// Names of tenants.
     pub tenants: Tenants,
+    /// Names of zones, by id.
     pub zones: Vec<String>,
+    /// Names of server kinds, by id.
     pub kinds: Vec<String>,
+    /// The fields of load reports.
     pub report: Vec<Field>,
 }
 
-pub(crate) fn at<'a>(value: &'a Value, path: &str) -> Result<&'a Value, Malformed> {
-    let found = path.split('.').try_fold(value, |value, key| value.get(key));
-    found.ok_or_else(|| format!("setting {path} is missing"))
-}
-
-pub(crate) fn wrong(path: &str, value: &Value) -> Malformed {
-    format!("setting {path} is malformed or out of range: {value}")
-}
-
-pub(crate) fn nanos(value: &Value, path: &str) -> Result<Nanos, Malformed> {
-    let value = at(value, path)?;
-    value.as_u64().filter(|&n| n < u64::MAX / 8).ok_or_else(|| wrong(path, value))
+/// Decodes the settings of a gateway: what the scheduler needs, and the names that lists and requests then use.
+///
+/// # Errors
+/// The first setting that is missing or malformed.
+pub fn decode(settings: &Value) -> Result<(Deployment, Names), DecodeError> {
+    let orgs = settings.get("orgs").map_or(Ok(&[][..]), |_| array(settings, "orgs"))?;
+    let names = names(settings, orgs)?;
+    let deployment = deployment(settings, orgs, &names)?;
+    Ok((deployment, names))
 }
 
-pub(crate) fn number(value: &Value, path: &str) -> Result<f64, Malformed> {
-    let value = at(value, path)?;
-    value.as_f64().filter(|n| n.is_finite() && *n >= 0.0).ok_or_else(|| wrong(path, value))
+fn names(settings: &Value, orgs: &[Value]) -> Result<Names, DecodeError> {
+    let name = |entry: &Value| string(entry, "name").map(str::to_owned);
+    Ok(Names {
+        types: decode_each("lanes", array(settings, "lanes")?, name)?,
+        tenants: decode_each("orgs", orgs, name)?.into_iter().collect(),
+        zones: strings(settings, "dcs")?,
+        kinds: strings(settings, "kinds")?,
+        report: fields(settings)?,
+    })
 }
 
-pub(crate) fn flag(value: &Value, path: &str) -> Result<bool, Malformed> {
-    let value = at(value, path)?;
-    value.as_bool().ok_or_else(|| wrong(path, value))
+fn deployment(settings: &Value, orgs: &[Value], names: &Names) -> Result<Deployment, DecodeError> {
+    let zone = own_zone(settings, names)?;
+    let traffic_rows = traffic_rows(settings, names)?;
+    let kind_rows = kind_rows(settings, names)?;
+    let tenants = decode_each("orgs", orgs, |org| Ok(Tenant { per_second: number(org, "quotaRps")? }))?;
+    let discovery = discovery(settings)?;
+    Ok(Deployment {
+        gateways: nanos(settings, "balancers")?.max(1) as usize,
+        zone,
+        types: traffic_types(&traffic_rows)?,
+        kinds: kind_rows.iter().map(server_kind).collect::<Result<_, _>>()?,
+        tenants,
+        over_quota_factor: over_quota_factor(settings, orgs)?,
+        weights: weights(settings)?,
+        discovery,
+        max_poll_interval: max_poll_interval(settings, discovery)?,
+        max_attempts: nanos(settings, "allowed.maxAttempts")? as usize,
+        max_retry_after: max_retry_after(settings)?,
+        decode_servers_prefill: boolean(settings, "specifics.readInPlace")?,
+        release_timeout: nanos(settings, "specifics.releaseWithin")?,
+        slow_start_duration: nanos(settings, "rules.cold")?,
+        slow_start_initial_share: number(settings, "rules.coldFrom")?,
+        slow_start_overload_factor: number(settings, "rules.overloadFactor")?,
+        slow_start_window: nanos(settings, "rules.overloadFor")?.max(1),
+        timer_resolution: nanos(settings, "tick")?,
+        start_time_clock: StartTimeClock::Local,
+    })
 }
 
-pub(crate) fn word<'a>(value: &'a Value, path: &str) -> Result<&'a str, Malformed> {
-    let value = at(value, path)?;
-    value.as_str().ok_or_else(|| wrong(path, value))
+fn own_zone(settings: &Value, names: &Names) -> Result<ZoneId, DecodeError> {
+    let own = string(settings, "zone")?;
+    let index = names.zones.iter().position(|zone| zone == own);
+    index.map(ZoneId).ok_or_else(|| invalid("zone", &settings["zone"]))
 }
 
-pub(crate) fn list<'a>(value: &'a Value, path: &str) -> Result<&'a [Value], Malformed> {
-    let value = at(value, path)?;
-    value.as_array().map(Vec::as_slice).ok_or_else(|| wrong(path, value))
+/// An array with one value for each of some names.
+fn one_for_each<'a>(settings: &'a Value, path: &str, names: &[String]) -> Result<&'a [Value], DecodeError> {
+    let values = array(settings, path)?;
+    if values.len() == names.len() { Ok(values) } else { Err(invalid(path, at(settings, path)?)) }
 }
 
-pub(crate) fn words(value: &Value, path: &str) -> Result<Vec<String>, Malformed> {
-    let all = list(value, path)?.iter();
-    all.map(|v| v.as_str().map(str::to_owned).ok_or_else(|| wrong(path, v))).collect()
+/// What the settings say of one traffic type, in three places.
+struct TrafficRow<'a> {
+    lane: &'a Value,
+    slo_us_per_1000_tokens: &'a Value,
+    token_interval: &'a Value,
 }
 
-/// What each entry of a list gives; what is wrong in one is told with its place.
-pub(crate) fn each<T>(
-    path: &str,
-    entries: &[Value],
-    read: impl Fn(&Value) -> Result<T, Malformed>,
-) -> Result<Vec<T>, Malformed> {
-    let read = |(n, entry)| read(entry).map_err(|what| format!("{path}[{n}]: {what}"));
-    entries.iter().enumerate().map(read).collect()
+fn traffic_rows<'a>(settings: &'a Value, names: &Names) -> Result<Vec<TrafficRow<'a>>, DecodeError> {
+    let slos = one_for_each(settings, LATENCY_SLO_PER_TOKEN, &names.types)?;
+    let intervals = one_for_each(settings, TOKEN_INTERVAL, &names.types)?;
+    let rows = array(settings, "lanes")?.iter().zip(slos.iter().zip(intervals));
+    Ok(rows
+        .map(|(lane, (slo, interval))| TrafficRow {
+            lane,
+            slo_us_per_1000_tokens: slo,
+            token_interval: interval,
+        })
+        .collect())
 }
 
-fn name(entry: &Value) -> Result<String, Malformed> {
-    word(entry, "name").map(str::to_owned)
+fn traffic_types(rows: &[TrafficRow]) -> Result<Vec<TrafficType>, DecodeError> {
+    let decode = |(index, row)| traffic_type(row).map_err(|error| error.in_entry("lanes", index));
+    rows.iter().enumerate().map(decode).collect()
 }
 
-fn traffic_type(lane: &Value, per_1000_us: &Value, pace: &Value) -> Result<TrafficType, Malformed> {
-    let effect = match word(lane, "semantics")? {
-        "free" => Idempotency::Idempotent,
-        "single_shot" => Idempotency::AtMostOnce,
-        "guarded" => {
-            let scope = match word(lane, "dedupScope")? {
-                "all" => KeyScope::Fleet,
-                "zone" => KeyScope::Zone,
-                "cell" => KeyScope::Cell,
-                _ => return Err(wrong("dedupScope", &lane["dedupScope"])),
-            };
-            Idempotency::Keyed { scope, window: nanos(lane, "window")? }
-        }
-        _ => return Err(wrong("semantics", &lane["semantics"])),
-    };
-    let per_1000_us = per_1000_us.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
+fn traffic_type(row: &TrafficRow) -> Result<TrafficType, DecodeError> {
+    let TrafficRow { lane, slo_us_per_1000_tokens: slo, token_interval: interval } = row;
+    let idempotency = idempotency(lane)?;
+    // Microseconds for a thousand tokens are nanoseconds for one.
+    let slo_per_prompt_token = |slo| non_negative(slo).map(|nanos| nanos as Nanos);
     Ok(TrafficType {
         priority_weight: number(lane, "worth")?,
         latency_slo: nanos(lane, "aim")?,
-        slo_per_prompt_token: per_1000_us.ok_or_else(|| wrong("specifics.aimUsPer1000PromptTokens", lane))?
-            as Nanos,
-        token_interval: pace.as_u64().ok_or_else(|| wrong("specifics.tokenAim", pace))?,
-        idempotency: effect,
-        delivery: if flag(lane, "streamed")? { Delivery::Streamed } else { Delivery::Buffered },
+        slo_per_prompt_token: slo_per_prompt_token(slo)
+            .ok_or_else(|| invalid(LATENCY_SLO_PER_TOKEN, lane))?,
+        token_interval: interval.as_u64().ok_or_else(|| invalid(TOKEN_INTERVAL, interval))?,
+        idempotency,
+        delivery: if boolean(lane, "streamed")? { Delivery::Streamed } else { Delivery::Buffered },
     })
 }
 
-/// The settings of a gateway: what the decisions read, and the names that lists and requests then use.
-pub fn settings(s: &Value) -> Result<(Deployment, Names), Malformed> {
-    let orgs = s.get("orgs").map_or(Ok(&[][..]), |_| list(s, "orgs"))?;
-    let names = Names {
-        types: each("lanes", list(s, "lanes")?, name)?,
-        tenants: each("orgs", orgs, name)?.into_iter().collect(),
-        zones: words(s, "dcs")?,
-        kinds: words(s, "kinds")?,
-        report: fields(s)?,
-    };
-    let zone = word(s, "zone")?;
-    let zone = names.zones.iter().position(|z| z == zone).ok_or_else(|| wrong("zone", &s["zone"]))?;
+fn idempotency(lane: &Value) -> Result<Idempotency, DecodeError> {
+    match string(lane, "semantics")? {
+        "free" => Ok(Idempotency::Idempotent),
+        "single_shot" => Ok(Idempotency::AtMostOnce),
+        "guarded" => Ok(Idempotency::Keyed { scope: key_scope(lane)?, window: nanos(lane, "window")? }),
+        _ => Err(invalid("semantics", &lane["semantics"])),
+    }
+}
 
-    let one_each = |path: &str, of: &[String]| -> Result<&[Value], Malformed> {
-        let values = list(s, path)?;
-        if values.len() == of.len() { Ok(values) } else { Err(wrong(path, at(s, path)?)) }
-    };
-    let aims = one_each("specifics.aimUsPer1000PromptTokens", &names.types)?.iter();
-    let paces = one_each("specifics.tokenAim", &names.types)?.iter();
-    let lanes = list(s, "lanes")?.iter();
-    let types = lanes.zip(aims.zip(paces)).enumerate().map(|(n, (lane, (aim, pace)))| {
-        traffic_type(lane, aim, pace).map_err(|what| format!("lanes[{n}]: {what}"))
-    });
-
-    let roles = one_each("specifics.kindRole", &names.kinds)?.iter();
-    let memories = one_each("specifics.memoryTokens", &names.kinds)?;
-    let kinds = roles.zip(memories).map(|(role, memory)| {
-        let role = match role.as_str() {
-            Some("read") => Role::Prefill,
-            Some("write") => Role::Decode,
-            Some("both") => Role::Combined,
-            _ => return Err(wrong("specifics.kindRole", role)),
-        };
-        let memory_tokens =
-            memory.as_f64().filter(|m| *m >= 1.0).ok_or_else(|| wrong("specifics.memoryTokens", memory))?;
-        Ok(ServerKind { role, memory_tokens })
-    });
-    let tenants = each("orgs", orgs, |org| Ok(Tenant { per_second: number(org, "quotaRps")? }))?;
-    let discovery = match word(s, "membershipMode")? {
-        "pushed" => Discovery::Pushed,
-        "on_request" => Discovery::Polled,
-        _ => return Err(wrong("membershipMode", &s["membershipMode"])),
-    };
+fn key_scope(lane: &Value) -> Result<KeyScope, DecodeError> {
+    match string(lane, "dedupScope")? {
+        "all" => Ok(KeyScope::Fleet),
+        "zone" => Ok(KeyScope::Zone),
+        "cell" => Ok(KeyScope::Cell),
+        _ => Err(invalid("dedupScope", &lane["dedupScope"])),
+    }
+}
 
-    let deployment = Deployment {
-        gateways: nanos(s, "balancers")?.max(1) as usize,
-        zone: ZoneId(zone),
-        types: types.collect::<Result<_, _>>()?,
-        kinds: kinds.collect::<Result<_, Malformed>>()?,
-        tenants,
-        over_quota_factor: if orgs.is_empty() { 1.0 } else { number(s, "overShareWorth")? },
-        weights: match word(s, "weights")? {
-            "nominal" | "rough" => Weights::Size,
-            // Live ones hold load that the reports tell already, as it was a while back.
-            "off" | "live" => Weights::Unused,
-            _ => return Err(wrong("weights", &s["weights"])),
-        },
-        discovery,
-        max_poll_interval: match discovery {
-            Discovery::Pushed => 0,
-            Discovery::Polled => nanos(s, "rules.askEvery")?,
-        },
-        max_attempts: nanos(s, "allowed.maxAttempts")? as usize,
-        max_retry_after: match flag(s, "allowed.retryAfter")? {
-            true => Some(nanos(s, "allowed.maxRetryAfter")?),
-            false => None,
-        },
-        decode_servers_prefill: flag(s, "specifics.readInPlace")?,
-        release_timeout: nanos(s, "specifics.releaseWithin")?,
-        slow_start_duration: nanos(s, "rules.cold")?,
-        slow_start_initial_share: number(s, "rules.coldFrom")?,
-        slow_start_overload_factor: number(s, "rules.overloadFactor")?,
-        slow_start_window: nanos(s, "rules.overloadFor")?.max(1),
-        timer_resolution: nanos(s, "tick")?,
-        start_time_clock: StartTimeClock::Local,
+/// What the settings say of one server kind, in two places.
+struct KindRow<'a> {
+    role: &'a Value,
+    memory_tokens: &'a Value,
+}
+
+fn kind_rows<'a>(settings: &'a Value, names: &Names) -> Result<Vec<KindRow<'a>>, DecodeError> {
+    let roles = one_for_each(settings, KIND_ROLE, &names.kinds)?;
+    let memories = one_for_each(settings, KIND_MEMORY, &names.kinds)?;
+    Ok(roles.iter().zip(memories).map(|(role, memory_tokens)| KindRow { role, memory_tokens }).collect())
+}
+
+fn server_kind(row: &KindRow) -> Result<ServerKind, DecodeError> {
+    let role = match row.role.as_str() {
+        Some("read") => Role::Prefill,
+        Some("write") => Role::Decode,
+        Some("both") => Role::Combined,
+        _ => return Err(invalid(KIND_ROLE, row.role)),
     };
-    Ok((deployment, names))
+    let memory_tokens = row.memory_tokens.as_f64().filter(|tokens| *tokens >= 1.0);
+    let memory_tokens = memory_tokens.ok_or_else(|| invalid(KIND_MEMORY, row.memory_tokens))?;
+    Ok(ServerKind { role, memory_tokens })
+}
+
+fn over_quota_factor(settings: &Value, orgs: &[Value]) -> Result<f64, DecodeError> {
+    if orgs.is_empty() { Ok(NO_OVER_QUOTA_FACTOR) } else { number(settings, "overShareWorth") }
+}
+
+fn weights(settings: &Value) -> Result<Weights, DecodeError> {
+    match string(settings, "weights")? {
+        "nominal" | "rough" => Ok(Weights::Size),
+        // Live ones contain load that the reports have already, as it was a while back.
+        "off" | "live" => Ok(Weights::Unused),
+        _ => Err(invalid("weights", &settings["weights"])),
+    }
+}
+
+fn discovery(settings: &Value) -> Result<Discovery, DecodeError> {
+    match string(settings, "membershipMode")? {
+        "pushed" => Ok(Discovery::Pushed),
+        "on_request" => Ok(Discovery::Polled),
+        _ => Err(invalid("membershipMode", &settings["membershipMode"])),
+    }
+}
+
+fn max_poll_interval(settings: &Value, discovery: Discovery) -> Result<Nanos, DecodeError> {
+    match discovery {
+        Discovery::Pushed => Ok(0),
+        Discovery::Polled => nanos(settings, "rules.askEvery"),
+    }
+}
+
+fn max_retry_after(settings: &Value) -> Result<Option<Nanos>, DecodeError> {
+    match boolean(settings, "allowed.retryAfter")? {
+        true => nanos(settings, "allowed.maxRetryAfter").map(Some),
+        false => Ok(None),
+    }
 }
--- a/platform-protocol/src/tenants.rs
+++ b/platform-protocol/src/tenants.rs
@@ -3,33 +3,36 @@
 use petrelshore::interface::TenantId;
 use std::collections::HashMap;
 
-/// Tenants by their places in the settings.
+/// Tenants' ids by their names. An id is the tenant's place in the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenants {
-    places: HashMap<String, TenantId>,
+    ids: HashMap<String, TenantId>,
 }
 
 impl Tenants {
+    /// Whether the settings define no tenants.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.ids.is_empty()
     }
 
+    /// How many names there are.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.ids.len()
     }
 
-    pub fn place(&self, name: &str) -> Option<TenantId> {
-        self.places.get(name).copied()
+    /// The id of a tenant.
+    pub fn id(&self, name: &str) -> Option<TenantId> {
+        self.ids.get(name).copied()
     }
 }
 
-/// Of a name that stands twice the first place counts.
+/// Of a name that comes twice the first place counts.
 impl FromIterator<String> for Tenants {
     fn from_iter<I: IntoIterator<Item = String>>(names: I) -> Self {
-        let mut places = HashMap::new();
+        let mut ids = HashMap::new();
         for (place, name) in names.into_iter().enumerate() {
-            places.entry(name).or_insert(TenantId(place));
+            ids.entry(name).or_insert(TenantId(place));
         }
-        Tenants { places }
+        Tenants { ids }
     }
 }
--- a/platform-protocol/tests/customers.rs
+++ b/platform-protocol/tests/deployment_names.rs
@@ -1,16 +1,15 @@
-//! Other customers: their names, and the order and number of their lists, decide nothing.
+//! The same deployment under other names and with its lists in another order: decisions stay the same.
 
-use petrelshore::interface::*;
+use petrelshore::interface::{Endpoint, Nanos, SnapshotKind, Step};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::{Action, RequestManager};
-use petrelshore_platform_protocol::config::{Config, config};
-use petrelshore_platform_protocol::list::listed;
-use petrelshore_platform_protocol::request::sequence;
+use petrelshore_platform_protocol::config::{self, Config};
+use petrelshore_platform_protocol::{endpoint_list, request_head};
 use serde_json::{Value, json};
 
-const MS: Nanos = 1_000_000;
+const MILLISECOND: Nanos = 1_000_000;
 
-/// How a customer writes the same deployment: what it calls each of the words, and the order of its lists.
+/// How one customer writes the same deployment: what it calls each of the words, and the order of its lists.
 struct Customer {
     word: fn(&str) -> String,
     order: fn(Vec<Value>) -> Vec<Value>,
@@ -35,8 +34,8 @@
     /// Servers come in one order for all: lots that settle ties are drawn in it.
     fn config(&self) -> Config {
         let lane = |name: &str, worth: f64, aim: u64, limit: u64, semantics: &str| {
-            json!({"name": (self.word)(name), "worth": worth, "aim": aim * MS, "hardLimit": limit * MS,
-                   "semantics": semantics, "dedupScope": "zone", "window": 2_000 * MS, "streamed": true})
+            json!({"name": (self.word)(name), "worth": worth, "aim": aim * MILLISECOND, "hardLimit": limit * MILLISECOND,
+                   "semantics": semantics, "dedupScope": "zone", "window": 2_000 * MILLISECOND, "streamed": true})
         };
         let lanes = [
             lane("chat", 2.0, 1_200, 6_000, "free"),
@@ -50,41 +49,41 @@
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
             "known": {"index": 1, "snapshot": true, "endpoints": entries},
             "settings": {
-                "allowed": {"connIdle": 15_000 * MS, "maxAttempts": 4, "maxRetryAfter": 700 * MS, "retryAfter": true},
+                "allowed": {"connIdle": 15_000 * MILLISECOND, "maxAttempts": 4, "maxRetryAfter": 700 * MILLISECOND, "retryAfter": true},
                 "balancers": 3, "dcs": self.words(&["east", "west"]), "zone": (self.word)("west"),
                 "kinds": self.words(&["reader", "writer-a", "writer-b", "both"]), "membershipMode": "pushed",
                 "orgs": self.list(&[org("isles", 4.0), org("firth", 1.0)]), "lanes": self.list(&lanes),
                 "overShareWorth": 0.1, "report": {"fields": ["inflight", "x0"], "how": "inline"},
-                "rules": {"askEvery": 10_000 * MS, "cold": 5_000 * MS, "coldFrom": 0.3, "drainGrace": 250 * MS,
-                          "overloadFactor": 2.5, "overloadFor": 1_500 * MS},
+                "rules": {"askEvery": 10_000 * MILLISECOND, "cold": 5_000 * MILLISECOND, "coldFrom": 0.3, "drainGrace": 250 * MILLISECOND,
+                          "overloadFactor": 2.5, "overloadFor": 1_500 * MILLISECOND},
                 "specifics": {
                     "aimUsPer1000PromptTokens": self.list(&[json!(40_000.0), json!(60_000.0), json!(20_000.0)]),
                     "kindRole": self.list(&["read", "write", "write", "both"].map(Value::from)),
                     "memoryTokens": self.list(&[json!(200_000), json!(150_000), json!(90_000), json!(120_000)]),
-                    "readInPlace": false, "releaseWithin": 500 * MS, "resume": false,
+                    "readInPlace": false, "releaseWithin": 500 * MILLISECOND, "resume": false,
                     "reportX0": "share of memory that is held",
-                    "tokenAim": self.list(&[json!(60 * MS), json!(80 * MS), json!(50 * MS)])},
-                "tick": 4 * MS, "weights": "off"}
+                    "tokenAim": self.list(&[json!(60 * MILLISECOND), json!(80 * MILLISECOND), json!(50 * MILLISECOND)])},
+                "tick": 4 * MILLISECOND, "weights": "off"}
         });
-        config(&text.to_string()).unwrap()
+        config::decode(&text.to_string()).unwrap()
     }
 
     /// What is decided over some hundred sequences whose servers answer, decline, break and drain: server, step and
     /// limit of each attempt, and each final answer.
     fn decided(&self) -> Vec<String> {
         let config = self.config();
-        let start = 1_000_000 * MS;
+        let start = 1_000_000 * MILLISECOND;
         let known: Vec<Endpoint> =
             config.known.entries.iter().map(|(endpoint, _)| endpoint.clone()).collect();
         let mut manager = RequestManager::new(start, config.deployment.clone(), config.seed);
         manager.update_endpoints(start, SnapshotKind::Cached, &known);
         let mut decided = Vec::new();
         for n in 0..400u64 {
-            let now = start + n * 40 * MS;
+            let now = start + n * 40 * MILLISECOND;
             if n % 100 == 50 {
                 let drains =
                     json!({"index": n, "snapshot": false, "endpoints": [self.entry(n / 100 * 4, "leaving")]});
-                let list = listed(&drains, &config.names).unwrap();
+                let list = endpoint_list::decode(&drains, &config.names).unwrap();
                 let entries: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
                 manager.update_endpoints(now, list.scope, &entries);
             }
@@ -105,17 +104,17 @@
                 "Req-Extra" => Some(extra.as_str()),
                 _ => None,
             };
-            let mut out = Vec::new();
-            manager.accept(now, sequence(field, &config.names, now).unwrap(), &mut out);
+            let mut actions = Vec::new();
+            manager.accept(now, request_head::decode(field, &config.names, now).unwrap(), &mut actions);
             let mut step = 0;
-            while let Some(action) = out.get(step).copied() {
+            while let Some(action) = actions.get(step).copied() {
                 step += 1;
                 let Action::Send(sent) = action else {
                     decided.push(format!("{n} {action:?}"));
                     continue;
                 };
                 decided.push(format!("{n} {} {:?} {}", sent.server.0, sent.step, sent.timeout));
-                let after = now + step as u64 * 5 * MS;
+                let after = now + step as u64 * 5 * MILLISECOND;
                 let ending = match (sent.step, (n + step as u64) % 7) {
                     (_, 3) => AttemptEnd::AtCapacity,
                     (_, 5) => AttemptEnd::Reset,
@@ -125,7 +124,7 @@
                         AttemptEnd::Completed
                     }
                 };
-                manager.attempt_ended(after, sent.id, sent.attempt, ending, &mut out);
+                manager.attempt_ended(after, sent.id, sent.attempt, ending, &mut actions);
             }
         }
         decided
@@ -133,7 +132,7 @@
 }
 
 #[test]
-fn lists_in_another_order_and_under_other_names_decide_the_same() {
+fn names_and_order_of_lists_do_not_change_decisions() {
     let plain = Customer { word: str::to_owned, order: |list| list };
     let decided = plain.decided();
     let count = |word: &str| decided.iter().filter(|line| line.contains(word)).count();
@@ -146,17 +145,17 @@
 }
 
 #[test]
-fn a_lane_without_its_limit_is_named() {
+fn missing_lane_limit_is_named() {
     let plain = Customer { word: str::to_owned, order: |list| list };
     let good = plain.config();
-    assert_eq!((good.longest_abandon, good.drain_grace), (10_000 * MS, 250 * MS));
+    assert_eq!((good.longest_abandon, good.drain_grace), (10_000 * MILLISECOND, 250 * MILLISECOND));
     let text = petrelshore_emulator::platform::config(good.listen, good.discovery, "");
     for (field, place) in [
         ("\"hardLimit\":4000000000,", "lanes[0]: setting hardLimit"),
         ("\"drainGrace\":2000000000,", "rules.drainGrace"),
     ] {
         assert!(text.contains(field));
-        let what = config(&text.replacen(field, "", 1)).unwrap_err();
-        assert!(what.contains(place) && what.contains("missing"), "{what}");
+        let message = config::decode(&text.replacen(field, "", 1)).unwrap_err().to_string();
+        assert!(message.contains(place) && message.contains("missing"), "{message}");
     }
 }
--- a/platform-protocol/tests/terms.rs
+++ b/platform-protocol/tests/protocol.rs
@@ -1,17 +1,17 @@
-//! Lists, configurations and heads as the platform writes them, and what is malformed in them.
+//! Endpoint lists, configurations and request heads as the platform writes them, and malformed ones.
 
-use petrelshore::interface::*;
+use petrelshore::interface::{
+    CellId, Delivery, EndpointState, Idempotency, KeyScope, Nanos, PrefixId, SequenceId, ServerId,
+    ServerKindId, SnapshotKind, TenantId, TrafficTypeId, Weights, ZoneId,
+};
 use petrelshore_gateway_core::Relay;
 use petrelshore_gateway_core::fingerprint::stable_id;
-use petrelshore_platform_protocol::config::config;
-use petrelshore_platform_protocol::list::listed;
-use petrelshore_platform_protocol::load;
-use petrelshore_platform_protocol::request::sequence;
-use petrelshore_platform_protocol::settings::{Names, settings};
+use petrelshore_platform_protocol::settings::Names;
 use petrelshore_platform_protocol::tenants::Tenants;
+use petrelshore_platform_protocol::{config, endpoint_list, load_report, request_head, settings};
 use serde_json::{Value, json};
 
-const S: Nanos = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 
 fn names() -> Names {
     let of = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_change_is_told_from_a_whole_list_and_one_bad_entry_does_not_hide_the_others() {
+fn delta_differs_from_full_list_and_bad_entries_are_left_out() {
     let entry = |name: &str, status: &str, since: u64| {
         json!({"name": name, "address": "10.1.0.18:9000", "zone": "west", "type": "writer", "group": 3,
                "status": status, "weight": 1.0, "since_ms": since})
@@ -34,7 +34,7 @@
     bad["type"] = json!("oracle");
     let told = json!({"index": 43, "snapshot": false, "endpoints": [
         entry("a", "leaving", 1_764_600_000_000), bad, entry("b", "left", 0), entry("c", "asleep", 0)]});
-    let list = listed(&told, &names()).unwrap();
+    let list = endpoint_list::decode(&told, &names()).unwrap();
     assert_eq!((list.index, list.scope, list.entries.len()), (43, SnapshotKind::Delta, 2));
     let (first, address) = &list.entries[0];
     assert_eq!(
@@ -44,18 +44,24 @@
     assert_eq!((first.zone, first.state), (ZoneId(1), EndpointState::Draining));
     assert_eq!(
         (first.started_at, address.port()),
-        (1_764_600_000 * S, 9000),
+        (1_764_600_000 * SECOND, 9000),
         "Unix time in whole nanoseconds"
     );
     assert_eq!(list.entries[1].0.state, EndpointState::Gone);
-    assert!(list.left_out[0].contains("endpoints[1]: setting type") && list.left_out[1].contains("status"));
+    let left_out: Vec<String> = list.left_out.iter().map(ToString::to_string).collect();
+    assert!(left_out[0].contains("endpoints[1]: setting type") && left_out[1].contains("status"));
     let whole = json!({"index": 1, "snapshot": true, "endpoints": []});
-    assert_eq!(listed(&whole, &names()).unwrap().scope, SnapshotKind::Full);
-    assert!(listed(&json!({"index": 1, "endpoints": []}), &names()).unwrap_err().contains("snapshot"));
+    assert_eq!(endpoint_list::decode(&whole, &names()).unwrap().scope, SnapshotKind::Full);
+    assert!(
+        endpoint_list::decode(&json!({"index": 1, "endpoints": []}), &names())
+            .unwrap_err()
+            .to_string()
+            .contains("snapshot")
+    );
 }
 
 #[test]
-fn a_head_becomes_a_sequence_and_its_time_ends_a_little_before_its_clients() {
+fn head_becomes_a_sequence_with_a_deadline_before_its_clients() {
     let head = |name: &str| match name {
         "Req-Id" => Some("9b1f03aa5c7e2d41"),
         "Req-Kind" => Some("trace"),
@@ -65,14 +71,14 @@
         "Req-Retry" => Some("again"),
         _ => None,
     };
-    let new = sequence(head, &names(), 100 * S).unwrap();
+    let new = request_head::decode(head, &names(), 100 * SECOND).unwrap();
     assert_eq!(
         (new.id, new.traffic, new.resumed),
         (SequenceId(0x9b1f_03aa_5c7e_2d41), TrafficTypeId(1), true)
     );
     assert_eq!((new.prompt_tokens, new.prefix_tokens, new.max_output_tokens), (5120.0, 2048.0, 800.0));
     assert_eq!((new.prefix, new.relay), (Some(PrefixId(0x5c0f_6e1a_2b3d_4c59)), Relay::Passthrough));
-    assert_eq!(new.first_token_deadline, 100 * S + 4_750_000_000);
+    assert_eq!(new.first_token_deadline, 100 * SECOND + 4_750_000_000);
     for (field, value) in [
         ("Req-Id", "9B1F03AA5C7E2D41"),
         ("Req-Kind", "gossip"),
@@ -85,37 +91,41 @@
         ("Req-Extra", "prompt_len=NaN,max_out=5"),
         ("Req-Extra", "prompt_len"),
     ] {
-        let wrong = sequence(|name| if name == field { Some(value) } else { head(name) }, &names(), 0);
-        assert!(wrong.as_ref().is_err_and(|what| what.starts_with(field)), "{field}: {value}: {wrong:?}");
-        let missing = sequence(|name| head(name).filter(|_| name != field), &names(), 0);
+        let wrong =
+            request_head::decode(|name| if name == field { Some(value) } else { head(name) }, &names(), 0);
+        assert!(
+            wrong.as_ref().is_err_and(|error| error.to_string().starts_with(field)),
+            "{field}: {value}: {wrong:?}"
+        );
+        let missing = request_head::decode(|name| head(name).filter(|_| name != field), &names(), 0);
         assert_eq!(missing.is_ok(), field == "Req-Key", "{field}");
     }
 }
 
 #[test]
-fn a_configuration_that_is_cut_anywhere_is_an_error_and_never_a_panic() {
+fn truncated_configuration_is_an_error_and_never_a_panic() {
     let good = r#"{"name":"n3","listen":"10.0.0.4:9000","discovery":"10.2.0.1:8500","seed":"8c1f","limits":{"memory_mb":64}}"#;
     for end in 0..good.len() {
-        assert!(config(&good[..end]).is_err(), "cut at {end}");
+        assert!(config::decode(&good[..end]).is_err(), "cut at {end}");
     }
-    assert!(config(good).unwrap_err().contains("settings"));
+    assert!(config::decode(good).unwrap_err().to_string().contains("settings"));
 }
 
 fn given() -> Value {
-    json!({"allowed": {"maxAttempts": 3, "maxRetryAfter": 2 * S, "retryAfter": true, "peers": false},
+    json!({"allowed": {"maxAttempts": 3, "maxRetryAfter": 2 * SECOND, "retryAfter": true, "peers": false},
         "balancers": 4, "dcs": ["east", "west"], "kinds": ["round", "reader"], "membershipMode": "on_request",
         "lanes": [
-            {"aim": S, "name": "chat", "semantics": "free", "streamed": true, "worth": 2.0},
-            {"aim": S, "name": "unlock", "semantics": "single_shot", "streamed": false, "worth": 1.0},
-            {"aim": S, "dedupScope": "zone", "name": "order", "semantics": "guarded", "streamed": true,
-             "window": 3 * S, "worth": 1.0}],
+            {"aim": SECOND, "name": "chat", "semantics": "free", "streamed": true, "worth": 2.0},
+            {"aim": SECOND, "name": "unlock", "semantics": "single_shot", "streamed": false, "worth": 1.0},
+            {"aim": SECOND, "dedupScope": "zone", "name": "order", "semantics": "guarded", "streamed": true,
+             "window": 3 * SECOND, "worth": 1.0}],
         "orgs": [{"name": "one", "portion": 0.5, "quotaRps": 3.5}], "overShareWorth": 0.1,
         "report": {"fields": ["outstanding", "x1", "x0"], "how": "inline"},
-        "rules": {"askEvery": S, "cold": 5 * S, "coldFrom": 0.3, "overloadFactor": 2.5, "overloadFor": S},
+        "rules": {"askEvery": SECOND, "cold": 5 * SECOND, "coldFrom": 0.3, "overloadFactor": 2.5, "overloadFor": SECOND},
         "specifics": {"aimUsPer1000PromptTokens": [40000.0, 0, 0], "kindRole": ["both", "read"],
-            "memoryTokens": [200000, 1e5], "readInPlace": false, "releaseWithin": S / 2,
+            "memoryTokens": [200000, 1e5], "readInPlace": false, "releaseWithin": SECOND / 2,
             "reportX0": "thousands of prompt tokens waiting to be read or fetched", "reportX1": "the weather",
-            "tokenAim": [S / 20, 0, 0]},
+            "tokenAim": [SECOND / 20, 0, 0]},
         "tick": 4_000_000, "weights": "live", "zone": "west"})
 }
 
@@ -136,9 +146,9 @@
 }
 
 #[test]
-fn each_setting_that_is_missing_or_of_another_form_is_named_and_unknown_ones_are_passed_over() {
-    let (good, names) = settings(&given()).unwrap();
-    let zone = Idempotency::Keyed { scope: KeyScope::Zone, window: 3 * S };
+fn malformed_setting_is_named_and_unknown_ones_are_ignored() {
+    let (good, names) = settings::decode(&given()).unwrap();
+    let zone = Idempotency::Keyed { scope: KeyScope::Zone, window: 3 * SECOND };
     assert_eq!(
         [0, 1, 2].map(|n| good.types[n].idempotency),
         [Idempotency::Idempotent, Idempotency::AtMostOnce, zone]
@@ -146,9 +156,9 @@
     assert_eq!([0, 1].map(|n| good.types[n].delivery), [Delivery::Streamed, Delivery::Buffered]);
     assert_eq!(
         (good.weights, good.timer_resolution, good.max_poll_interval),
-        (Weights::Unused, 4_000_000, S)
+        (Weights::Unused, 4_000_000, SECOND)
     );
-    let told = load::row("7,3,2", &names.report).unwrap();
+    let told = load_report::decode_row("7,3,2", &names.report).unwrap();
     assert_eq!((told.memory_share, told.queued_prompt_tokens), (None, Some(2000.0)), "as the texts say");
 
     // Read nowhere: whatever they hold changes nothing.
@@ -158,7 +168,7 @@
     for place in all {
         let (parent, key) = place.rsplit_once('/').unwrap();
         let field = place.rsplit('/').find(|key| key.parse::<usize>().is_err()).unwrap();
-        let said = |changed: &Value| settings(changed).map(|_| ());
+        let said = |changed: &Value| settings::decode(changed).map(|_| ()).map_err(|error| error.to_string());
         for wrong in [json!({"a": 1}), json!("?"), json!(-1), json!(1e300), json!(null), json!([[]])] {
             let mut changed = given();
             *changed.pointer_mut(&place).unwrap() = wrong.clone();
@@ -186,11 +196,11 @@
     let mut later = given();
     later["rules"]["later"] = json!([1]);
     later["later"] = json!({"x": 1});
-    settings(&later).unwrap();
+    settings::decode(&later).unwrap();
 }
 
 #[test]
-fn what_a_build_does_not_have_need_not_be_told() {
+fn settings_of_absent_features_may_be_missing() {
     let mut plain = given();
     let rules = plain["rules"].as_object_mut().unwrap();
     rules.remove("askEvery");
@@ -199,14 +209,45 @@
     plain["orgs"] = json!([]);
     plain["allowed"] = json!({"maxAttempts": 1, "retryAfter": false});
     plain.as_object_mut().unwrap().remove("overShareWorth");
-    let (deployment, names) = settings(&plain).unwrap();
+    let (deployment, names) = settings::decode(&plain).unwrap();
     assert_eq!((deployment.max_attempts, deployment.max_retry_after), (1, None));
     assert!(deployment.tenants.is_empty() && names.report.is_empty());
 }
 
 #[test]
-fn tenants_are_found_by_their_names_at_their_places() {
+fn tenant_names_give_the_ids_of_their_places() {
     let tenants: Tenants = (0..640).map(|n| format!("t{n}")).chain(["t5".to_owned()]).collect();
-    assert!((0..640).all(|n| tenants.place(&format!("t{n}")) == Some(TenantId(n))));
-    assert!(tenants.place("").is_none() && tenants.place("t640").is_none() && tenants.len() == 640);
+    assert!((0..640).all(|n| tenants.id(&format!("t{n}")) == Some(TenantId(n))));
+    assert!(tenants.id("").is_none() && tenants.id("t640").is_none() && tenants.len() == 640);
+}
+
+#[test]
+fn error_messages_name_the_field_and_its_value() {
+    let message = |settings: &Value| settings::decode(settings).unwrap_err().to_string();
+    let changed = |place: &str, value: Value| {
+        let mut changed = given();
+        *changed.pointer_mut(place).unwrap() = value;
+        message(&changed)
+    };
+    assert_eq!(message(&json!({})), "setting lanes is missing");
+    assert_eq!(changed("/zone", json!("north")), "setting zone is malformed or out of range: \"north\"");
+    assert_eq!(
+        changed("/lanes/1/worth", json!(-1)),
+        "lanes[1]: setting worth is malformed or out of range: -1"
+    );
+    assert_eq!(
+        changed("/lanes/2/name", json!(null)),
+        "lanes[2]: setting name is malformed or out of range: null"
+    );
+    assert_eq!(config::decode("x").unwrap_err().to_string(), "expected value at line 1 column 1");
+    let head =
+        |name: &str| (name == "Req-Id").then_some("a value of more than forty characters, which is cut");
+    assert_eq!(
+        request_head::decode(head, &names(), 0).unwrap_err().to_string(),
+        "Req-Id is malformed or out of range: 'a value of more than forty characters, w'"
+    );
+    assert_eq!(
+        request_head::decode(|_| None, &names(), 0).unwrap_err().to_string(),
+        "Req-Id is missing, unreadable, or came twice"
+    );
 }
