--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -142,7 +142,7 @@
 
     fn first_list(&self) -> Result<(), ReloadError> {
         let inner = &self.0;
-        match cached_list::load(&inner.settings.kept, inner.clock.now()) {
+        match cached_list::load(&inner.settings.cached_list, inner.clock.now()) {
             Ok(Some(cached)) => {
                 info!(servers = cached.list.servers.len(), "starting from the list of an earlier run");
                 let change = inner.membership.borrow_mut().restore(cached);
@@ -475,7 +475,7 @@
 
     /// Stores the list as it is now; whether that went well.
     fn store_list(&self) -> bool {
-        let (membership, file) = (self.membership.borrow(), &self.settings.kept);
+        let (membership, file) = (self.membership.borrow(), &self.settings.cached_list);
         let stored = cached_list::store(file, membership.list(), membership.start_times(), self.clock.now());
         if let Err(error) = &stored {
             warn!(%error, file = %file.display(), "the list could not be kept for a later run");
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -142,7 +142,7 @@
     use petrelshore_chat_gateway::Idempotency as Kind;
     let mut figures = Figures::new(settings.deployment.release_timeout, DRAIN_GRACE);
     for traffic in &settings.traffic {
-        let effect = match traffic.effect {
+        let effect = match traffic.idempotency {
             Kind::Idempotent => Effect::Repeatable,
             Kind::AtMostOnce => Effect::OnceOnly,
             Kind::Keyed { window, .. } => Effect::TokenedInCell(window),
@@ -303,7 +303,7 @@
         tried.in_time =
             answer == FinalSeen::Generated && first.is_some_and(|after| after <= kind.latency_slo);
         // A client may also come again after a broken connection where its work may run again.
-        let repeatable = matches!(traffic.effect, petrelshore_chat_gateway::Idempotency::Idempotent);
+        let repeatable = matches!(traffic.idempotency, petrelshore_chat_gateway::Idempotency::Idempotent);
         let again = matches!(answer, FinalSeen::Rejected | FinalSeen::Refused)
             || (answer == FinalSeen::Nothing && (repeatable || seen.status == 0 && seen.took < SECOND / 100));
         if !again {
--- a/e2e/src/script.rs
+++ b/e2e/src/script.rs
@@ -146,7 +146,7 @@
     let text = std::fs::read_to_string(file).map_err(|error| Problem {
         file: file.to_owned(),
         field: None,
-        what: format!("can't be read: {error}"),
+        message: format!("can't be read: {error}"),
     })?;
     read_text(file, &text)
 }
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -123,7 +123,7 @@
     let key = head.authorization.and_then(|value| value.strip_prefix("Bearer ")).map(str::trim);
     match key.and_then(|key| settings.tenant(key)) {
         Some(tenant) => Ok(Some(tenant)),
-        None if settings.open => Ok(None),
+        None if settings.allow_anonymous => Ok(None),
         None => Err(Wrong::new(
             Fault::Unauthenticated,
             match key {
--- a/settings/tests/files.rs
+++ b/settings/tests/files.rs
@@ -1,19 +1,19 @@
-//! Good and bad settings files: each bad one is refused with its place and its field.
+//! Good and bad settings files: each bad one is rejected with its place and its field.
 
-use petrelshore::interface::*;
+use petrelshore::interface::{Idempotency, TenantId, TrafficTypeId};
 use petrelshore_settings::{Settings, read, read_text};
 use std::path::Path;
 
 const GOOD: &str = include_str!("../examples/gateway.ncl");
 
-fn refused(text: &str) -> String {
+fn rejected(text: &str) -> String {
     let problems = read_text(Path::new("gw.ncl"), text).err().unwrap_or_default();
-    assert!(!problems.is_empty(), "taken: {text}");
+    assert!(!problems.is_empty(), "accepted: {text}");
     problems.iter().map(|problem| format!("{problem}\n")).collect()
 }
 
 #[test]
-fn the_example_is_read_with_its_defaults() {
+fn example_is_read_with_its_defaults() {
     let folder = std::env::temp_dir().join(format!("petrelshore-settings-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("gateway.ncl");
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn a_bad_value_is_named_with_file_line_and_field() {
+fn bad_value_is_named_with_file_line_and_field() {
     let bad = |from: &str, to: &str, named: &[&str]| {
         assert!(GOOD.contains(from));
-        let message = refused(&GOOD.replace(from, to));
+        let message = rejected(&GOOD.replace(from, to));
         assert!(named.iter().all(|name| message.contains(name)), "{message} lacks one of {named:?}");
     };
     bad("\"127.0.0.1:8080\"", "\"here\"", &["gw.ncl", ":5:", "address"]);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn every_problem_of_a_file_is_told_at_once() {
+fn every_problem_of_a_file_is_reported_at_once() {
     let text = GOOD.replace("\"4s\"", "\"1s\"").replace("\"10s\"", "\"2s\"").replace("[\"rider-key\"]", "[]");
-    assert_eq!(refused(&text).matches("field").count(), 3);
+    assert_eq!(rejected(&text).matches("field").count(), 3);
 }
 
 #[test]
-fn a_file_that_is_not_there_is_said_so() {
+fn missing_file_is_reported_with_its_path() {
     let problems = read(Path::new("/nowhere/gw.ncl")).unwrap_err();
     assert!(problems[0].to_string().contains("/nowhere/gw.ncl: can't be read"));
 }
