--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -1,193 +1,101 @@
-//! One gateway on the simulator's wire: a shell round the request manager. It decides nothing itself.
+//! One gateway on the wire: a request manager and what it needs to speak the wire. It decides nothing itself.
 
-use crate::decode::{Line, Malformed};
-use petrelshore::interface::*;
-use petrelshore_gateway_core::fingerprint::stable_id;
-use petrelshore_gateway_core::{Action, Dispatch, NewSequence, Relay, RequestManager};
-use petrelshore_platform_protocol::settings::{self, Names};
-use std::collections::HashMap;
+use crate::endpoints::ServerNames;
+use crate::error::WireError;
+use crate::event::{Configuration, Event, ServerLoad, Timer};
+use crate::line::Line;
+use crate::reply::{Command, Reply};
+use petrelshore::interface::{Discovery, Nanos};
+use petrelshore_gateway_core::{Action, Dispatch, RequestManager};
+use petrelshore_platform_protocol::settings::Names;
 use std::fmt::Write;
 
-const LIST_MARK: &str = "list";
-
-pub struct Instance {
+/// A gateway that was configured.
+pub(crate) struct Instance {
     number: u64,
     manager: RequestManager,
     names: Names,
-    servers: HashMap<ServerId, String>,
+    servers: ServerNames,
     actions: Vec<Action>,
 }
 
 impl Instance {
-    pub fn configure(number: u64, now: Nanos, line: &Line, reply: &mut String) -> Result<Self, Malformed> {
-        let options = serde_json::from_str(line.need("options")?);
-        let options = options.map_err(|error| format!("CONFIGURE: field options: {error}"))?;
-        let (deployment, names) =
-            settings::decode(&options).map_err(|wrong| format!("CONFIGURE: {wrong}"))?;
+    /// Starts a gateway, whose first replies are added to `replies`.
+    pub(crate) fn start(number: u64, now: Nanos, configuration: Configuration, replies: &mut String) -> Self {
+        let Configuration { deployment, names, seed } = configuration;
         if deployment.discovery == Discovery::Polled {
-            let _ = writeln!(reply, "SUBSCRIBE i={number} want=1");
+            write_reply(replies, number, Command::PollEndpoints);
         }
-        Ok(Instance {
+        Instance {
             number,
-            manager: RequestManager::new(now, deployment, line.whole("prng")?),
+            manager: RequestManager::new(now, deployment, seed),
             names,
-            servers: HashMap::new(),
+            servers: ServerNames::default(),
             actions: Vec::new(),
-        })
-    }
-
-    pub fn request(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), Malformed> {
-        let tenant = match line.text("team") {
-            None | Some("0") => None,
-            Some(team) => {
-                let place = self.names.tenants.id(team);
-                Some(place.ok_or_else(|| line.wrong("team", team))?)
-            }
-        };
-        let new = NewSequence {
-            id: line.ticket()?,
-            traffic: TrafficTypeId(line.index("type", &self.names.types)?),
-            tenant,
-            session: line.hex("sessionId")?.map(SessionId),
-            prefix: line.hex("systemPrompt")?.filter(|id| *id != 0).map(PrefixId),
-            prompt_tokens: line.amount("promptTokens")?,
-            prefix_tokens: line.number("prefixTokens")?.unwrap_or(0.0),
-            max_output_tokens: line.amount("maxTokens")?,
-            output_length_hint: line.parsed("effort")?,
-            resumed: line.flag("again")?,
-            relay: Relay::Streamed,
-            first_token_deadline: now.saturating_add(line.whole::<Nanos>("budget")?),
-            completion_deadline: None,
-        };
-        self.manager.accept(now, new, &mut self.actions);
-        self.carry_out(reply);
-        Ok(())
-    }
-
-    pub fn listed(
-        &mut self,
-        now: Nanos,
-        line: &Line,
-        entries: &[Line],
-        reply: &mut String,
-    ) -> Result<(), Malformed> {
-        let scope = match line.need("kind")? {
-            "changes" => SnapshotKind::Delta,
-            "all" => SnapshotKind::Full,
-            "remembered" => SnapshotKind::Cached,
-            "refused" => {
-                self.manager.endpoint_poll_failed(now, &mut self.actions);
-                self.carry_out(reply);
-                return Ok(());
-            }
-            other => return Err(format!("MEMBERS: field kind is malformed or out of range: '{other}'")),
-        };
-        let entries = entries.iter().map(|entry| self.endpoint(entry)).collect::<Result<Vec<_>, _>>()?;
-        self.manager.update_endpoints(now, scope, &entries);
-        Ok(())
-    }
-
-    fn endpoint(&mut self, line: &Line) -> Result<Endpoint, Malformed> {
-        let name = line.need("server")?;
-        let server = ServerId(stable_id(name));
-        if self.servers.entry(server).or_insert_with(|| name.to_owned()) != name {
-            return Err(format!("SERVER: field server: '{name}' cannot be told from another name"));
         }
-        Ok(Endpoint {
-            server,
-            kind: ServerKindId(line.index("flavor", &self.names.kinds)?),
-            cell: CellId(line.parsed("pack")?.unwrap_or(0)),
-            zone: ZoneId(line.index("regionPart", &self.names.zones)?),
-            weight: line.number("weight")?.unwrap_or(1.0),
-            started_at: line.parsed("since")?.unwrap_or(0),
-            state: match line.need("condition")? {
-                "Ready" => EndpointState::Ready,
-                "Terminating" => EndpointState::Draining,
-                "Gone" => EndpointState::Gone,
-                other => {
-                    return Err(format!("SERVER: field condition is malformed or out of range: '{other}'"));
-                }
-            },
-        })
     }
 
-    pub fn accepted(&mut self, now: Nanos, line: &Line) -> Result<(), Malformed> {
-        let n = line.whole("n")?;
-        self.manager.first_token(now, line.ticket()?, n);
-        Ok(())
+    /// Decodes a message for this gateway; `entries` are the further lines of an endpoint list.
+    pub(crate) fn decode(&mut self, line: &Line, entries: &[Line], now: Nanos) -> Result<Event, WireError> {
+        match line.kind {
+            "MEMBERS" => Event::decode_list(line, entries, &self.names, &mut self.servers),
+            _ => Event::decode(line, &self.names, now),
+        }
     }
 
-    pub fn closed(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), Malformed> {
-        let outcome = match (line.whole::<u32>("disposition")?, line.number("note")?.unwrap_or(0.0)) {
-            (0, _) => Outcome::Completed,
-            (1, _) => Outcome::Error,
-            (2, 1.0) => Outcome::KvCacheMissing,
-            (2, _) => Outcome::AtCapacity,
-            (3, _) => Outcome::TimedOut,
-            (4, _) => Outcome::ConnectFailed,
-            (5, _) => Outcome::Reset,
-            (6, _) => Outcome::Cancelled,
-            (7, _) => Outcome::NeverSent,
-            (202, kept) => Outcome::PrefillDone { cached_tokens: kept },
-            (other, _) => {
-                return Err(format!("CLOSED_ATTEMPT: field disposition is out of range: '{other}'"));
+    /// Handles an event, and adds the replies that follow from it.
+    pub(crate) fn handle(&mut self, now: Nanos, event: Event, replies: &mut String) {
+        match event {
+            Event::Request(new) => self.manager.accept(now, new, &mut self.actions),
+            Event::FirstToken { id, attempt } => self.manager.first_token(now, id, attempt),
+            Event::AttemptFinished { id, attempt, outcome, is_last, load } => {
+                self.load_reported(now, load);
+                self.manager.attempt_finished(now, id, attempt, outcome, is_last, &mut self.actions);
             }
-        };
-        let (id, n, last) = (line.ticket()?, line.whole("n")?, line.flag("last")?);
-        self.report(now, line)?;
-        self.manager.attempt_finished(now, id, n, outcome, last, &mut self.actions);
-        self.carry_out(reply);
-        Ok(())
-    }
-
-    /// A load report, if the line carries one.
-    pub fn report(&mut self, now: Nanos, line: &Line) -> Result<(), Malformed> {
-        let server = ServerId(stable_id(line.need("server")?));
-        if let Some(report) = line.report(&self.names.report)? {
-            self.manager.load_reported(now, server, report);
+            Event::ClientCancelled(id) => self.manager.client_cancelled(id, &mut self.actions),
+            Event::TimerFired(Timer::PollEndpoints) => {
+                write_reply(replies, self.number, Command::PollEndpoints);
+            }
+            Event::TimerFired(Timer::RetryScheduling(id)) => {
+                self.manager.retry_scheduling(now, id, &mut self.actions);
+            }
+            Event::LoadReported(load) => self.load_reported(now, load),
+            Event::EndpointList { scope, endpoints } => {
+                self.manager.update_endpoints(now, scope, &endpoints);
+            }
+            Event::EndpointPollFailed => self.manager.endpoint_poll_failed(now, &mut self.actions),
+            Event::TimerFired(Timer::Unknown) | Event::Ignored => {}
         }
-        Ok(())
+        self.write_actions(replies);
     }
 
-    pub fn withdrawn(&mut self, line: &Line, reply: &mut String) -> Result<(), Malformed> {
-        self.manager.client_cancelled(line.ticket()?, &mut self.actions);
-        self.carry_out(reply);
-        Ok(())
-    }
-
-    pub fn due(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), Malformed> {
-        let mark = line.need("mark")?;
-        if mark == LIST_MARK {
-            let _ = writeln!(reply, "SUBSCRIBE i={} want=1", self.number);
-        } else if let Ok(id) = u64::from_str_radix(mark, 16) {
-            self.manager.retry_scheduling(now, SequenceId(id), &mut self.actions);
-            self.carry_out(reply);
+    fn load_reported(&mut self, now: Nanos, load: ServerLoad) {
+        if let Some(report) = load.report {
+            self.manager.load_reported(now, load.server, report);
         }
-        Ok(())
     }
 
-    /// Writes the actions that are this wire's to carry out. The simulator itself keeps the time limits, breaks
-    /// off what its clients have left, and gives the last outcomes as final answers.
-    fn carry_out(&mut self, reply: &mut String) {
-        let i = self.number;
+    /// Writes the actions that are this wire's to apply. The bench itself keeps the timeouts, breaks off what its
+    /// clients have cancelled, and gives the last outcomes as final answers.
+    fn write_actions(&mut self, replies: &mut String) {
         for action in self.actions.drain(..) {
-            let _ = match action {
-                Action::Send(Dispatch { id, timeout: limit, server, .. }) => {
-                    let name = &self.servers[&server];
-                    writeln!(reply, "FORWARD i={i} ticket={:016x} tryFor={limit} server={name}", id.0)
-                }
-                Action::WakeAt { id, at } => writeln!(reply, "REMIND i={i} mark={:016x} fireAt={at}", id.0),
-                Action::PollEndpoints { at } => writeln!(reply, "REMIND i={i} mark={LIST_MARK} fireAt={at}"),
-                Action::Reject { id, retry_after: Some(pause), .. } => {
-                    writeln!(reply, "NOT_NOW i={i} ticket={:016x} coolDown={pause}", id.0)
-                }
-                Action::Reject { id, retry_after: None, .. } => {
-                    writeln!(reply, "NOT_NOW i={i} ticket={:016x}", id.0)
+            let command = match action {
+                Action::Send(Dispatch { id, timeout, server, .. }) => {
+                    Command::Forward { id, timeout, server: self.servers.name(server) }
                 }
-                Action::Abort { id, .. } => writeln!(reply, "GIVE_UP i={i} ticket={:016x}", id.0),
-                Action::Release { id } => writeln!(reply, "FREE_STATE i={i} ticket={:016x}", id.0),
-                Action::Cancel { .. } | Action::Complete { .. } => Ok(()),
+                Action::WakeAt { id, at } => Command::WakeAt { id, at },
+                Action::PollEndpoints { at } => Command::PollAt { at },
+                Action::Reject { id, retry_after, .. } => Command::Reject { id, retry_after },
+                Action::Abort { id, .. } => Command::Abort { id },
+                Action::Release { id } => Command::Release { id },
+                Action::Cancel { .. } | Action::Complete { .. } => continue,
             };
+            write_reply(replies, self.number, command);
         }
     }
 }
+
+fn write_reply(replies: &mut String, instance: u64, command: Command) {
+    // Writing to a string can't fail.
+    let _ = writeln!(replies, "{}", Reply { instance, command });
+}
--- a/bench-adapter/tests/exchange.rs
+++ b/bench-adapter/tests/exchange.rs
@@ -14,7 +14,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_petrelshore-bench-adapter"));
     let pipes = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = pipes.spawn().expect("the adapter starts");
-    // It may stop reading at the malformed line; what it says of it is looked at below.
+    // It may stop reading at the malformed line; the message about it is checked below.
     let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_sequence_goes_from_reader_to_writer_and_ends() {
+fn sequence_is_prefilled_decoded_and_completed() {
     let closed = "CLOSED_ATTEMPT i=3 ticket=00000000000000aa";
     let input = [
         "SYNC clock=10\nGO\n".to_owned() + &started(),
@@ -47,19 +47,19 @@
     assert_eq!(
         lines,
         ["READY", "SUBSCRIBE i=3 want=1", "READY", sent, "READY", sent, "READY", free, "READY", "READY"],
-        "an answer that came without a first token lets go of nothing by itself"
+        "an answer without a first token releases nothing by itself"
     );
     assert!(replies.contains("server=r.one") && replies.contains("server=w.one"));
 }
 
 #[test]
-fn the_same_input_gives_the_same_replies() {
+fn same_input_gives_the_same_replies() {
     let input = started() + &format!("SYNC clock=2000\n{REQ}{}GO\n", REQ.replace("aa", "ab"));
     assert_eq!(run_adapter(&input).stdout, run_adapter(&input).stdout);
 }
 
 #[test]
-fn malformed_input_is_named_with_its_line_and_field() {
+fn malformed_input_is_named_with_line_and_field() {
     let bad = |input: &str, named: &[&str]| {
         let output = run_adapter(input);
         let message = String::from_utf8(output.stderr).unwrap();
