--- a/cli/src/platform/configuration.rs
+++ b/cli/src/platform/configuration.rs
@@ -2,7 +2,7 @@
 
 use async_io::Timer;
 use petrelshore_platform_gateway::Service;
-use petrelshore_platform_protocol::config::{Config, config};
+use petrelshore_platform_protocol::config::{self, Config};
 use std::cell::Cell;
 use std::fmt;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
         .map_err(|_| ConfigurationError::Malformed(format!("{CONFIGURATION_VARIABLE} is not set")))?;
     let text = std::fs::read_to_string(&file)
         .map_err(|error| ConfigurationError::Unreadable(format!("{file}: {error}")))?;
-    config(&text).map_err(|error| ConfigurationError::Malformed(format!("{file}: {error}")))
+    config::decode(&text).map_err(|error| ConfigurationError::Malformed(format!("{file}: {error}")))
 }
 
 /// Reads the file at the start, again where it could not be read.
--- a/cli/src/platform/shutdown.rs
+++ b/cli/src/platform/shutdown.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use petrelshore::interface::Nanos;
-use petrelshore_gateway_core::graceful_shutdown::ShutdownPlan;
+use petrelshore_gateway_core::graceful_shutdown::{MigrationWindow, ShutdownPlan};
 use petrelshore_platform_gateway::Service;
 use petrelshore_platform_ingress::Clients;
 use std::time::Duration;
@@ -48,9 +48,10 @@
     }
 
     async fn migrate_streams(&self) {
-        let Some((mut after, until)) = self.plan.migrate_streams else { return };
-        info!(from_ms = after / MILLISECOND, until_ms = until / MILLISECOND, "migrating streams");
-        while after <= until {
+        let Some(MigrationWindow { start, end }) = self.plan.migrate_streams else { return };
+        info!(from_ms = start / MILLISECOND, until_ms = end / MILLISECOND, "migrating streams");
+        let mut after = start;
+        while after <= end {
             self.until(after).await;
             // What has come in this turn is forwarded first: a stream may have ended by itself.
             future::yield_now().await;
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -26,7 +26,7 @@
 pub fn check(file: &Path) -> Result<(), CommandError> {
     let settings = read(file).map_err(CommandError::Settings)?;
     let inventory = &settings.inventory;
-    let format = Format::of(inventory);
+    let format = Format::from_path(inventory);
     let format = format.ok_or_else(|| CommandError::UnknownInventoryFormat(inventory.clone()))?;
     let text = std::fs::read_to_string(inventory).map_err(CommandError::io(inventory.display()))?;
     let list = read_list(inventory, format, &text, &settings.kinds).map_err(CommandError::Inventory)?;
