--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::decode::{Line, Malformed};
 use petrelshore::interface::*;
 use petrelshore_gateway_core::fingerprint::stable_id;
-use petrelshore_gateway_core::{Action, Dispatch, NewSequence, Relay, RequestManager};
+use petrelshore_gateway_core::{Action, Dispatch, Finality, NewSequence, Relay, RequestManager};
 use petrelshore_platform_protocol::settings::{Names, settings};
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -134,7 +134,8 @@
         };
         let (id, n, last) = (line.ticket()?, line.whole("n")?, line.flag("last")?);
         self.report(now, line)?;
-        self.manager.attempt_finished(now, id, n, outcome, last, &mut self.actions);
+        let finality = if last { Finality::Final } else { Finality::Retryable };
+        self.manager.attempt_finished(now, id, n, outcome, finality, &mut self.actions);
         self.carry_out(reply);
         Ok(())
     }
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -388,9 +388,9 @@
         match texts.try_send(text) {
             Ok(()) => true,
             Err(async_channel::TrySendError::Full(text)) => {
-                self.tell(|requests, now, _| requests.client_stalled(now, id, true));
+                self.tell(|requests, now, _| requests.client_stalled(now, id));
                 let sent = texts.send(text).await;
-                self.tell(|requests, now, _| requests.client_stalled(now, id, false));
+                self.tell(|requests, now, _| requests.client_stall_ended(now, id));
                 sent.is_ok()
             }
             Err(async_channel::TrySendError::Closed(_)) => false,
--- a/gateway-core/src/buffered.rs
+++ b/gateway-core/src/buffered.rs
@@ -326,9 +326,14 @@
         Some(None)
     }
 
-    /// The client has stopped taking its stream, or takes it again.
-    pub fn client_stalled(&mut self, now: Nanos, id: SequenceId, stalled: bool) {
-        self.manager.client_stalled(now, id, stalled);
+    /// The client stopped reading its stream.
+    pub fn client_stalled(&mut self, now: Nanos, id: SequenceId) {
+        self.manager.client_stalled(now, id);
+    }
+
+    /// The client reads its stream again.
+    pub fn client_stall_ended(&mut self, now: Nanos, id: SequenceId) {
+        self.manager.client_stall_ended(now, id);
     }
 
     /// An attempt has ended, as its socket showed.
--- a/gateway-core/src/lib.rs
+++ b/gateway-core/src/lib.rs
@@ -42,4 +42,6 @@
 pub mod token_estimate;
 
 pub use policy::Chooser;
-pub use request_manager::{Action, Counts, Dispatch, FailureReason, NewSequence, Relay, RequestManager};
+pub use request_manager::{
+    Action, Counts, Dispatch, FailureReason, Finality, NewSequence, Relay, RequestManager,
+};
--- /dev/null
+++ b/gateway-core/src/request_manager/expiry.rs
@@ -0,0 +1,107 @@
+//! Timers of sequences: setting them, and what follows when one expires.
+
+use super::RequestManager;
+use super::action::{Action, FailureReason, Finality};
+use super::attempts::FinishedAttempt;
+use super::new_sequence::Relay;
+use super::tracked_sequence::TrackedSequence;
+use crate::attempt_outcome::AttemptEnd;
+use petrelshore::interface::{Attempt, AttemptStatus, Nanos, SequenceId};
+
+impl RequestManager {
+    /// When [`RequestManager::on_timeout`] next has something to do.
+    pub fn next_timeout(&self) -> Option<Nanos> {
+        self.timers.next_deadline()
+    }
+
+    /// Handles every timer that has expired by now.
+    pub fn on_timeout(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        while let Some(id) = self.timers.pop_expired(now) {
+            if let Some(tracked) = self.sequences.get_mut(&id) {
+                tracked.timer = None;
+                self.timer_expired(now, id, actions);
+            }
+        }
+    }
+
+    /// The timer of a sequence expired: its attempt timed out, its stream is silent, or it is to be scheduled again.
+    fn timer_expired(&mut self, now: Nanos, id: SequenceId, actions: &mut Vec<Action>) {
+        let Some(tracked) = self.sequences.get(&id) else { return };
+        let Some(attempt) = tracked.sequence.attempts.len().checked_sub(1) else {
+            return self.schedule(now, id, FailureReason::AtCapacity, actions);
+        };
+        match tracked.sequence.attempts[attempt].status {
+            AttemptStatus::Finished(_) => self.schedule(now, id, FailureReason::AttemptsExhausted, actions),
+            AttemptStatus::InFlight => {
+                self.attempt_timed_out(now, id, attempt, FailureReason::DeadlineExceeded, actions);
+            }
+            AttemptStatus::Streaming => {
+                if now < self.stream_deadline(tracked) {
+                    return self.reset_stream_timer(now, id);
+                }
+                let reason = match tracked.stalled_since {
+                    _ if now >= tracked.completion_deadline => FailureReason::DeadlineExceeded,
+                    Some(_) => FailureReason::ClientStalled,
+                    None => FailureReason::StreamBroken,
+                };
+                self.attempt_timed_out(now, id, attempt, reason, actions);
+            }
+        }
+    }
+
+    /// Cancels an attempt that timed out, and applies what follows.
+    fn attempt_timed_out(
+        &mut self,
+        now: Nanos,
+        id: SequenceId,
+        attempt: usize,
+        reason: FailureReason,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(tracked) = self.sequences.get(&id) else { return };
+        let Attempt { server, step, status, .. } = tracked.sequence.attempts[attempt];
+        self.counts.timed_out += 1;
+        actions.push(Action::Cancel { id, attempt, server, step });
+        let streaming = status == AttemptStatus::Streaming;
+        // A stalled client is no evidence against its decode server.
+        let end = if tracked.stalled_since.is_some() { AttemptEnd::Cancelled } else { AttemptEnd::TimedOut };
+        let client_has_tokens = tracked.relay != Relay::Buffered;
+        let unresumable = now >= tracked.completion_deadline || reason == FailureReason::ClientStalled;
+        let ends_sequence = streaming && (unresumable || (client_has_tokens && !self.try_resume(now, id)));
+        let finished = FinishedAttempt {
+            id,
+            attempt,
+            outcome: end.outcome(streaming),
+            finality: Finality::final_if(ends_sequence),
+            reason: ends_sequence.then_some(reason),
+        };
+        self.finish_attempt(now, finished, actions);
+    }
+
+    /// Sets the timer of a sequence whose last attempt is streaming.
+    pub(super) fn reset_stream_timer(&mut self, now: Nanos, id: SequenceId) {
+        let Some(tracked) = self.sequences.get(&id) else { return };
+        if tracked.is_streaming() {
+            let deadline = self.stream_deadline(tracked).max(now + 1);
+            self.set_timer(id, deadline);
+        }
+    }
+
+    /// Sets the timer of a sequence in place of the one that it has.
+    pub(super) fn set_timer(&mut self, id: SequenceId, deadline: Nanos) {
+        if let Some(tracked) = self.sequences.get_mut(&id) {
+            self.timers.set(id, &mut tracked.timer, deadline);
+        }
+    }
+
+    /// Cancels the timer of a sequence.
+    pub(super) fn cancel_timer(&mut self, id: SequenceId) {
+        if let Some(tracked) = self.sequences.get_mut(&id) {
+            self.timers.cancel(id, &mut tracked.timer);
+        }
+    }
+
+    fn stream_deadline(&self, tracked: &TrackedSequence) -> Nanos {
+        tracked.stream_deadline(&self.traffic_types[tracked.sequence.traffic.0])
+    }
+}
--- /dev/null
+++ b/gateway-core/src/request_manager/tracked_sequence.rs
@@ -0,0 +1,136 @@
+//! The state of one sequence in flight.
+
+use super::new_sequence::{NewSequence, Relay};
+use crate::stream_resumption::{BrokenStream, resume_deadline};
+use crate::timeouts;
+use petrelshore::interface::{Attempt, AttemptStatus, Nanos, Sequence, TrafficType};
+
+/// A deadline that never passes.
+pub(super) const NO_DEADLINE: Nanos = Nanos::MAX;
+
+/// One sequence in flight, with what the request manager knows beside the scheduler's view of it.
+pub(super) struct TrackedSequence {
+    /// The scheduler's view.
+    pub(super) sequence: Sequence,
+    /// How the answer reaches the client.
+    pub(super) relay: Relay,
+    /// Deadline of its timer in the timer queue.
+    pub(super) timer: Option<Nanos>,
+    /// When the complete answer is due.
+    pub(super) completion_deadline: Nanos,
+    /// When its stream last made progress.
+    pub(super) last_activity_at: Nanos,
+    /// Since when its client has not read its stream.
+    pub(super) stalled_since: Option<Nanos>,
+    /// Tokens received, over all attempts.
+    pub(super) tokens_received: u32,
+    /// How often its stream was resumed after a break.
+    pub(super) resumptions: usize,
+    /// Tokens that the client had when the stream was last resumed.
+    pub(super) tokens_resumed_after: u32,
+}
+
+impl TrackedSequence {
+    /// The state of a sequence that was just accepted.
+    pub(super) fn new(now: Nanos, new: NewSequence, traffic_type: &TrafficType) -> Self {
+        TrackedSequence {
+            relay: new.relay,
+            timer: None,
+            completion_deadline: completion_deadline(&new, traffic_type),
+            last_activity_at: now,
+            stalled_since: None,
+            tokens_received: 0,
+            resumptions: 0,
+            tokens_resumed_after: 0,
+            sequence: Sequence {
+                id: new.id,
+                traffic: new.traffic,
+                tenant: new.tenant,
+                session: new.session,
+                prefix: new.prefix,
+                prompt_tokens: new.prompt_tokens,
+                prefix_tokens: new.prefix_tokens,
+                max_output_tokens: new.max_output_tokens,
+                output_length_hint: new.output_length_hint,
+                resumed: new.resumed,
+                arrived_at: now,
+                first_token_deadline: new.first_token_deadline,
+                attempts: Vec::new(),
+                kv_cache: None,
+                cache_held_since: None,
+                admitted: false,
+                completed: false,
+            },
+        }
+    }
+
+    /// Whether an attempt is in flight.
+    pub(super) fn has_open_attempt(&self) -> bool {
+        self.sequence.attempts.iter().any(is_open)
+    }
+
+    /// Whether nothing is left to happen: it is completed, and no attempt is in flight.
+    pub(super) fn is_finished(&self) -> bool {
+        self.sequence.completed && !self.has_open_attempt()
+    }
+
+    /// Whether its last attempt is streaming.
+    pub(super) fn is_streaming(&self) -> bool {
+        self.sequence.attempts.last().is_some_and(|attempt| attempt.status == AttemptStatus::Streaming)
+    }
+
+    /// When its running stream times out unless it makes progress.
+    pub(super) fn stream_deadline(&self, traffic_type: &TrafficType) -> Nanos {
+        let idle_deadline = match self.stalled_since {
+            Some(since) => since.saturating_add(timeouts::stall_timeout()),
+            None if self.relay == Relay::Passthrough => {
+                self.last_activity_at.saturating_add(timeouts::passthrough_silence_timeout())
+            }
+            None => self.last_activity_at.saturating_add(timeouts::silence_timeout(traffic_type)),
+        };
+        idle_deadline.min(self.completion_deadline)
+    }
+
+    /// Prepares a broken stream to be resumed after its last token; false where it can't be.
+    pub(super) fn try_resume(&mut self, now: Nanos, traffic_type: &TrafficType) -> bool {
+        if self.sequence.completed || self.relay == Relay::Passthrough {
+            return false;
+        }
+        let tokens_received = f64::from(self.tokens_received);
+        let tokens_resumed_after = f64::from(self.tokens_resumed_after);
+        let max_output_tokens = self.sequence.max_output_tokens + tokens_resumed_after;
+        let broken = BrokenStream {
+            resumptions: self.resumptions,
+            tokens_received,
+            max_output_tokens,
+            deadline: self.completion_deadline,
+        };
+        let Some(first_token_deadline) = resume_deadline(now, traffic_type, &broken) else {
+            return false;
+        };
+        // What the client has received is part of the prompt now.
+        self.sequence.prompt_tokens += tokens_received - tokens_resumed_after;
+        self.sequence.max_output_tokens = max_output_tokens - tokens_received;
+        self.sequence.resumed = true;
+        self.sequence.first_token_deadline = first_token_deadline;
+        self.resumptions += 1;
+        self.tokens_resumed_after = self.tokens_received;
+        true
+    }
+}
+
+/// Whether an attempt has no outcome yet.
+pub(super) fn is_open(attempt: &Attempt) -> bool {
+    !matches!(attempt.status, AttemptStatus::Finished(_))
+}
+
+fn completion_deadline(new: &NewSequence, traffic_type: &TrafficType) -> Nanos {
+    let (first_token_deadline, max_tokens) = (new.first_token_deadline, new.max_output_tokens);
+    let stream_deadline = match new.relay {
+        Relay::Passthrough => timeouts::passthrough_deadline(first_token_deadline, max_tokens),
+        Relay::Streamed | Relay::Buffered => {
+            timeouts::stream_deadline(first_token_deadline, traffic_type, max_tokens)
+        }
+    };
+    stream_deadline.min(new.completion_deadline.unwrap_or(NO_DEADLINE))
+}
--- a/platform-gateway/src/service.rs
+++ b/platform-gateway/src/service.rs
@@ -385,9 +385,9 @@
         match to.try_send(events) {
             Ok(()) => true,
             Err(TrySendError::Full(events)) => {
-                self.tell(|requests, now, _| requests.client_stalled(now, id, true));
+                self.tell(|requests, now, _| requests.client_stalled(now, id));
                 let sent = to.send(events).await;
-                self.tell(|requests, now, _| requests.client_stalled(now, id, false));
+                self.tell(|requests, now, _| requests.client_stall_ended(now, id));
                 sent.is_ok()
             }
             Err(TrySendError::Closed(_)) => false,
