--- a/gateway-core/src/lib.rs
+++ b/gateway-core/src/lib.rs
@@ -17,7 +17,6 @@
 //! same. [`settings_validation`] says whether settings can keep the rules at all; [`policy`] has a baseline to compare with.
 
 pub mod attempt_outcome;
-pub mod buffered;
 pub mod cache_leases;
 pub mod cache_releases;
 pub mod cancellation_limits;
@@ -32,9 +31,9 @@
 pub mod idempotency;
 pub mod ingress_limits;
 pub mod invariants;
-pub mod passthrough;
 pub mod policy;
 pub mod request_manager;
+pub mod request_table;
 pub mod send_gate;
 pub mod settings_validation;
 pub mod stream_resumption;
@@ -45,3 +44,4 @@
 pub use request_manager::{
     Action, Counts, Dispatch, FailureReason, Finality, NewSequence, Relay, RequestManager,
 };
+pub use request_table::{buffered, passthrough};
