--- a/gateway-core/src/cache_releases.rs
+++ b/gateway-core/src/cache_releases.rs
@@ -28,7 +28,7 @@
 /// Each next one is told after this part of the time for an answer, while those before are still awaited.
 const NEXT: u64 = 2;
 /// Connections that are kept for telling them, beyond one for each sequence in hand.
-pub const PLACES: usize = 8;
+pub const RELEASE_CONNECTIONS: usize = 8;
 
 /// A read that was cut off may come to its reader for this long after.
 const ON_ITS_WAY: Nanos = 2_000_000_000;
--- /dev/null
+++ b/gateway-core/src/request_table/buffered/actions.rs
@@ -0,0 +1,132 @@
+//! How the buffered request table applies the request manager's actions.
+
+use super::command::{Command, OutgoingAttempt};
+use super::entry::{RequestEntry, idempotency_key};
+use super::message::FinalAnswer;
+use super::{BufferedRequests, request_id};
+use crate::cache_releases::{CacheRelease, CacheState};
+use crate::idempotency;
+use crate::request_manager::{Action, Dispatch, FailureReason};
+use crate::request_table::action_handler::{ActionHandler, CancelledAttempt};
+use crate::request_table::final_answer;
+use crate::request_table::store::RequestStore;
+use petrelshore::interface::{Idempotency, Nanos, SequenceId, Step};
+use std::rc::Rc;
+
+impl<P: Clone> ActionHandler for BufferedRequests<P> {
+    type Command = Command<P>;
+    type Details = RequestEntry<P>;
+
+    fn store(&mut self) -> &mut RequestStore<RequestEntry<P>> {
+        &mut self.store
+    }
+
+    fn send(&mut self, dispatch: Dispatch, commands: &mut Vec<Command<P>>) {
+        // Clients of model servers report an attempt that was not sent: what is not reported so was delivered.
+        self.store.manager.attempt_delivered(dispatch.id, dispatch.attempt);
+        let Some(entry) = self.store.get_mut(dispatch.id) else { return };
+        entry.tokens_delivered = dispatch.tokens_delivered;
+        entry.may_have_run |= dispatch.step != Step::Prefill;
+        let idempotency = self.idempotency_of_types[entry.request.traffic.0];
+        let attempt = outgoing_attempt(entry, idempotency, dispatch);
+        commands.push(Command::Send(Box::new(attempt)));
+    }
+
+    /// The runtime reports the cancelled attempt once its connection is closed; nothing follows at once.
+    fn cancel(
+        &mut self,
+        now: Nanos,
+        cancelled: CancelledAttempt,
+        _follow_up: &mut Vec<Action>,
+        commands: &mut Vec<Command<P>>,
+    ) {
+        let CancelledAttempt { id, attempt, server, step } = cancelled;
+        commands.push(Command::Cancel { id, attempt });
+        if step == Step::Prefill {
+            // It may have completed just then, and its KV cache be held.
+            let release = CacheRelease { server, request_id: request_id(id, attempt) };
+            self.store.add_release(now, release, CacheState::Uncertain, commands);
+        }
+    }
+
+    fn release(&mut self, now: Nanos, id: SequenceId, commands: &mut Vec<Command<P>>) {
+        let caches = self.store.get_mut(id).map(|entry| std::mem::take(&mut entry.caches));
+        for cache in caches.into_iter().flatten() {
+            self.store.add_release(now, cache.release, CacheState::Held, commands);
+        }
+    }
+
+    /// Gives the final answer, and stores it for repeats with the same idempotency key.
+    fn answer(
+        &mut self,
+        now: Nanos,
+        id: SequenceId,
+        answer: final_answer::FinalAnswer,
+        commands: &mut Vec<Command<P>>,
+    ) {
+        let Some(entry) = self.store.mark_answered(id) else { return };
+        let last = match answer {
+            final_answer::FinalAnswer::Completed => entry.completed_answer(),
+            final_answer::FinalAnswer::Rejected { retry_after, reason } => {
+                FinalAnswer::Rejected { retry_after, reason }
+            }
+            final_answer::FinalAnswer::Aborted { reason } => FinalAnswer::Aborted { reason },
+        };
+        if let (Some(key), Some(text)) = (idempotency_key(&entry.request), &entry.text) {
+            match &last {
+                FinalAnswer::Rejected { .. } => self.idempotency.remove(&key),
+                FinalAnswer::Completed { .. } | FinalAnswer::Aborted { .. } => {
+                    let window = match self.idempotency_of_types[entry.request.traffic.0] {
+                        Idempotency::Keyed { window, .. } => window,
+                        Idempotency::Idempotent | Idempotency::AtMostOnce => idempotency::WINDOW,
+                    };
+                    self.idempotency.complete(now, &key, text, last.clone(), window);
+                }
+            }
+        }
+        commands.push(Command::Answer { id, last });
+        self.remove_if_finished(now, id);
+    }
+}
+
+impl<P: Clone> BufferedRequests<P> {
+    /// Removes a request once the API has dropped its answer and the request manager has forgotten it.
+    pub(super) fn remove_if_finished(&mut self, now: Nanos, id: SequenceId) {
+        let client_left = self.store.get(id).is_some_and(|entry| entry.client_left);
+        if !client_left || self.store.manager.contains(id) {
+            return;
+        }
+        let Some(removed) = self.store.remove(now, id) else { return };
+        if let Some(key) = idempotency_key(&removed.details.request) {
+            // Its client left before any final answer: what may have run must not run again by its key.
+            if removed.details.may_have_run && !removed.answered {
+                let aborted = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
+                self.idempotency.complete(now, &key, "", aborted, idempotency::WINDOW);
+            }
+            self.idempotency.remove(&key);
+        }
+    }
+}
+
+fn outgoing_attempt<P: Clone>(
+    entry: &RequestEntry<P>,
+    idempotency: Idempotency,
+    dispatch: Dispatch,
+) -> OutgoingAttempt<P> {
+    let request = &entry.request;
+    let cache = dispatch.prefill_server.and_then(|server| entry.cache_at(server));
+    let prompt = match &entry.text {
+        Some(text) if dispatch.tokens_delivered > 0 => Rc::from(format!("{}{text}", request.prompt)),
+        _ => request.prompt.clone(),
+    };
+    let keyed = matches!(idempotency, Idempotency::Keyed { .. });
+    let generated_key = || Rc::from(format!("{:016x}", dispatch.id.0));
+    OutgoingAttempt {
+        request_id: request_id(dispatch.id, dispatch.attempt),
+        max_tokens: request.max_tokens.saturating_sub(dispatch.tokens_delivered).max(1),
+        prompt,
+        idempotency_key: keyed.then(|| request.idempotency_key.clone().unwrap_or_else(generated_key)),
+        transfer_params: cache.map(|cache| cache.transfer_params.clone()),
+        dispatch,
+    }
+}
--- /dev/null
+++ b/gateway-core/src/request_table/buffered/admission.rs
@@ -0,0 +1,113 @@
+//! Admission of requests to the buffered request table.
+
+use super::BufferedRequests;
+use super::command::Command;
+use super::entry::{RequestEntry, idempotency_key};
+use super::message::{Admission, FinalAnswer, Rejection, Request};
+use crate::capacity::CapacityError;
+use crate::error_response::SOON;
+use crate::fingerprint::request_fingerprint;
+use crate::idempotency::{self, CompletedRequest, KeyStatus};
+use crate::request_manager::{FailureReason, NewSequence, Relay};
+use crate::request_table::action_handler::ActionHandler;
+use crate::timeouts;
+use petrelshore::interface::{Idempotency, Nanos, SequenceId};
+use std::rc::Rc;
+
+impl<P: Clone> BufferedRequests<P> {
+    /// Accepts a request, or says why not. An accepted request gets exactly one final answer.
+    pub fn accept(&mut self, now: Nanos, request: Request, commands: &mut Vec<Command<P>>) -> Admission {
+        if let Err(rejection) = self.check_admissible(now, &request) {
+            return Admission::Rejected(rejection);
+        }
+        let id = SequenceId(self.last_id.wrapping_add(1));
+        let key = idempotency_key(&request);
+        if let Some(key) = &key
+            && let Some(admission) = self.begin_keyed(now, id, key, &request)
+        {
+            return admission;
+        }
+        if let Err(error) = self.store.acquire_capacity(now, request.client, request.traffic) {
+            if let Some(key) = &key {
+                self.idempotency.remove(key);
+            }
+            return Admission::Rejected(self.capacity_rejection(now, error));
+        }
+        self.last_id = id.0;
+        let idempotent = self.idempotency_of_types[request.traffic.0] == Idempotency::Idempotent;
+        let resumable = idempotent && request.relay == Relay::Streamed;
+        let new = new_sequence(id, &request);
+        self.store.insert(id, request.client, RequestEntry::new(request, key.is_some() || resumable));
+        self.apply(now, commands, |manager, actions| manager.accept(now, new, actions));
+        Admission::Accepted(id)
+    }
+
+    /// The checks that take nothing yet.
+    fn check_admissible(&self, now: Nanos, request: &Request) -> Result<(), Rejection> {
+        if self.draining {
+            return Err(Rejection::Draining { retry_after: SOON });
+        }
+        if !timeouts::has_time_left(now, request.arrived_at, first_token_budget(request)) {
+            return Err(Rejection::DeadlineTooShort);
+        }
+        let client = (request.client, request.tenant);
+        self.cancellations
+            .check(now, client)
+            .map_err(|retry_after| Rejection::TooManyCancelled { retry_after })
+    }
+
+    /// Marks an idempotency key as in flight. None if it is new; else the result of the admission.
+    fn begin_keyed(
+        &mut self,
+        now: Nanos,
+        id: SequenceId,
+        key: &idempotency::Key,
+        request: &Request,
+    ) -> Option<Admission> {
+        let fingerprint = request_fingerprint(&request.model, &request.prompt, request.max_tokens);
+        match self.idempotency.begin(now, key, fingerprint) {
+            KeyStatus::New => None,
+            KeyStatus::InFlight => Some(Admission::Rejected(Rejection::KeyInFlight { retry_after: SOON })),
+            KeyStatus::DifferentRequest => Some(Admission::Rejected(Rejection::KeyReused)),
+            KeyStatus::Completed(CompletedRequest::Answered { text, end }) => {
+                Some(Admission::Replayed { id, text, last: end })
+            }
+            KeyStatus::Completed(CompletedRequest::TooLarge) => {
+                let last = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
+                Some(Admission::Replayed { id, text: Rc::from(""), last })
+            }
+        }
+    }
+
+    fn capacity_rejection(&self, now: Nanos, error: CapacityError) -> Rejection {
+        let retry_after = self.store.retry_after(now);
+        match error {
+            CapacityError::Gateway => Rejection::GatewayAtCapacity { retry_after },
+            CapacityError::Client => Rejection::ClientAtCapacity { retry_after },
+        }
+    }
+}
+
+/// How long the client waits for a first token: not longer than for the complete answer.
+fn first_token_budget(request: &Request) -> Nanos {
+    request.completion_budget.unwrap_or(request.first_token_budget).min(request.first_token_budget)
+}
+
+fn new_sequence(id: SequenceId, request: &Request) -> NewSequence {
+    let deadline = |budget| timeouts::first_token_deadline(request.arrived_at, budget);
+    NewSequence {
+        id,
+        traffic: request.traffic,
+        tenant: request.tenant,
+        session: request.session,
+        prefix: request.estimate.prefix,
+        prompt_tokens: request.estimate.prompt_tokens,
+        prefix_tokens: request.estimate.prefix_tokens,
+        max_output_tokens: f64::from(request.max_tokens),
+        output_length_hint: None,
+        resumed: false,
+        relay: request.relay,
+        first_token_deadline: deadline(first_token_budget(request)),
+        completion_deadline: request.completion_budget.map(deadline),
+    }
+}
--- a/gateway-core/src/send_gate.rs
+++ b/gateway-core/src/send_gate.rs
@@ -1,81 +1,88 @@
-//! The one place that says whether an attempt may begin now, in the instant before its first byte goes out.
+//! The last check before an attempt is sent, immediately before its first byte is written.
 //!
-//! An attempt is decided on before its connection is there. Until that comes up its client may leave, its sequence be
-//! answered, its server drain, go, move or start anew, and its time run out; and the loop may be too busy to have heard
-//! of it. So whoever is about to write asks here, on every path.
+//! An attempt is scheduled before its connection is established. Until then its client may leave, its sequence may be
+//! answered, its server may drain, disappear, move or restart, and its timeout may pass; and the event loop may be too
+//! busy to have noticed. So every path that writes an attempt calls [`check_send`] first.
 
-use crate::Dispatch;
+use crate::request_manager::Dispatch;
 use petrelshore::interface::{EndpointState, Nanos};
 use std::net::SocketAddr;
 
-/// Why an attempt may not begin.
+/// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SendDenial {
-    /// Its client has closed its connection, or ended its sending.
+    /// Its client has closed its connection, or its sending side.
     ClientLeft,
-    /// Its sequence has its final answer, or goes by another attempt.
+    /// Its sequence has its final answer, or another attempt in flight.
     Superseded,
-    /// Its server drains, or is not ready.
+    /// Its server is draining, or not ready.
     Draining,
-    /// Its server is listed no more.
+    /// Its server is not listed any more.
     Gone,
-    /// Its server is reached elsewhere now.
+    /// Its server has another address now.
     AddressChanged,
-    /// Its server has started anew since: what was reckoned of it holds no more.
+    /// Its server has restarted since: what the scheduler assumed of it is out of date.
     Restarted,
-    /// The servers that know the sequence's mark forget it by now.
+    /// The servers that know the sequence's idempotency key forget it by now.
     KeyExpired,
-    /// Nothing is left of its own time.
+    /// Its timeout has passed.
     DeadlineExceeded,
 }
 
-/// An attempt whose connection has come up.
+/// An attempt whose connection is established.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend<'a> {
+    /// The attempt.
     pub dispatch: &'a Dispatch,
-    /// When it was decided on.
+    /// When it was scheduled.
     pub decided_at: Nanos,
-    /// Where it would go, and its server's start as listed when it was decided on.
+    /// The address that its connection leads to.
     pub address: SocketAddr,
+    /// When its server had started, as listed when it was scheduled.
     pub server_started_at: Option<Nanos>,
+    /// Whether its client has left.
     pub client_left: bool,
 }
 
 /// Where a server is listed now.
 #[derive(Clone, Copy, Debug)]
 pub struct CurrentEndpoint {
+    /// Its address.
     pub address: SocketAddr,
+    /// Whether it may be sent anything.
     pub state: EndpointState,
+    /// When it last started.
     pub started_at: Nanos,
 }
 
-/// Whether it may begin; `current` where it is the attempt that its sequence has out.
+/// Whether an attempt may be sent. `attempt_in_flight` is the present attempt of its sequence, unless that has its final
+/// answer; `listed` is its server's entry in the endpoint list.
 pub fn check_send(
     now: Nanos,
-    due: &PendingSend,
-    current: bool,
+    pending: &PendingSend,
+    attempt_in_flight: Option<usize>,
     listed: Option<CurrentEndpoint>,
 ) -> Result<(), SendDenial> {
-    if due.client_left {
+    if pending.client_left {
         return Err(SendDenial::ClientLeft);
     }
-    if !current {
+    if attempt_in_flight != Some(pending.dispatch.attempt) {
         return Err(SendDenial::Superseded);
     }
-    let server = listed.filter(|listed| listed.state != EndpointState::Gone).ok_or(SendDenial::Gone)?;
-    if server.state != EndpointState::Ready {
+    let endpoint = listed.filter(|listed| listed.state != EndpointState::Gone).ok_or(SendDenial::Gone)?;
+    if endpoint.state != EndpointState::Ready {
         return Err(SendDenial::Draining);
     }
-    if server.address != due.address {
+    if endpoint.address != pending.address {
         return Err(SendDenial::AddressChanged);
     }
-    if Some(server.started_at) != due.server_started_at {
+    if Some(endpoint.started_at) != pending.server_started_at {
         return Err(SendDenial::Restarted);
     }
-    if now >= due.dispatch.send_deadline {
+    if now >= pending.dispatch.send_deadline {
         return Err(SendDenial::KeyExpired);
     }
-    if now >= due.decided_at.saturating_add(due.dispatch.timeout) {
+    if now >= pending.decided_at.saturating_add(pending.dispatch.timeout) {
         return Err(SendDenial::DeadlineExceeded);
     }
     Ok(())
--- a/gateway-core/tests/buffered.rs
+++ b/gateway-core/tests/buffered.rs
@@ -120,7 +120,7 @@
         out,
         [Command::Answer { id, last: FinalAnswer::Completed { finish_reason: "stop".to_owned(), usage } }]
     );
-    requests.client_left(8 * MS, id, true, &mut out);
+    requests.answer_consumed(8 * MS, id);
     assert_eq!((requests.tracked(), requests.unanswered(), requests.next_timeout()), (0, 0, None));
 }
 
@@ -151,7 +151,7 @@
     let mut requests = requests(10);
     let (id, writes) = read(&mut requests, request(0, None));
     let mut out = Vec::new();
-    requests.client_left(2 * MS, id, false, &mut out);
+    requests.client_cancelled(2 * MS, id, &mut out);
     requests.attempt_cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
     assert_eq!(requests.pending_releases(), 1);
     for tried in 3..6 {
@@ -168,7 +168,7 @@
     let mut requests = requests(10);
     let (id, writes) = read(&mut requests, request(1, Some("k")));
     let mut out = Vec::new();
-    requests.client_left(2 * MS, id, false, &mut out);
+    requests.client_cancelled(2 * MS, id, &mut out);
     assert!(out.contains(&Command::Cancel { id, attempt: writes.dispatch.attempt }), "{out:?}");
     requests.attempt_cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
     let told = out.iter().find_map(|order| match order {
--- a/platform-gateway/src/service.rs
+++ b/platform-gateway/src/service.rs
@@ -6,7 +6,7 @@
 use event_listener::Event;
 use petrelshore::interface::*;
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
-use petrelshore_gateway_core::cache_releases::PLACES;
+use petrelshore_gateway_core::cache_releases::RELEASE_CONNECTIONS;
 use petrelshore_gateway_core::graceful_shutdown::ShutdownPlan;
 use petrelshore_gateway_core::invariants::Violation;
 use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests, Rejection};
@@ -83,7 +83,7 @@
     pub fn start(config: Config, connections: usize, spawner: Spawner) -> Service {
         let clock = Clock::start();
         let fields = config.names.report.clone();
-        let most = connections.saturating_sub(PLACES).max(1);
+        let most = connections.saturating_sub(RELEASE_CONNECTIONS).max(1);
         let inner = Inner {
             client: Client::new(clock, connections, config.idle_for, fields),
             requests: RefCell::new(PassthroughRequests::new(
@@ -153,7 +153,7 @@
 
     /// Ends the streams that such a plan has end between two times since the word to stop.
     pub fn migrate_streams(&self, plan: &ShutdownPlan, between: (Nanos, Nanos)) {
-        self.0.tell(|requests, now, out| requests.migrate_streams(now, plan, between, out));
+        self.0.tell(|requests, now, out| requests.migrate_streams(now, plan, between.0..between.1, out));
     }
 
     /// Whatever still runs gets its final answer now.
