--- a/gateway-core/src/attempt_outcome.rs
+++ b/gateway-core/src/attempt_outcome.rs
@@ -1,48 +1,55 @@
 //! What the end of an exchange with a model server proves.
 //!
-//! Rule 2 rests on this table: only an ending that proves the attempt never ran lets once-only work be tried
-//! again or be rejected. Whatever is not provably without effect counts as one that may have had it.
+//! Rule 2 rests on this table: only an end that proves that the attempt never ran lets at-most-once work be retried or
+//! rejected. Whatever is not provably without effect counts as an attempt that may have run.
 
-use petrelshore::interface::Outcome;
+use petrelshore::interface::{Attempt, AttemptStatus, Outcome};
 
 /// How an exchange with a model server ended, as its socket showed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// The whole answer came, with its closing mark.
+    /// The complete answer arrived, with its end marker.
     Completed,
-    /// The prompt is read; so many of its tokens had been kept.
-    PrefillDone { cached_tokens: f64 },
-    /// No connection was made, so no byte of the request went out.
+    /// The prompt is prefilled.
+    PrefillDone {
+        /// Prompt tokens that the server had cached before.
+        cached_tokens: f64,
+    },
+    /// No connection was established, so no byte of the request was written.
     NotConnected,
-    /// The request came back from the connection unwritten, and no other connection was to be had.
+    /// The connection returned the request unwritten, and no other connection was available.
     ReturnedUnsent,
-    /// The gateway itself did not send it: what was told meanwhile forbids it, or all of its own connections are taken.
+    /// The gateway itself did not send it: the send gate denied it, or all of its own connections are in use.
     NotSent,
-    /// The server said, by its documented code, that it has no room and has not begun.
+    /// The server answered, with its documented code, that it has no capacity and has not started.
     AtCapacity,
-    /// The server said, by its documented code, that the read state it was to fetch is not there.
+    /// The server answered, with its documented code, that the KV cache that it was to fetch is not there.
     KvCacheMissing,
-    /// Any other error status. It may have come after some work.
-    ErrorStatus { status: u16 },
-    /// The connection broke after bytes of the request may have gone out, fresh or pooled alike.
+    /// Any other error status. It may follow some work.
+    ErrorStatus {
+        /// The status.
+        status: u16,
+    },
+    /// The connection broke after bytes of the request may have been written, whether it was new or pooled.
     Reset,
-    /// The answer is not what the protocol allows: cut short, oversized, or garbage.
+    /// The answer is not what the protocol allows: truncated, too large, or malformed.
     Malformed,
-    /// No sign within the attempt's time.
+    /// Nothing arrived within the attempt's timeout.
     TimedOut,
-    /// The gateway itself broke it off.
+    /// The gateway itself cancelled it.
     Cancelled,
 }
 
 impl AttemptEnd {
-    /// The outcome that the decisions are told; `began` once a token has come.
-    pub fn outcome(self, began: bool) -> Outcome {
-        if began && self.proves_not_run() {
-            return Outcome::Error; // what has answered has run, whatever it says later
+    /// The outcome that is reported to the scheduler; `streaming` once a token has arrived.
+    pub fn outcome(self, streaming: bool) -> Outcome {
+        if streaming && self.proves_not_run() {
+            // A server that sent a token has run the attempt, whatever it answers later.
+            return Outcome::Error;
         }
         match self {
             AttemptEnd::Completed => Outcome::Completed,
-            AttemptEnd::PrefillDone { cached_tokens: kept } => Outcome::PrefillDone { cached_tokens: kept },
+            AttemptEnd::PrefillDone { cached_tokens } => Outcome::PrefillDone { cached_tokens },
             AttemptEnd::NotConnected => Outcome::ConnectFailed,
             AttemptEnd::ReturnedUnsent | AttemptEnd::NotSent => Outcome::NeverSent,
             AttemptEnd::AtCapacity => Outcome::AtCapacity,
@@ -54,7 +61,7 @@
         }
     }
 
-    /// Whether its server said something.
+    /// Whether its server sent any answer.
     pub fn server_answered(self) -> bool {
         !matches!(
             self,
@@ -85,3 +92,8 @@
         }
     }
 }
+
+/// Whether an attempt has no outcome yet.
+pub(crate) fn is_open(attempt: &Attempt) -> bool {
+    !matches!(attempt.status, AttemptStatus::Finished(_))
+}
--- a/gateway-core/src/cache_leases.rs
+++ b/gateway-core/src/cache_leases.rs
@@ -1,53 +1,54 @@
-//! Where a sequence may have left a read state: what is to be let go once nothing will take it.
+//! Which prefill servers may hold a KV cache for one sequence: what is to be released once no attempt will fetch it.
 //!
-//! A read that was broken off may have ended well just then, and its state be left at its reader like any other. So
-//! every ending of a read but those that prove it never ran counts as one that left something.
+//! A prefill that was cancelled may have completed just then, and its KV cache be held like any other. So every end of
+//! a prefill counts as one that left a KV cache, except those that prove that it never ran.
 
 use crate::attempt_outcome::AttemptEnd;
 use crate::cache_releases::CacheState;
 use petrelshore::interface::ServerId;
 
-/// The readers of one sequence that may hold something for it.
+/// The prefill servers that may hold a KV cache for one sequence.
 #[derive(Clone, Debug, Default)]
 pub struct CacheLeases {
-    at: Vec<(ServerId, CacheState)>,
+    leases: Vec<(ServerId, CacheState)>,
 }
 
 impl CacheLeases {
-    /// A read has ended, as its socket showed.
-    pub fn prefill_ended(&mut self, server: ServerId, ending: AttemptEnd) {
-        let state = match ending {
+    /// A prefill ended, as its connection showed.
+    pub fn prefill_ended(&mut self, server: ServerId, end: AttemptEnd) {
+        let state = match end {
             AttemptEnd::PrefillDone { .. } => CacheState::Held,
-            _ if ending.proves_not_run() => return,
+            _ if end.proves_not_run() => return,
             _ => CacheState::Uncertain,
         };
-        self.at.retain(|(reader, _)| *reader != server);
-        self.at.push((server, state));
+        self.leases.retain(|(holder, _)| *holder != server);
+        self.leases.push((server, state));
     }
 
-    /// A writer has taken the state from that reader, or has found that it is not there any more. What other readers
-    /// hold of reads whose writers broke stays.
+    /// A decode server has fetched the KV cache from that prefill server, or found that it is not there any more. What
+    /// other prefill servers hold, whose decode servers failed, stays.
     pub fn cache_fetched(&mut self, from: Option<ServerId>) {
-        self.at.retain(|(reader, state)| *state != CacheState::Held || Some(*reader) != from);
+        self.leases.retain(|(holder, state)| *state != CacheState::Held || Some(*holder) != from);
     }
 
-    /// What was to be let go of there is not for now: it may be there.
-    pub fn release_revoked(&mut self, reader: ServerId) {
-        if self.at.iter().all(|(at, _)| *at != reader) {
-            self.at.push((reader, CacheState::Uncertain));
+    /// A pending release at that prefill server was revoked: its KV cache may still be there.
+    pub fn release_revoked(&mut self, server: ServerId) {
+        if self.leases.iter().all(|(holder, _)| *holder != server) {
+            self.leases.push((server, CacheState::Uncertain));
         }
     }
 
-    /// What reads that were broken off may have left, to be let go while no attempt is out.
+    /// Takes out what cancelled prefills may have left, to be released while no attempt is in flight.
     pub fn take_uncertain(&mut self) -> Vec<(ServerId, CacheState)> {
-        let left = self.at.iter().copied().filter(|(_, state)| *state == CacheState::Uncertain).collect();
-        self.at.retain(|(_, state)| *state == CacheState::Held);
-        left
+        let uncertain =
+            self.leases.iter().copied().filter(|(_, state)| *state == CacheState::Uncertain).collect();
+        self.leases.retain(|(_, state)| *state == CacheState::Held);
+        uncertain
     }
 
-    /// All of it.
+    /// Takes out everything.
     pub fn take_all(&mut self) -> Vec<(ServerId, CacheState)> {
-        std::mem::take(&mut self.at)
+        std::mem::take(&mut self.leases)
     }
 }
 
--- a/gateway-core/src/cache_releases.rs
+++ b/gateway-core/src/cache_releases.rs
@@ -1,190 +1,212 @@
-//! Releases that are owed: states that readers hold and that no attempt will take any more.
+//! Pending release requests: KV caches that prefill servers hold and that no attempt will fetch any more.
 //!
-//! Rule 5 gives a release little time, and a message can get lost, so each is told again until its reader has
-//! answered. A reader that can't be reached gets the message for as long as it may still hold the state: readers
-//! drop what nobody fetched after a time of their own.
+//! Rule 5 gives a release little time, and a message can get lost, so each is sent again until its prefill server has
+//! answered. A prefill server that can't be reached is sent the request for as long as it may still hold the KV cache:
+//! prefill servers drop what nobody fetched after a time of their own.
 //!
-//! A read that was cut off may still reach its reader after the release did: the two ride on different connections.
-//! Its reader then answers that it holds nothing, and holds a state a moment later. So for such a read an answer
-//! settles nothing until the read can no longer be on its way, and the word is repeated often enough for the rule.
+//! A cancelled prefill may still arrive at its server after the release request did, as the two use different
+//! connections. Its server then answers that it holds nothing, and holds a KV cache a moment later. So for such a
+//! prefill an answer settles nothing until the prefill can no longer be in transit, and the request is sent again often
+//! enough for the rule.
 //!
-//! A word lets go of all that is held for its request. So while a sequence reads anew or writes, nothing is said for
-//! it: what is owed is taken back, and owed again once nothing is out.
+//! A release request releases everything that is held for its request id. So while a sequence has an attempt in flight
+//! none is sent for it: pending ones are revoked, and added again once no attempt is in flight.
 
 use petrelshore::interface::{Nanos, ServerId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first wait for an answer, as a part of the time that the rule allows; each next one is twice as long.
-const FIRST: u64 = 4;
-const LONGEST: Nanos = 5_000_000_000;
-/// A state that was not let go after this long is taken for dropped by its reader.
-const GIVE_UP: Nanos = 60_000_000_000;
-/// More than this are not remembered: the oldest is dropped, and counted.
-const MOST: usize = 10_000;
-
-/// A word that its reader does not take goes by way of so many others, until one answers.
-const OTHERS: usize = 3;
-/// Each next one is told after this part of the time for an answer, while those before are still awaited.
-const NEXT: u64 = 2;
-/// Connections that are kept for telling them, beyond one for each sequence in hand.
+/// The first wait for an answer is this part of the time that the rule allows; each next one is twice as long.
+const INITIAL_ANSWER_TIMEOUT_DIVISOR: u64 = 4;
+/// The longest wait for an answer.
+const MAX_ANSWER_TIMEOUT: Nanos = 5_000_000_000;
+/// The longest wait while a cancelled prefill may be in transit, as a part of the time that the rule allows.
+const MAX_IN_TRANSIT_TIMEOUT_DIVISOR: u64 = 2;
+/// How much longer each wait is than the one before.
+const BACKOFF_FACTOR: u64 = 2;
+/// After this long a KV cache counts as dropped by its prefill server.
+const ABANDON_AFTER: Nanos = 60_000_000_000;
+/// The most releases that are pending at once: beyond it the oldest is abandoned.
+const MAX_PENDING: usize = 10_000;
+/// How many relays at once are sent a release request that its prefill server does not answer.
+const MAX_RELAYS: usize = 3;
+/// Each next relay is sent the request after this part of the time for an answer, while the earlier ones are awaited.
+const RELAY_INTERVAL_DIVISOR: u64 = 2;
+/// For how long a cancelled prefill may still arrive at its server.
+const MAX_TRANSIT_TIME: Nanos = 2_000_000_000;
+/// Connections reserved for release requests, beyond one for each sequence in flight.
 pub const RELEASE_CONNECTIONS: usize = 8;
 
-/// A read that was cut off may come to its reader for this long after.
-const ON_ITS_WAY: Nanos = 2_000_000_000;
-
-/// What is known of the state that is to be let go.
+/// What is known of a KV cache that is to be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheState {
-    /// The reader has said that it holds it.
+    /// The prefill server has said that it holds it.
     Held,
-    /// Its read was cut off: it may be held, never be held, or be held a moment later.
+    /// Its prefill was cancelled: it may be held, never be held, or be held a moment later.
     Uncertain,
 }
 
-/// What came of telling a reader.
+/// The result of a release request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseOutcome {
+    /// The prefill server answered it.
     Acknowledged,
-    /// It provably does not run, or is not known any more.
+    /// The prefill server is known to run no more, or is not known any more.
     ServerGone,
 }
 
-/// Tells a reader to let go of what it holds for a request.
+/// A release request: tells a prefill server to release what it holds for a request id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheRelease {
+    /// The prefill server.
     pub server: ServerId,
+    /// The request id.
     pub request_id: String,
 }
 
-struct Owed {
-    since: Nanos,
+struct PendingRelease {
+    added_at: Nanos,
     /// Answers before this settle nothing.
     settles_from: Nanos,
-    next: Nanos,
-    wait: Nanos,
-    tries: usize,
+    next_send_at: Nanos,
+    answer_timeout: Nanos,
+    retries: usize,
 }
 
-/// All that this gateway owes.
+/// All pending releases of a gateway.
 pub struct CacheReleases {
-    within: Nanos,
-    owed: BTreeMap<CacheRelease, Owed>,
-    due: BTreeSet<(Nanos, CacheRelease)>,
-    lost: u64,
+    release_timeout: Nanos,
+    pending: BTreeMap<CacheRelease, PendingRelease>,
+    send_queue: BTreeSet<(Nanos, CacheRelease)>,
+    abandoned: u64,
 }
 
 impl CacheReleases {
-    /// `within` is the time in which a state must be let go.
-    pub fn new(within: Nanos) -> Self {
-        CacheReleases { within, owed: BTreeMap::new(), due: BTreeSet::new(), lost: 0 }
+    /// Without any pending release; `release_timeout` is the time in which a KV cache must be released.
+    pub fn new(release_timeout: Nanos) -> Self {
+        CacheReleases { release_timeout, pending: BTreeMap::new(), send_queue: BTreeSet::new(), abandoned: 0 }
     }
 
-    /// A state is to be let go of: tell its reader now, whatever it was told before: a second read may have left
-    /// another one there.
+    /// Adds a release that is sent now, whatever was sent before: a second prefill may have left another KV cache.
     pub fn add(&mut self, now: Nanos, release: &CacheRelease, state: CacheState) {
-        self.settled(release);
-        if self.owed.len() >= MOST {
-            self.drop_oldest();
+        self.remove(release);
+        if self.pending.len() >= MAX_PENDING {
+            self.abandon_oldest();
         }
-        let wait = self.answer_timeout();
+        let answer_timeout = self.answer_timeout();
+        let next_send_at = now + answer_timeout;
         let settles_from = match state {
             CacheState::Held => now,
-            CacheState::Uncertain => now.saturating_add(ON_ITS_WAY),
+            CacheState::Uncertain => now.saturating_add(MAX_TRANSIT_TIME),
         };
-        self.due.insert((now + wait, release.clone()));
-        self.owed
-            .insert(release.clone(), Owed { since: now, settles_from, next: now + wait, wait, tries: 0 });
+        self.send_queue.insert((next_send_at, release.clone()));
+        let pending =
+            PendingRelease { added_at: now, settles_from, next_send_at, answer_timeout, retries: 0 };
+        self.pending.insert(release.clone(), pending);
     }
 
-    /// Takes back what is owed for a request: the readers that may still hold something.
-    pub fn revoke(&mut self, request: &str) -> Vec<ServerId> {
-        let owed: Vec<CacheRelease> =
-            self.owed.keys().filter(|owed| owed.request_id == request).cloned().collect();
-        owed.iter().for_each(|release| self.settled(release));
-        owed.into_iter().map(|release| release.server).collect()
+    /// Revokes all pending releases of a request id: the prefill servers that may still hold something.
+    pub fn revoke(&mut self, request_id: &str) -> Vec<ServerId> {
+        let revoked: Vec<CacheRelease> =
+            self.pending.keys().filter(|release| release.request_id == request_id).cloned().collect();
+        revoked.iter().for_each(|release| self.remove(release));
+        revoked.into_iter().map(|release| release.server).collect()
     }
 
-    /// Its reader has answered, or provably runs no more.
-    pub fn finished(&mut self, now: Nanos, release: &CacheRelease, word: ReleaseOutcome) {
-        let early = self.owed.get(release).is_some_and(|owed| now < owed.settles_from);
-        if word == ReleaseOutcome::ServerGone || !early {
-            self.settled(release);
+    /// The prefill server has answered, or is known to run no more.
+    pub fn finished(&mut self, now: Nanos, release: &CacheRelease, outcome: ReleaseOutcome) {
+        let too_early = self.pending.get(release).is_some_and(|pending| now < pending.settles_from);
+        if outcome == ReleaseOutcome::ServerGone || !too_early {
+            self.remove(release);
         }
     }
 
-    fn settled(&mut self, release: &CacheRelease) {
-        if let Some(owed) = self.owed.remove(release) {
-            self.due.remove(&(owed.next, release.clone()));
+    fn remove(&mut self, release: &CacheRelease) {
+        if let Some(pending) = self.pending.remove(release) {
+            self.send_queue.remove(&(pending.next_send_at, release.clone()));
         }
     }
 
-    /// How long a reader may take to answer before it is told again.
+    /// How long a prefill server may take to answer before it is sent the request again.
     pub fn answer_timeout(&self) -> Nanos {
-        (self.within / FIRST).max(1)
+        (self.release_timeout / INITIAL_ANSWER_TIMEOUT_DIVISOR).max(1)
     }
 
-    /// How long an answer is awaited before the next server is told as well.
+    /// How long an answer is awaited before the next relay is sent the request as well.
     pub fn relay_interval(&self) -> Nanos {
-        (self.answer_timeout() / NEXT).max(1)
+        (self.answer_timeout() / RELAY_INTERVAL_DIVISOR).max(1)
     }
 
-    /// By way of whom else a reader that can't be had is told: of the servers that should be there, given with when
-    /// they were last heard of, the ones heard last, others with each try, since those may be lost too.
+    /// The servers that relay a request to a prefill server that can't be reached. Of the ready servers, each given with
+    /// when it was last heard from, the most recently heard ones; others with each retry, since those may be lost too.
     pub fn relays(&self, release: &CacheRelease, ready: &[(Nanos, ServerId)]) -> Vec<ServerId> {
-        let mut others: Vec<_> = ready.iter().filter(|(_, id)| *id != release.server).copied().collect();
-        others.sort_unstable_by_key(|(heard, id)| (Reverse(*heard), *id));
-        let tries = self.owed.get(release).map_or(0, |owed| owed.tries);
-        let from = tries.saturating_mul(OTHERS) % others.len().max(1);
-        others.rotate_left(from);
-        others.into_iter().take(OTHERS).map(|(_, id)| id).collect()
+        let mut candidates: Vec<_> =
+            ready.iter().filter(|(_, server)| *server != release.server).copied().collect();
+        candidates.sort_unstable_by_key(|(last_response_at, server)| (Reverse(*last_response_at), *server));
+        let retries = self.pending.get(release).map_or(0, |pending| pending.retries);
+        let first = retries.saturating_mul(MAX_RELAYS) % candidates.len().max(1);
+        candidates.rotate_left(first);
+        candidates.into_iter().take(MAX_RELAYS).map(|(_, server)| server).collect()
     }
 
+    /// When [`CacheReleases::on_timeout`] next has something to do.
     pub fn next_timeout(&self) -> Option<Nanos> {
-        self.due.first().map(|(at, _)| *at)
+        self.send_queue.first().map(|(at, _)| *at)
     }
 
-    /// What is to be told again by now.
+    /// The releases to be sent again by now.
     pub fn on_timeout(&mut self, now: Nanos) -> Vec<CacheRelease> {
-        let mut again = Vec::new();
-        while let Some((at, release)) = self.due.first().cloned().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, release.clone()));
-            let Some(owed) = self.owed.get_mut(&release) else { continue };
-            if now >= owed.since.saturating_add(GIVE_UP) {
-                self.owed.remove(&release);
-                self.lost += 1;
+        let mut due = Vec::new();
+        while let Some((at, release)) = self.send_queue.first().cloned().filter(|(at, _)| *at <= now) {
+            self.send_queue.remove(&(at, release.clone()));
+            let Some(pending) = self.pending.get_mut(&release) else { continue };
+            if now >= pending.added_at.saturating_add(ABANDON_AFTER) {
+                self.pending.remove(&release);
+                self.abandoned += 1;
                 continue;
             }
-            // A read that was cut off may come at any time yet, and its state has the rule's time from then on.
-            let longest = if now < owed.settles_from { self.within / 2 } else { LONGEST };
-            owed.wait = (owed.wait * 2).min(longest);
-            owed.tries += 1;
-            owed.next = now + owed.wait;
-            self.due.insert((owed.next, release.clone()));
-            again.push(release);
+            pending.schedule_retry(now, self.release_timeout);
+            self.send_queue.insert((pending.next_send_at, release.clone()));
+            due.push(release);
         }
-        again
+        due
     }
 
-    /// Since when that one is owed.
+    /// Since when a release is pending.
     pub fn pending_since(&self, release: &CacheRelease) -> Option<Nanos> {
-        self.owed.get(release).map(|owed| owed.since)
+        self.pending.get(release).map(|pending| pending.added_at)
     }
 
+    /// Number of pending releases.
     pub fn pending(&self) -> usize {
-        self.owed.len()
+        self.pending.len()
     }
 
-    /// How many were given up without an answer.
+    /// How many were abandoned without an answer.
     pub fn abandoned(&self) -> u64 {
-        self.lost
+        self.abandoned
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self.owed.iter().min_by_key(|(_, owed)| owed.since).map(|(release, _)| release.clone());
-        if let Some(release) = oldest {
-            self.settled(&release);
-            self.lost += 1;
+    fn abandon_oldest(&mut self) {
+        let oldest = self.pending.iter().min_by_key(|(_, pending)| pending.added_at);
+        if let Some(release) = oldest.map(|(release, _)| release.clone()) {
+            self.remove(&release);
+            self.abandoned += 1;
         }
     }
 }
+
+impl PendingRelease {
+    /// Sets when the request is sent next.
+    fn schedule_retry(&mut self, now: Nanos, release_timeout: Nanos) {
+        // A cancelled prefill may arrive at any time yet, and the rule's time for its KV cache starts then.
+        let max_timeout = if now < self.settles_from {
+            release_timeout / MAX_IN_TRANSIT_TIMEOUT_DIVISOR
+        } else {
+            MAX_ANSWER_TIMEOUT
+        };
+        self.answer_timeout = (self.answer_timeout * BACKOFF_FACTOR).min(max_timeout);
+        self.retries += 1;
+        self.next_send_at = now + self.answer_timeout;
+    }
+}
--- a/gateway-core/src/invariants.rs
+++ b/gateway-core/src/invariants.rs
@@ -1,85 +1,92 @@
-//! Holds at run time what was decided against the rules, and counts what breaks one. A count above zero is a fault of
-//! this program, whatever the traffic: it is logged as it happens, and told with the other counts.
+//! Run-time checks of the invariants. A count above zero is a fault of this program, whatever the traffic: it is logged
+//! as it happens, and exported with the other counts.
 
+use crate::attempt_outcome::is_open;
 use petrelshore::attempt_history::{first_possible_run, first_possible_run_of};
-use petrelshore::interface::*;
+use petrelshore::interface::{Attempt, AttemptStatus, Idempotency, Nanos, Sequence, Step};
 use std::collections::BTreeMap;
 
-/// A final answer that comes this long after its client's time is lost.
-const ANSWER_SLACK: Nanos = 500_000_000;
-/// What is held may be so late: word of it needs a turn of the loop.
-const RELEASE_SLACK: Nanos = 300_000_000;
+/// A final answer is late this long after the client's deadline.
+const ANSWER_TOLERANCE: Nanos = 500_000_000;
+/// A release is late this long after its time: it needs a turn of the event loop.
+const RELEASE_TOLERANCE: Nanos = 300_000_000;
 
-/// What was done against a rule.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt was sent for a sequence that had ended.
+    /// An attempt was sent for a completed sequence.
     SentAfterCompletion,
-    /// An attempt was sent while another one was out.
+    /// An attempt was sent while another one was in flight.
     ConcurrentAttempts,
-    /// What may run once was sent again though an earlier attempt may have run, or a repeat was sent past its window.
+    /// At-most-once work was sent again though an earlier attempt may have run, or keyed work after its window.
     RepeatedEffect,
-    /// What may run once was called harmless to repeat though an attempt may have run.
+    /// A request was rejected, as harmless to retry, though an attempt of at-most-once work may have run.
     UnsafeRejection,
-    /// A state was let go of after its time.
+    /// A KV cache was released after its time.
     LateRelease,
-    /// A final answer came after its client's time.
+    /// A final answer was given after the client's deadline.
     LateAnswer,
 }
 
-/// Breaches so far.
+/// The invariants, with how often each was violated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InvariantChecks {
-    counts: BTreeMap<Violation, u64>,
+    violations: BTreeMap<Violation, u64>,
 }
 
 impl InvariantChecks {
     /// The last attempt of a sequence is about to be sent.
-    pub fn attempt_sent(&mut self, now: Nanos, sequence: &Sequence, effect: Idempotency) {
+    pub fn attempt_sent(&mut self, now: Nanos, sequence: &Sequence, idempotency: Idempotency) {
         let Some((last, earlier)) = sequence.attempts.split_last() else { return };
-        let open = earlier.iter().any(|attempt| !matches!(attempt.status, AttemptStatus::Finished(_)));
-        self.holds(!sequence.completed, Violation::SentAfterCompletion);
-        self.holds(!open, Violation::ConcurrentAttempts);
-        let may_repeat = match (first_possible_run_of(earlier), effect) {
-            (None, _) | (_, Idempotency::Idempotent) => true,
-            (Some(first), Idempotency::Keyed { window, .. }) => now < first.sent_at.saturating_add(window),
-            (Some(_), Idempotency::AtMostOnce) => last.step == Step::Prefill,
+        let in_flight = earlier.iter().any(is_open);
+        self.check(!sequence.completed, Violation::SentAfterCompletion);
+        self.check(!in_flight, Violation::ConcurrentAttempts);
+        let repeatable = match idempotency {
+            // A prefill has no effect.
+            Idempotency::AtMostOnce if last.step == Step::Prefill => true,
+            _ => may_repeat(now, first_possible_run_of(earlier), idempotency),
         };
-        self.holds(may_repeat, Violation::RepeatedEffect);
+        self.check(repeatable, Violation::RepeatedEffect);
     }
 
-    /// Its client is told that trying again is harmless.
-    pub fn rejected(&mut self, now: Nanos, sequence: &Sequence, effect: Idempotency) {
-        let harmless = match (first_possible_run(sequence), effect) {
-            (None, _) | (_, Idempotency::Idempotent) => true,
-            (Some(first), Idempotency::Keyed { window, .. }) => now < first.sent_at.saturating_add(window),
-            (Some(_), Idempotency::AtMostOnce) => false,
-        };
-        self.holds(harmless, Violation::UnsafeRejection);
+    /// Its client is told that a retry is harmless.
+    pub fn rejected(&mut self, now: Nanos, sequence: &Sequence, idempotency: Idempotency) {
+        let repeatable = may_repeat(now, first_possible_run(sequence), idempotency);
+        self.check(repeatable, Violation::UnsafeRejection);
     }
 
-    /// A final answer is given before any token has come.
+    /// A final answer is given before any token arrived.
     pub fn answered(&mut self, now: Nanos, sequence: &Sequence) {
-        let streamed = sequence.attempts.iter().any(|attempt| attempt.status == AttemptStatus::Streaming);
-        let in_time = now <= sequence.first_token_deadline.saturating_add(ANSWER_SLACK);
-        self.holds(streamed || in_time, Violation::LateAnswer);
+        let streaming = sequence.attempts.iter().any(|attempt| attempt.status == AttemptStatus::Streaming);
+        let in_time = now <= sequence.first_token_deadline.saturating_add(ANSWER_TOLERANCE);
+        self.check(streaming || in_time, Violation::LateAnswer);
     }
 
-    /// What is held for a sequence is let go of, with no attempt out.
-    pub fn cache_released(&mut self, now: Nanos, held_since: Option<Nanos>, release_within: Nanos) {
-        let in_time = held_since
-            .is_none_or(|since| now <= since.saturating_add(release_within).saturating_add(RELEASE_SLACK));
-        self.holds(in_time, Violation::LateRelease);
+    /// The KV caches reserved for a sequence are released, with no attempt in flight.
+    pub fn cache_released(&mut self, now: Nanos, held_since: Option<Nanos>, release_timeout: Nanos) {
+        let in_time = held_since.is_none_or(|since| {
+            now <= since.saturating_add(release_timeout).saturating_add(RELEASE_TOLERANCE)
+        });
+        self.check(in_time, Violation::LateRelease);
     }
 
-    /// How often each rule was broken; empty where none was.
+    /// How often each invariant was violated; empty if none was.
     pub fn violations(&self) -> &BTreeMap<Violation, u64> {
-        &self.counts
+        &self.violations
     }
 
-    fn holds(&mut self, holds: bool, breach: Violation) {
+    fn check(&mut self, holds: bool, violation: Violation) {
         if !holds {
-            *self.counts.entry(breach).or_insert(0) += 1;
+            *self.violations.entry(violation).or_insert(0) += 1;
         }
     }
 }
+
+/// Whether work may be sent again, given its first attempt that may have run.
+fn may_repeat(now: Nanos, first_possible_run: Option<&Attempt>, idempotency: Idempotency) -> bool {
+    match (first_possible_run, idempotency) {
+        (None, _) | (_, Idempotency::Idempotent) => true,
+        (Some(first), Idempotency::Keyed { window, .. }) => now < first.sent_at.saturating_add(window),
+        (Some(_), Idempotency::AtMostOnce) => false,
+    }
+}
--- a/gateway-core/src/lib.rs
+++ b/gateway-core/src/lib.rs
@@ -1,20 +1,20 @@
-//! Holds what a gateway has in hand: sequences, the state of each schedule attempt, and every timer.
+//! The requests in flight at a gateway: each sequence, its attempts, and every timer.
 //!
-//! [`buffered`] keeps what belongs to a serving gateway's sequences round it, [`passthrough`] the same where events pass unchanged.
+//! There is no I/O and no clock in here. A runtime reports events together with the time, and executes the actions or
+//! commands that it gets back; the gateways, the capacity simulation and the bench adapter are such runtimes.
 //!
-//! No I/O and no clock: a shell reports events with the time, and carries out the [`Action`]s it gets back. The
-//! bench's adapter and the gateway are two such shells. Where to send and what follows an outcome is asked of
-//! `petrelshore::Scheduler`; what only a serving gateway meets is decided beside it: what an ending proves
-//! ([`attempt_outcome`]), who may come in ([`ingress_limits`]) and how much may be held at once ([`capacity`]), how long a running stream
-//! may be silent or stalled ([`timeouts`]) and whether one that broke goes on ([`stream_resumption`]), what a request is to the
-//! decisions ([`token_estimate`]), which connection it rides on ([`connection_pool`]), which states are still to be let go
-//! ([`cache_releases`]) and where a sequence left one ([`cache_leases`]), whom a full table closes ([`client_connections`]), how a gateway leaves
-//! that is told to stop ([`graceful_shutdown`]), what a repeated request is told ([`idempotency`]), how much a client may withdraw
-//! ([`cancellation_limits`]), and what one that got no answer may do by itself ([`error_response`]). Of connections that carry many
-//! calls it is decided how their peers may behave ([`http2_abuse`]) and which stream is at fault when all stand still
-//! ([`flow_control`]).
-//! [`send_gate`] says in the last instant whether an attempt may still begin, and [`invariants`] counts what breaks a rule all the
-//! same. [`settings_validation`] says whether settings can keep the rules at all; [`policy`] has a baseline to compare with.
+//! - [`RequestManager`] tracks sequences and their timers, and schedules attempts by [`petrelshore::Scheduler`], or by
+//!   another [`policy`]. Most runtimes use it through a request table: [`buffered`], for APIs that word the answers
+//!   themselves, or [`passthrough`], for streams whose events pass unchanged.
+//! - Attempts: [`attempt_outcome`] tells what the end of an exchange proves, [`timeouts`] how long a stream may be silent,
+//!   [`stream_resumption`] whether a broken one is resumed, [`send_gate`] whether an attempt may be sent at all.
+//! - KV caches: [`cache_leases`] tracks where a sequence may have left one, [`cache_releases`] the pending releases.
+//! - Admission: [`ingress_limits`] and [`capacity`] bound what is in flight, [`cancellation_limits`] what a client may
+//!   cancel; [`idempotency`] replays the answers of repeated requests, [`token_estimate`] estimates lengths.
+//! - Connections: [`connection_pool`] to model servers, [`client_connections`] from clients, [`flow_control`] and
+//!   [`http2_abuse`] for connections that carry many streams.
+//! - [`graceful_shutdown`] plans the time from the stop signal to the exit, and [`error_response`] words the errors.
+//! - [`invariants`] counts violations at run time, and [`settings_validation`] tells whether settings can keep the rules.
 
 pub mod attempt_outcome;
 pub mod cache_leases;
--- a/gateway-core/src/request_manager.rs
+++ b/gateway-core/src/request_manager.rs
@@ -19,10 +19,11 @@
 pub use action::{Action, Counts, Dispatch, FailureReason, Finality};
 pub use new_sequence::{NewSequence, Relay};
 
+use crate::attempt_outcome::is_open;
 use crate::invariants::{InvariantChecks, Violation};
 use crate::policy::{Chooser, Policy};
 use petrelshore::interface::{
-    AttemptStatus, Deployment, Endpoint, LoadReport, Nanos, SequenceId, ServerId, SnapshotKind, TrafficType,
+    Deployment, Endpoint, LoadReport, Nanos, SequenceId, ServerId, SnapshotKind, TrafficType,
 };
 use std::collections::{BTreeMap, HashMap};
 use timer_queue::TimerQueue;
@@ -108,7 +109,7 @@
         }
         if let Some(attempt) = tracked.sequence.attempts.len().checked_sub(1) {
             let last = &tracked.sequence.attempts[attempt];
-            if !matches!(last.status, AttemptStatus::Finished(_)) {
+            if is_open(last) {
                 actions.push(Action::Cancel { id, attempt, server: last.server, step: last.step });
             }
         }
--- a/gateway-core/src/request_manager/shutdown.rs
+++ b/gateway-core/src/request_manager/shutdown.rs
@@ -3,7 +3,8 @@
 use super::RequestManager;
 use super::action::{Action, FailureReason};
 use super::new_sequence::Relay;
-use super::tracked_sequence::{TrackedSequence, is_open};
+use super::tracked_sequence::TrackedSequence;
+use crate::attempt_outcome::is_open;
 use petrelshore::interface::{Attempt, AttemptStatus, Nanos, NextStep, Outcome, SequenceId};
 use std::cmp::Reverse;
 
--- a/gateway-core/src/request_manager/tracked_sequence.rs
+++ b/gateway-core/src/request_manager/tracked_sequence.rs
@@ -1,9 +1,10 @@
 //! The state of one sequence in flight.
 
 use super::new_sequence::{NewSequence, Relay};
+use crate::attempt_outcome::is_open;
 use crate::stream_resumption::{BrokenStream, resume_deadline};
 use crate::timeouts;
-use petrelshore::interface::{Attempt, AttemptStatus, Nanos, Sequence, TrafficType};
+use petrelshore::interface::{AttemptStatus, Nanos, Sequence, TrafficType};
 
 /// A deadline that never passes.
 pub(super) const NO_DEADLINE: Nanos = Nanos::MAX;
@@ -119,11 +120,6 @@
     }
 }
 
-/// Whether an attempt has no outcome yet.
-pub(super) fn is_open(attempt: &Attempt) -> bool {
-    !matches!(attempt.status, AttemptStatus::Finished(_))
-}
-
 fn completion_deadline(new: &NewSequence, traffic_type: &TrafficType) -> Nanos {
     let (first_token_deadline, max_tokens) = (new.first_token_deadline, new.max_output_tokens);
     let stream_deadline = match new.relay {
