--- a/gateway-core/tests/passthrough.rs
+++ b/gateway-core/tests/passthrough/main.rs
@@ -1,5 +1,6 @@
 //! Streams whose events pass unchanged, and the bounds of a gateway with few descriptors.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use common::*;
