--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -6,7 +6,7 @@
 use crate::line::Line;
 use crate::reply::{Command, Reply};
 use petrelshore::interface::{Discovery, Nanos};
-use petrelshore_gateway_core::{Action, Dispatch, RequestManager};
+use petrelshore_gateway_core::{Action, Dispatch, Finality, RequestManager};
 use petrelshore_platform_protocol::settings::Names;
 use std::fmt::Write;
 
@@ -50,7 +50,14 @@
             Event::FirstToken { id, attempt } => self.manager.first_token(now, id, attempt),
             Event::AttemptFinished { id, attempt, outcome, is_last, load } => {
                 self.load_reported(now, load);
-                self.manager.attempt_finished(now, id, attempt, outcome, is_last, &mut self.actions);
+                self.manager.attempt_finished(
+                    now,
+                    id,
+                    attempt,
+                    outcome,
+                    Finality::final_if(is_last),
+                    &mut self.actions,
+                );
             }
             Event::ClientCancelled(id) => self.manager.client_cancelled(id, &mut self.actions),
             Event::TimerFired(Timer::PollEndpoints) => {
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -391,9 +391,9 @@
         match texts.try_send(text) {
             Ok(()) => true,
             Err(async_channel::TrySendError::Full(text)) => {
-                self.tell(|requests, now, _| requests.client_stalled(now, id, true));
+                self.tell(|requests, now, _| requests.client_stalled(now, id));
                 let sent = texts.send(text).await;
-                self.tell(|requests, now, _| requests.client_stalled(now, id, false));
+                self.tell(|requests, now, _| requests.client_stall_ended(now, id));
                 sent.is_ok()
             }
             Err(async_channel::TrySendError::Closed(_)) => false,
@@ -547,7 +547,10 @@
 
     /// The front has let go of its answer; `over` where it had read the end of it.
     pub(crate) fn client_left(self: &Rc<Self>, id: SequenceId, over: bool) {
-        self.tell(|requests, now, out| requests.client_left(now, id, over, out));
+        self.tell(|requests, now, out| match over {
+            true => requests.answer_consumed(now, id),
+            false => requests.client_cancelled(now, id, out),
+        });
         // Dropping the ticket breaks off whatever of it still runs.
         let ticket = self.tickets.borrow_mut().remove(&id);
         drop(ticket);
