--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Follows discovery's list, by the agent on the gateway's own machine.
 
-use crate::service::Service;
+use crate::gateway::Service;
 use async_io::Timer;
 use bytes::BytesMut;
 use futures_lite::future;
--- a/platform-gateway/src/lib.rs
+++ b/platform-gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! happens on its sockets and carries out what it answers. [`discovery`] follows the list. It decides nothing.
 
 pub mod discovery;
-mod release;
-mod service;
+mod releases;
+mod gateway;
 
-pub use service::{Answer, Message, Next, Service};
+pub use gateway::{Answer, Message, Next, Service};
--- a/platform-gateway/src/release.rs
+++ b/platform-gateway/src/releases.rs
@@ -1,6 +1,6 @@
 //! Words to let go: a reader that holds a state nobody will take is told so, by way of others where it can't be had.
 
-use crate::service::Inner;
+use crate::gateway::Inner;
 use async_io::Timer;
 use futures_lite::future;
 use petrelshore::interface::{Nanos, ServerId};
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,10 +1,24 @@
-//! What every gateway process runs on, whatever it serves: a monotonic [`Clock`], one [`TimerDriver`], and a
-//! [`Spawner`] for its tasks. Nothing here decides.
+//! What every gateway process runs on, whatever API it serves.
+//!
+//! A gateway is one thread: tasks on sockets report events to a request table, and the [`EventDriven`] gateway executes
+//! the commands that the table returns. This package has what both gateways need for that: a monotonic [`Clock`], one
+//! [`TimerDriver`], a [`Spawner`], the [`EventLoop`], the [`AttemptSlot`] of a request, and helpers to wait for a
+//! condition ([`wait_until`]) or for the first of several calls ([`first_success`]). It makes no routing decisions.
 
+mod attempt_slot;
 mod clock;
+mod event_loop;
+mod first_success;
+mod request_table;
 mod spawner;
 mod timer;
+mod wait;
 
+pub use attempt_slot::AttemptSlot;
 pub use clock::Clock;
+pub use event_loop::{Delivery, EventDriven, EventLoop};
+pub use first_success::{Call, first_success};
+pub use request_table::RequestTable;
 pub use spawner::Spawner;
 pub use timer::TimerDriver;
+pub use wait::{wait_for, wait_until};
--- a/runtime/src/spawner.rs
+++ b/runtime/src/spawner.rs
@@ -14,12 +14,12 @@
         Spawner(Rc::downgrade(executor))
     }
 
-    /// Runs `work`; nothing once the executor is gone. Dropping the task cancels it.
+    /// Spawns `work`; nothing once the executor is gone. Dropping the task cancels it.
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Option<Task<()>> {
         self.0.upgrade().map(|executor| executor.spawn(work))
     }
 
-    /// Runs `work` to its end, whoever waits for it.
+    /// Runs `work` to its end in the background.
     pub fn run(&self, work: impl Future<Output = ()> + 'static) {
         if let Some(task) = self.spawn(work) {
             task.detach();
--- a/runtime/src/timer.rs
+++ b/runtime/src/timer.rs
@@ -1,4 +1,4 @@
-//! The one timer of a gateway: it sleeps until the first timeout, or until a sooner one is set.
+//! The one timer of a gateway: it sleeps until the next timeout, or until an earlier one is set.
 
 use crate::clock::Clock;
 use async_io::Timer;
@@ -9,14 +9,15 @@
 
 /// Wakes a gateway for its next timeout.
 pub struct TimerDriver {
-    /// Notified when a timeout was set that comes before the one waited for.
-    sooner: Event,
+    /// Notified by [`TimerDriver::update`] when a timeout was set that comes before the one waited for.
+    earlier: Event,
+    /// The timeout waited for. Set only by the timeout task, in [`TimerDriver::run`].
     armed_for: Cell<Nanos>,
 }
 
 impl Default for TimerDriver {
     fn default() -> Self {
-        TimerDriver { sooner: Event::new(), armed_for: Cell::new(Nanos::MAX) }
+        TimerDriver { earlier: Event::new(), armed_for: Cell::new(Nanos::MAX) }
     }
 }
 
@@ -24,14 +25,14 @@
     /// The next timeout may have changed.
     pub fn update(&self, next_timeout: Option<Nanos>) {
         if next_timeout.is_some_and(|at| at < self.armed_for.get()) {
-            self.sooner.notify(usize::MAX);
+            self.earlier.notify(usize::MAX);
         }
     }
 
-    /// Calls `on_timeout` whenever a timeout is over, for as long as it is polled.
+    /// Calls `on_timeout` whenever a timeout is reached, for as long as it is polled.
     pub async fn run(&self, clock: Clock, next_timeout: impl Fn() -> Option<Nanos>, on_timeout: impl Fn()) {
         loop {
-            let sooner = self.sooner.listen();
+            let earlier = self.earlier.listen();
             let timeout = next_timeout();
             self.armed_for.set(timeout.unwrap_or(Nanos::MAX));
             match timeout {
@@ -40,12 +41,12 @@
                     future::yield_now().await;
                 }
                 Some(at) => {
-                    let reached = async {
+                    let timeout_reached = async {
                         Timer::at(clock.instant(at)).await;
                     };
-                    future::or(sooner, reached).await;
+                    future::or(earlier, timeout_reached).await;
                 }
-                None => sooner.await,
+                None => earlier.await,
             }
         }
     }
