--- a/cli/src/platform.rs
+++ b/cli/src/platform.rs
@@ -8,7 +8,7 @@
 use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::Spawner;
 use petrelshore_ingress::listener::bind;
-use petrelshore_platform_gateway::{Service, discovery};
+use petrelshore_platform_gateway::{ConnectionCounts, PlatformGateway, discovery};
 use petrelshore_platform_ingress::Clients;
 use petrelshore_platform_protocol::config::{Config, config};
 use std::cell::Cell;
@@ -86,8 +86,11 @@
     let most_clients = ((descriptors as f64 * CLIENTS) as usize).max(1);
     let (name, memory, listen) = (config.name.clone(), config.memory_bytes, listener.address);
     let (longest_abandon, clients_resume) = (config.longest_abandon, config.clients_resume);
-    let service =
-        Service::start(config, descriptors.saturating_sub(most_clients).max(1), Spawner::new(executor));
+    let service = PlatformGateway::start(
+        config,
+        descriptors.saturating_sub(most_clients).max(1),
+        Spawner::new(executor),
+    );
     executor.spawn(discovery::watch(service.clone())).detach();
     let clients = Clients::new(service.clone(), most_clients, memory);
     let front = executor.spawn(clients.clone().serve(listener));
@@ -123,7 +126,7 @@
             at(after).await;
             // What has come in this turn is passed on first: a stream may have ended by itself.
             future::yield_now().await;
-            service.migrate_streams(&leaving, (after, after + A_MOVE));
+            service.migrate_streams(&leaving, after..after + A_MOVE);
             after += A_MOVE;
         }
     };
@@ -148,9 +151,9 @@
     let empty = async {
         loop {
             clients.until_empty().await;
-            service.until_empty().await;
+            service.wait_until_idle().await;
             Timer::after(LAST_LOOK).await;
-            if clients.is_empty() && service.is_empty() {
+            if clients.is_empty() && service.is_idle() {
                 return;
             }
         }
@@ -163,7 +166,7 @@
 
 /// Takes discovery's address from the configuration as it is now. One that is not good changes nothing, and is read again
 /// until it is, or until the gateway is told of another.
-async fn reload(service: Service, number: usize, latest: Rc<Cell<usize>>) {
+async fn reload(service: PlatformGateway, number: usize, latest: Rc<Cell<usize>>) {
     for reading in 1..=READINGS + LATE_READINGS {
         match read() {
             Ok(config) => {
@@ -182,10 +185,10 @@
     }
 }
 
-async fn log(service: Service, clients: Clients) {
+async fn log(service: PlatformGateway, clients: Clients) {
     loop {
         Timer::after(LOGGED).await;
-        let (open, idle, owed) = service.connection_counts();
+        let ConnectionCounts { open, idle, pending_releases: owed } = service.connection_counts();
         let (in_hand, clients) = (service.tracked(), clients.connections());
         let (counts, breaches) = (service.counts(), service.violations());
         info!(in_hand, clients, servers = open, idle, owed, ?counts, ?breaches, "holding");
--- /dev/null
+++ b/platform-gateway/src/commands.rs
@@ -0,0 +1,47 @@
+//! Executes the commands of the request table.
+
+use crate::forwarded_request::ForwardedRequest;
+use crate::state::GatewayState;
+use petrelshore::interface::SequenceId;
+use petrelshore_gateway_core::passthrough::{Command, FinalAnswer};
+use std::rc::Rc;
+use tracing::debug;
+
+impl GatewayState {
+    pub(crate) fn execute_command(self: &Rc<Self>, command: Command<Rc<ForwardedRequest>>) {
+        match command {
+            Command::Send { dispatch, address, message } => self.send_attempt(dispatch, address, message),
+            Command::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Command::Release(release) => self.send_release(release),
+            Command::Answer { id, last } => self.finish_answer(id, last),
+            Command::Remove { id } => self.remove_request(id),
+        }
+    }
+
+    /// Cancels an attempt by closing its connection.
+    fn cancel_attempt(&self, id: SequenceId, attempt: usize) {
+        debug!(request_id = id.0, attempt, "attempt cancelled");
+        let mut entries = self.entries.borrow_mut();
+        let task = entries.get_mut(&id).and_then(|entry| entry.attempt.take(attempt));
+        drop(entries);
+        // Dropping its task closes its connection.
+        drop(task);
+    }
+
+    /// The one final answer: the ingress reads it once it has read all events before it.
+    fn finish_answer(&self, id: SequenceId, outcome: FinalAnswer) {
+        debug!(request_id = id.0, ?outcome, "request finished");
+        if let Some(entry) = self.entries.borrow().get(&id) {
+            entry.final_answer.set(Some(outcome));
+            entry.events.close();
+        }
+    }
+
+    fn remove_request(&self, id: SequenceId) {
+        let entry = self.entries.borrow_mut().remove(&id);
+        if let Some(entry) = entry {
+            entry.events.close();
+        }
+        self.request_or_release_finished.notify(usize::MAX);
+    }
+}
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -1,193 +1,173 @@
-//! Follows discovery's list, by the agent on the gateway's own machine.
+//! Watches the endpoint list of the platform's discovery, through the agent on the gateway's own machine.
 
-use crate::gateway::Service;
+mod list_request;
+
+use crate::gateway::PlatformGateway;
 use async_io::Timer;
-use bytes::BytesMut;
 use futures_lite::future;
+use list_request::{ListError, ListRequest, request_list};
 use petrelshore::interface::Nanos;
-use petrelshore_http1::body::Body;
-use petrelshore_http1::wire::{Broken, Wire};
-use petrelshore_platform_protocol::Malformed;
-use petrelshore_platform_protocol::list::{Listed, listed};
-use std::future::Future;
+use petrelshore_http1::wire::Wire;
+use petrelshore_platform_protocol::list::Listed;
+use petrelshore_runtime::{Call, first_success};
 use std::net::SocketAddr;
-use std::pin::Pin;
-use std::task::Poll;
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-// A change counts as told 6 s after discovery has it and can be reached, however the calls before ended. At the most
-// there pass the rest of a watch that is out (`WAIT` + a `pause`, 2.5 s), a connection and the whole list (`AT_ONCE`
-// each): 3.5 s.
+// A change counts as known 6 s after discovery has it and can be reached, however the requests before ended. At the most
+// there pass the rest of a watch that is out (`MAX_WATCH_TIMEOUT` + the poll interval, 2.5 s), a connection and the full
+// list (`REQUEST_TIMEOUT` each): 3.5 s.
 //
-// What an agent that was silent has at its return counts at once, and it does not answer what it was asked before. So
-// calls begin a `pause` apart, whatever became of the ones before, and the list is there a part of the drain grace
-// after the return. The ones before stay out for their time: an agent that is only slow answers them. One that takes up
-// to `PATIENT` is followed: its list is there 3.5 s after the watch before it has ended at the latest.
+// What an agent that was silent has at its return counts at once, and it does not answer earlier requests. So requests
+// begin a poll interval apart, whatever became of the ones before, and the list is there a part of the drain grace after
+// the return. The requests before stay out for their time: an agent that is only slow answers them. One that takes up to
+// `PATIENT_REQUEST_TIMEOUT` is followed: its list is there 3.5 s after the watch before it has ended at the latest.
 
-/// What a watch asks the agent to wait for news at the most. Short, since word that got lost on its way, and an agent
-/// that is silent, show only at its end: no more than so many times the drain grace.
-const WAIT: Duration = Duration::from_millis(2_000);
-const WAIT_GRACES: u32 = 2;
+/// What a watch asks the agent to wait for changes at the most. Short, since a change that got lost on its way, and an
+/// agent that is silent, show only at its end: no more than `WATCH_TIMEOUT_DRAIN_GRACES` times the drain grace.
+const MAX_WATCH_TIMEOUT: Duration = Duration::from_millis(2_000);
+const WATCH_TIMEOUT_DRAIN_GRACES: u32 = 2;
 /// The agent answers at once what has no wait in it.
-const AT_ONCE: Duration = Duration::from_millis(500);
-/// But discovery may be slow. So one of the calls that begin in this time stays out for longer than the others.
-const PATIENT_APART: Duration = Duration::from_millis(1_000);
-const PATIENT: Duration = Duration::from_millis(2_500);
-/// Between the beginnings of two calls for the whole list: a part of the drain grace, within these bounds.
-const PAUSE_PART: u32 = 2;
-const PAUSE_LEAST: Duration = Duration::from_millis(50);
-const PAUSE_MOST: Duration = Duration::from_millis(500);
-/// Largest list.
-const LARGEST: usize = 4 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// But discovery may be slow. So one of the requests that begin in this time stays out for longer than the others.
+const PATIENT_REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
+const PATIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Between the beginnings of two requests for the full list: a part of the drain grace, within these bounds.
+const POLLS_PER_DRAIN_GRACE: u32 = 2;
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long to wait, by the drain grace of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waits {
-    /// What a watch asks for.
-    watch: Duration,
-    /// Between two calls for the whole list, and after a watch whose wait is over.
-    pause: Duration,
+struct WatchTimings {
+    /// What a watch asks the agent to wait at the most.
+    watch_timeout: Duration,
+    /// Between two requests for the full list, and allowed to a watch beyond its wait.
+    poll_interval: Duration,
 }
 
-impl Waits {
-    pub fn of(drain_grace: Nanos) -> Self {
+impl WatchTimings {
+    fn new(drain_grace: Nanos) -> Self {
         let grace = Duration::from_nanos(drain_grace);
-        Waits {
-            watch: (grace * WAIT_GRACES).clamp(AT_ONCE, WAIT),
-            pause: (grace / PAUSE_PART).clamp(PAUSE_LEAST, PAUSE_MOST),
+        WatchTimings {
+            watch_timeout: (grace * WATCH_TIMEOUT_DRAIN_GRACES).clamp(REQUEST_TIMEOUT, MAX_WATCH_TIMEOUT),
+            poll_interval: (grace / POLLS_PER_DRAIN_GRACE).clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL),
         }
     }
 }
 
-/// Follows the list for as long as it is polled; a new address is taken up at once, from its whole list on.
-pub async fn watch(service: Service) {
-    let waits = Waits::of(service.drain_grace());
+/// A connection to the agent, with the list that came on it last.
+struct ListConnection {
+    wire: Wire,
+    list: Listed,
+}
+
+/// The watch task: follows the endpoint list for as long as it is polled. A new address is taken up at once, from its
+/// full list on.
+pub async fn watch(gateway: PlatformGateway) {
+    let timings = WatchTimings::new(gateway.drain_grace());
     loop {
-        let moved = service.discovery_address_changed();
-        let address = service.discovery_address();
-        let followed = async {
-            loop {
-                // Guards against an agent that ends each connection with its answer.
-                let soonest = Timer::after(waits.pause);
-                let (wire, list) = whole(&service, address, waits).await;
-                let what = follow(&service, address, waits, wire, list).await;
-                debug!(%address, what, "discovery: asking anew");
-                soonest.await;
-            }
-        };
-        future::or(moved, followed).await;
+        let address_changed = gateway.discovery_address_changed();
+        let address = gateway.discovery_address();
+        let watcher = Watcher { gateway: &gateway, address, timings };
+        future::or(address_changed, watcher.run()).await;
     }
 }
 
-type ListRequest<'a> = Pin<Box<dyn Future<Output = Result<(Wire, Listed), Malformed>> + 'a>>;
+/// Watches the list at one address.
+#[derive(Clone, Copy)]
+struct Watcher<'a> {
+    gateway: &'a PlatformGateway,
+    address: SocketAddr,
+    timings: WatchTimings,
+}
 
-/// The whole list, by the first call that has it, and the connection that it came on.
-async fn whole(service: &Service, address: SocketAddr, waits: Waits) -> (Wire, Listed) {
-    let mut calls: Vec<ListRequest<'_>> = Vec::new();
-    let mut last_patient = None;
-    loop {
-        let patient = last_patient.is_none_or(|last: Instant| last.elapsed() >= PATIENT_APART);
-        if patient {
-            last_patient = Some(Instant::now());
+impl<'a> Watcher<'a> {
+    async fn run(self) {
+        loop {
+            // Guards against an agent that ends each connection with its answer.
+            let poll_interval = Timer::after(self.timings.poll_interval);
+            let connection = self.full_list().await;
+            let reason = self.follow_changes(connection).await;
+            debug!(address = %self.address, %reason, "endpoint list watch ended");
+            poll_interval.await;
         }
-        let within = if patient { PATIENT } else { AT_ONCE };
-        calls.push(Box::pin(async move {
-            let wire = Wire::connect(address, AT_ONCE).await;
-            let mut wire = wire.map_err(|why| format!("no connection: {why:?}"))?;
-            let list = ask(&mut wire, address, "", within, service).await?;
-            Ok((wire, list))
-        }));
-        let first = future::poll_fn(|context| {
-            let mut had = None;
-            calls.retain_mut(|call| match call.as_mut().poll(context) {
-                _ if had.is_some() => true,
-                Poll::Pending => true,
-                Poll::Ready(Ok(list)) => {
-                    had = Some(list);
-                    false
-                }
-                Poll::Ready(Err(what)) => {
-                    debug!(%address, what, "discovery: no list");
-                    false
+    }
+
+    /// The full list, by the first request that is answered with it.
+    async fn full_list(self) -> ListConnection {
+        let mut requests: Vec<Call<'a, ListConnection>> = Vec::new();
+        let mut last_patient = None;
+        loop {
+            let is_patient =
+                last_patient.is_none_or(|last: Instant| last.elapsed() >= PATIENT_REQUEST_INTERVAL);
+            if is_patient {
+                last_patient = Some(Instant::now());
+            }
+            let timeout = if is_patient { PATIENT_REQUEST_TIMEOUT } else { REQUEST_TIMEOUT };
+            requests.push(Box::pin(self.try_full_list(timeout)));
+            let answer = async {
+                match first_success(&mut requests).await {
+                    Some(connection) => Some(connection),
+                    // All have failed: the next one is made when its time has come.
+                    None => future::pending().await,
                 }
-            });
-            had.map_or(Poll::Pending, Poll::Ready)
-        });
-        let pause = async {
-            Timer::after(waits.pause).await;
-            None
-        };
-        if let Some(had) = future::or(async { Some(first.await) }, pause).await {
-            return had;
+            };
+            let poll_interval = async {
+                Timer::after(self.timings.poll_interval).await;
+                None
+            };
+            if let Some(connection) = future::or(answer, poll_interval).await {
+                return connection;
+            }
         }
     }
-}
 
-/// Takes a list and what changes after it. Returns why it can't be followed any further.
-async fn follow(
-    service: &Service,
-    address: SocketAddr,
-    waits: Waits,
-    mut wire: Wire,
-    mut list: Listed,
-) -> Malformed {
-    loop {
-        for what in &list.left_out {
-            warn!(%what, "discovery: an entry is left out");
-        }
-        let index = list.index;
-        service.update_endpoints(list);
-        // Another answer behind the one asked for would be taken for the next one's, and each after it for the next.
-        if !wire.quiet() {
-            return "more than was asked for, or the end".to_owned();
-        }
-        let since = format!("?since={index}&timeout_ms={}", waits.watch.as_millis());
-        list = match ask(&mut wire, address, &since, waits.watch + waits.pause, service).await {
-            // Nothing newer than the index known here would ever come.
-            Ok(next) if next.index < index => {
-                return format!("the index went back from {index} to {}", next.index);
-            }
-            Ok(next) => next,
-            Err(what) => return what,
+    async fn try_full_list(self, timeout: Duration) -> Option<ListConnection> {
+        let result = async {
+            let mut wire = Wire::connect(self.address, REQUEST_TIMEOUT).await.map_err(ListError::Connect)?;
+            let request = ListRequest { address: self.address, query: "", timeout };
+            let list = request_list(&mut wire, request, self.gateway.names()).await?;
+            Ok::<_, ListError>(ListConnection { wire, list })
         };
+        match result.await {
+            Ok(connection) => Some(connection),
+            Err(error) => {
+                debug!(address = %self.address, %error, "endpoint list request failed");
+                None
+            }
+        }
     }
-}
 
-async fn ask(
-    wire: &mut Wire,
-    address: SocketAddr,
-    since: &str,
-    within: Duration,
-    service: &Service,
-) -> Result<Listed, Malformed> {
-    let asked = async {
-        let message = format!("GET /v1/servers{since} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        wire.write(message.as_bytes()).await.map_err(|error| error.to_string())?;
-        let said = |broken: Broken| match broken {
-            Broken::Unreadable(unreadable) => unreadable.to_string(),
-            Broken::Closed => "the connection broke".to_owned(),
-        };
-        let head = wire.answer().await.map_err(said)?;
-        let (mut body, mut data) = (Body::new(head.framing, LARGEST as u64), BytesMut::new());
-        while !body.decode(&mut wire.buffer, &mut data).map_err(|unreadable| unreadable.to_string())? {
-            if data.len() > LARGEST {
-                return Err("the list is too large".to_owned());
+    /// Takes a list and what changes after it. Returns why it can't be followed any further.
+    async fn follow_changes(self, connection: ListConnection) -> ListError {
+        let ListConnection { mut wire, mut list } = connection;
+        loop {
+            for error in &list.left_out {
+                warn!(%error, "endpoint list entry rejected");
             }
-            match wire.more().await {
-                Err(Broken::Closed) if body.may_end() => break,
-                more => more.map_err(said)?,
+            let index = list.index;
+            self.gateway.update_endpoints(list);
+            // An answer behind the one requested would be taken for the next one's, and each after it for the next.
+            if !wire.quiet() {
+                return ListError::UnexpectedData;
             }
+            list = match self.next_change(&mut wire, index).await {
+                // Nothing newer than the index known here would ever come.
+                Ok(next) if next.index < index => {
+                    return ListError::IndexWentBack { known: index, received: next.index };
+                }
+                Ok(next) => next,
+                Err(error) => return error,
+            };
         }
-        if head.status != 200 {
-            return Err(format!("status {}", head.status));
-        }
-        let json = serde_json::from_slice(&data).map_err(|error| error.to_string())?;
-        listed(&json, service.names())
-    };
-    let late = async {
-        Timer::after(within).await;
-        Err("silent".to_owned())
-    };
-    future::or(asked, late).await
+    }
+
+    async fn next_change(self, wire: &mut Wire, index: u64) -> Result<Listed, ListError> {
+        let WatchTimings { watch_timeout, poll_interval } = self.timings;
+        let query = format!("?since={index}&timeout_ms={}", watch_timeout.as_millis());
+        let request =
+            ListRequest { address: self.address, query: &query, timeout: watch_timeout + poll_interval };
+        request_list(wire, request, self.gateway.names()).await
+    }
 }
--- /dev/null
+++ b/platform-gateway/src/discovery/list_request.rs
@@ -0,0 +1,127 @@
+//! One request for the endpoint list, on a connection that is up.
+
+use async_io::Timer;
+use bytes::BytesMut;
+use futures_lite::future;
+use petrelshore_http1::Unreadable;
+use petrelshore_http1::body::Body;
+use petrelshore_http1::connecting::Unconnected;
+use petrelshore_http1::wire::{Broken, Wire};
+use petrelshore_platform_protocol::Malformed;
+use petrelshore_platform_protocol::list::{Listed, listed};
+use petrelshore_platform_protocol::settings::Names;
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Largest list that is taken.
+const MAX_LIST_BYTES: usize = 4 << 20;
+
+const STATUS_OK: u16 = 200;
+
+/// Why an endpoint list was not had, or can't be followed any further.
+#[derive(Debug)]
+pub(super) enum ListError {
+    Connect(Unconnected),
+    Write(io::Error),
+    /// The answer is no HTTP.
+    Unreadable(Unreadable),
+    /// The connection broke before the answer was complete.
+    Disconnected,
+    /// The answer was not complete in time.
+    Timeout,
+    /// The list is larger than [`MAX_LIST_BYTES`].
+    TooLarge,
+    Status(u16),
+    Json(serde_json::Error),
+    Malformed(Malformed),
+    /// Bytes, or the end of the connection, came behind an answer.
+    UnexpectedData,
+    /// The list's index is lower than one that was known before.
+    IndexWentBack {
+        known: u64,
+        received: u64,
+    },
+}
+
+impl fmt::Display for ListError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ListError::Connect(error) => write!(f, "no connection: {error:?}"),
+            ListError::Write(error) => error.fmt(f),
+            ListError::Unreadable(error) => error.fmt(f),
+            ListError::Disconnected => f.write_str("the connection broke"),
+            ListError::Timeout => f.write_str("silent"),
+            ListError::TooLarge => f.write_str("the list is too large"),
+            ListError::Status(status) => write!(f, "status {status}"),
+            ListError::Json(error) => error.fmt(f),
+            ListError::Malformed(error) => error.fmt(f),
+            ListError::UnexpectedData => f.write_str("more than was asked for, or the end"),
+            ListError::IndexWentBack { known, received } => {
+                write!(f, "the index went back from {known} to {received}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for ListError {}
+
+impl From<Broken> for ListError {
+    fn from(broken: Broken) -> Self {
+        match broken {
+            Broken::Unreadable(error) => ListError::Unreadable(error),
+            Broken::Closed => ListError::Disconnected,
+        }
+    }
+}
+
+/// What to request of the agent.
+#[derive(Clone, Copy)]
+pub(super) struct ListRequest<'a> {
+    pub(super) address: SocketAddr,
+    /// With its question mark; empty for the full list at once.
+    pub(super) query: &'a str,
+    pub(super) timeout: Duration,
+}
+
+/// Requests the list and reads the answer.
+pub(super) async fn request_list(
+    wire: &mut Wire,
+    request: ListRequest<'_>,
+    names: &Names,
+) -> Result<Listed, ListError> {
+    let timed_out = async {
+        Timer::after(request.timeout).await;
+        Err(ListError::Timeout)
+    };
+    future::or(exchange(wire, request, names), timed_out).await
+}
+
+async fn exchange(wire: &mut Wire, request: ListRequest<'_>, names: &Names) -> Result<Listed, ListError> {
+    let ListRequest { address, query, .. } = request;
+    let message = format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+    wire.write(message.as_bytes()).await.map_err(ListError::Write)?;
+    let head = wire.answer().await?;
+    let mut body = Body::new(head.framing, MAX_LIST_BYTES as u64);
+    let data = read_body(wire, &mut body).await?;
+    if head.status != STATUS_OK {
+        return Err(ListError::Status(head.status));
+    }
+    let json = serde_json::from_slice(&data).map_err(ListError::Json)?;
+    listed(&json, names).map_err(ListError::Malformed)
+}
+
+async fn read_body(wire: &mut Wire, body: &mut Body) -> Result<BytesMut, ListError> {
+    let mut data = BytesMut::new();
+    while !body.decode(&mut wire.buffer, &mut data).map_err(ListError::Unreadable)? {
+        if data.len() > MAX_LIST_BYTES {
+            return Err(ListError::TooLarge);
+        }
+        match wire.more().await {
+            Err(Broken::Closed) if body.may_end() => break,
+            more => more?,
+        }
+    }
+    Ok(data)
+}
--- /dev/null
+++ b/platform-gateway/src/endpoints.rs
@@ -0,0 +1,41 @@
+//! The endpoint list, and where it is watched.
+
+use crate::gateway::PlatformGateway;
+use petrelshore::interface::Nanos;
+use petrelshore_platform_protocol::list::Listed;
+use std::net::SocketAddr;
+use tracing::debug;
+
+impl PlatformGateway {
+    /// Takes an endpoint list, or what has changed in it.
+    pub fn update_endpoints(&self, list: Listed) {
+        let state = &self.0;
+        let now = state.event_loop.now();
+        state.event_loop.requests_mut().update_endpoints(now, list.scope, &list.entries);
+        let listed = state.event_loop.requests().server_addresses();
+        state.client.retain_endpoints(|address| listed.contains(address));
+        debug!(index = list.index, scope = ?list.scope, entries = list.entries.len(), "endpoint list updated");
+    }
+
+    /// The time between the notice that a server drains and the last send to it.
+    pub fn drain_grace(&self) -> Nanos {
+        self.0.drain_grace
+    }
+
+    /// Where the endpoint list is watched.
+    pub fn discovery_address(&self) -> SocketAddr {
+        self.0.discovery_address.get()
+    }
+
+    /// The endpoint list is watched at another address from now on.
+    pub fn set_discovery_address(&self, address: SocketAddr) {
+        if self.0.discovery_address.replace(address) != address {
+            self.0.discovery_address_changed.notify(usize::MAX);
+        }
+    }
+
+    /// Returns when the address of discovery has changed after this call.
+    pub fn discovery_address_changed(&self) -> impl Future<Output = ()> + use<> {
+        self.0.discovery_address_changed.listen()
+    }
+}
--- a/platform-gateway/src/lib.rs
+++ b/platform-gateway/src/lib.rs
@@ -1,10 +1,25 @@
-//! The gateway on the operators' platform: a shell on async-io round the request manager, beside the one in `chat-gateway/`.
+//! The gateway on the operators' platform: executes on sockets what the request table of
+//! [`petrelshore_gateway_core::passthrough`] commands. The gateway of the chat APIs is in `chat-gateway/`.
 //!
-//! A front hands a sequence to [`Service::take`] and reads its [`Answer`]; the service tells the request manager what
-//! happens on its sockets and carries out what it answers. [`discovery`] follows the list. It decides nothing.
+//! An ingress hands a request to [`PlatformGateway::accept`] and reads its [`Answer`]. [`discovery`] watches the
+//! endpoint list. No routing decision is made here.
+//!
+//! All of it runs on one thread, in these tasks: the *timeout task* applies timeouts, an *attempt task* for each attempt
+//! in flight speaks to its model server, a *release task* for each release request gets it answered, and the *watch
+//! task* ([`discovery::watch`]) follows the endpoint list. The tasks of the ingress call [`PlatformGateway`] and
+//! [`Answer`].
 
+mod answer;
+mod attempts;
+mod commands;
 pub mod discovery;
-mod releases;
+mod endpoints;
+mod forwarded_request;
 mod gateway;
+mod releases;
+mod shutdown;
+mod state;
 
-pub use gateway::{Answer, Message, Next, Service};
+pub use answer::{Answer, AnswerItem};
+pub use forwarded_request::{ForwardedRequest, HasClientLeft};
+pub use gateway::{ConnectionCounts, PlatformGateway};
--- a/platform-gateway/src/releases.rs
+++ b/platform-gateway/src/releases.rs
@@ -1,95 +1,86 @@
-//! Words to let go: a reader that holds a state nobody will take is told so, by way of others where it can't be had.
+//! Release requests: a prefill server that holds a KV cache which nobody will fetch is asked to release it, by way of
+//! other servers where it can't be reached.
 
-use crate::gateway::Inner;
+use crate::state::GatewayState;
 use async_io::Timer;
 use futures_lite::future;
 use petrelshore::interface::{Nanos, ServerId};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::cache_releases::CacheRelease;
 use petrelshore_platform_engine_client::SendPermission;
-use std::future::Future;
+use petrelshore_runtime::{Call, first_success};
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::Poll;
 use std::time::Duration;
 use tracing::debug;
 
-impl Inner {
-    /// Tells a reader to let go of a state; where it can't be had soon, other model servers too, which take such word.
-    pub(crate) fn tell_reader(self: &Rc<Self>, release: CacheRelease) {
-        let inner = self.clone();
-        let owed_since = self.requests.borrow().release_pending_since(&release);
+impl GatewayState {
+    /// Starts the release task of a release: it asks the prefill server and, where that has not answered soon, other
+    /// servers, which forward such a request.
+    pub(crate) fn send_release(self: &Rc<Self>, release: CacheRelease) {
+        let state = self.clone();
+        let pending_since = self.event_loop.requests().release_pending_since(&release);
         self.spawner.run(async move {
-            let answered = inner.release(&release, owed_since).await;
-            let by = answered.map(|server| server.0);
-            debug!(server = release.server.0, request = release.request_id, by, "let go");
-            inner.requests.borrow_mut().release_finished(inner.clock.now(), &release, owed_since, answered);
-            inner.emptied.notify(usize::MAX);
+            let answered_by = state.release(&release, pending_since).await;
+            debug!(
+                server = release.server.0,
+                server_request_id = release.request_id,
+                answered_by = answered_by.map(|server| server.0),
+                "release finished"
+            );
+            let now = state.event_loop.now();
+            state.event_loop.requests_mut().release_finished(now, &release, pending_since, answered_by);
+            state.request_or_release_finished.notify(usize::MAX);
         });
     }
 
-    /// Which server has answered a word, of its reader and those by way of which it is told: each next one is told
-    /// after a while, and those before are awaited all the same.
-    async fn release(&self, release: &CacheRelease, owed_since: Option<Nanos>) -> Option<ServerId> {
-        let (within, step) = {
-            let requests = self.requests.borrow();
-            (
-                Duration::from_nanos(requests.release_timeout()),
-                Duration::from_nanos(requests.relay_interval()),
-            )
-        };
-        let may_go = || match self.requests.borrow().release_pending_since(release) == owed_since {
-            true => SendPermission::Granted,
-            false => SendPermission::Denied,
-        };
-        let told = async |server: ServerId, to: Option<SocketAddr>| {
-            let told = match to {
-                Some(to) => self.client.release(to, &release.request_id, within, &may_go).await,
-                None => Err(AttemptEnd::NotConnected),
-            };
-            debug!(server = server.0, request = release.request_id, ?told, "told to let go");
-            told.is_ok().then_some(server)
-        };
-        let to = self.requests.borrow().server_address(release.server);
-        let mut reader: Told<'_> = Box::pin(told(release.server, to));
-        let soon = async { Some(reader.as_mut().await) };
-        let late = async {
-            Timer::after(step).await;
+    /// Which server has answered a release, of the prefill server and those by way of which it is asked: each next one
+    /// is asked after an interval, and those before are awaited all the same.
+    async fn release(&self, release: &CacheRelease, pending_since: Option<Nanos>) -> Option<ServerId> {
+        let interval = Duration::from_nanos(self.event_loop.requests().relay_interval());
+        let address = self.event_loop.requests().server_address(release.server);
+        let mut direct: Call<'_, ServerId> =
+            Box::pin(self.release_by_way_of(release.server, address, release, pending_since));
+        let answer = async { Some(direct.as_mut().await) };
+        let interval_over = async {
+            Timer::after(interval).await;
             None
         };
-        let mut calls = match future::or(soon, late).await {
-            Some(Some(answered)) => return Some(answered),
+        let mut calls = match future::or(answer, interval_over).await {
+            Some(Some(answered_by)) => return Some(answered_by),
             Some(None) => Vec::new(),
-            None => vec![reader],
+            None => vec![direct],
         };
-        let others = self.requests.borrow().release_relays(release);
-        for (count, (other, to)) in (0..).zip(others) {
-            let told = &told;
+        let relays = self.event_loop.requests().release_relays(release);
+        for (number, (relay, address)) in (0..).zip(relays) {
             calls.push(Box::pin(async move {
-                Timer::after(step * count).await;
-                told(other, Some(to)).await
+                Timer::after(interval * number).await;
+                self.release_by_way_of(relay, Some(address), release, pending_since).await
             }));
         }
-        first_told(calls).await
+        first_success(&mut calls).await
     }
-}
-
-/// Tells one server; itself where it has answered.
-type Told<'a> = Pin<Box<dyn Future<Output = Option<ServerId>> + 'a>>;
 
-/// The first server that has answered; none once all have failed.
-async fn first_told(mut calls: Vec<Told<'_>>) -> Option<ServerId> {
-    future::poll_fn(|context| {
-        let mut answered = None;
-        calls.retain_mut(|call| match call.as_mut().poll(context) {
-            Poll::Pending => true,
-            Poll::Ready(server) => {
-                answered = answered.or(server);
-                false
-            }
-        });
-        if answered.is_some() || calls.is_empty() { Poll::Ready(answered) } else { Poll::Pending }
-    })
-    .await
+    /// Asks one server; returns that server if it has answered.
+    async fn release_by_way_of(
+        &self,
+        server: ServerId,
+        address: Option<SocketAddr>,
+        release: &CacheRelease,
+        pending_since: Option<Nanos>,
+    ) -> Option<ServerId> {
+        let timeout = Duration::from_nanos(self.event_loop.requests().release_timeout());
+        // The release may have been revoked meanwhile, since another attempt uses that cache.
+        let send_check = || match self.event_loop.requests().release_pending_since(release) == pending_since {
+            true => SendPermission::Granted,
+            false => SendPermission::Denied,
+        };
+        let outcome = match address {
+            Some(address) => self.client.release(address, &release.request_id, timeout, &send_check).await,
+            None => Err(AttemptEnd::NotConnected),
+        };
+        let server_request_id = &release.request_id;
+        debug!(server = server.0, server_request_id, ?outcome, "release attempted");
+        outcome.is_ok().then_some(server)
+    }
 }
--- a/platform-gateway/tests/gateway.rs
+++ b/platform-gateway/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The service on loopback, without a front.
+//! The gateway on loopback, without an ingress.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -9,7 +9,7 @@
 use petrelshore_gateway_core::passthrough::FinalAnswer;
 use petrelshore_gateway_core::{NewSequence, Relay};
 use petrelshore_ingress::listener::BodyReservation;
-use petrelshore_platform_gateway::{Answer, Message, Next, Service};
+use petrelshore_platform_gateway::{Answer, AnswerItem, ForwardedRequest, PlatformGateway};
 use petrelshore_platform_protocol::config::config;
 use petrelshore_runtime::Spawner;
 use std::cell::RefCell;
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-fn take(service: &Service, id: SequenceId) -> Answer {
-    let now = service.clock().now();
+fn accept(gateway: &PlatformGateway, id: SequenceId) -> Answer {
+    let now = gateway.clock().now();
     let new = NewSequence {
         id,
         traffic: TrafficTypeId(0),
@@ -35,43 +35,45 @@
         completion_deadline: None,
     };
     let limits = Rc::new(RefCell::new(IngressLimits::bounded(10, 1_000, 10_000)));
-    let message = Message {
+    let request = ForwardedRequest {
         id: format!("{:016x}", id.0).into(),
         target: Bytes::from("/v1/chat/completions"),
         fields: Bytes::new(),
         body: Bytes::from("{}"),
-        room: BodyReservation::new(limits, id.0),
-        left: Rc::new(|| false),
+        reservation: BodyReservation::new(limits, id.0),
+        has_client_left: Rc::new(|| false),
     };
-    service.accept(new, message).map_err(|refusal| format!("{refusal:?}")).unwrap()
+    gateway.accept(new, request).map_err(|rejection| format!("{rejection:?}")).unwrap()
 }
 
 #[test]
-fn a_client_that_leaves_after_its_end_takes_no_other_sequence_with_its_id_along() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
-    let writer = ModelServer::start(false, Manner::Good).unwrap();
-    let entries =
-        [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
+fn dropped_completed_answer_leaves_new_request_with_same_id_running() {
+    let prefill_server = ModelServer::start(true, Manner::Good).unwrap();
+    let decode_server = ModelServer::start(false, Manner::Good).unwrap();
+    let entries = [
+        entry("r", prefill_server.address, "reader", "active"),
+        entry("w", decode_server.address, "writer", "active"),
+    ];
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let config = config(&config_text(nowhere, nowhere, &entries.join(","))).unwrap();
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(async {
-        let service = Service::start(config, 20, Spawner::new(&executor));
-        // Over, though its client has read nothing of it yet.
-        let unread = take(&service, SequenceId(7));
-        while service.tracked() > 0 {
+        let gateway = PlatformGateway::start(config, 20, Spawner::new(&executor));
+        // Completed, though its client has read nothing of it yet.
+        let unread = accept(&gateway, SequenceId(7));
+        while gateway.tracked() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
-        reader.set(Manner::Slow);
-        let mut next = take(&service, SequenceId(7));
+        prefill_server.set(Manner::Slow);
+        let mut next = accept(&gateway, SequenceId(7));
         drop(unread);
-        let mut told = String::new();
-        let last = loop {
+        let mut received = String::new();
+        let final_answer = loop {
             match next.next().await {
-                Next::Events(events) => told.push_str(std::str::from_utf8(&events).unwrap()),
-                Next::Last(last) => break last,
+                AnswerItem::Events(events) => received.push_str(std::str::from_utf8(&events).unwrap()),
+                AnswerItem::FinalAnswer(final_answer) => break final_answer,
             }
         };
-        assert_eq!((told, last), (events(), FinalAnswer::Completed));
+        assert_eq!((received, final_answer), (events(), FinalAnswer::Completed));
     }));
 }
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -10,7 +10,7 @@
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
 use petrelshore_http1::wire::{Peer, Wire};
 use petrelshore_ingress::listener::{AcceptedClient, BodyReservation, Listener};
-use petrelshore_platform_gateway::Service;
+use petrelshore_platform_gateway::PlatformGateway;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -38,7 +38,7 @@
 pub struct Clients(Rc<ClientGuard>);
 
 struct ClientGuard {
-    service: Service,
+    service: PlatformGateway,
     connection_table: RefCell<ConnectionTable>,
     limits: Rc<RefCell<IngressLimits>>,
     tasks: RefCell<HashMap<ConnectionId, Held>>,
@@ -74,7 +74,7 @@
 
 impl Clients {
     /// At most so many connections, and bodies within a part of so much memory.
-    pub fn new(service: Service, connections: usize, memory_bytes: usize) -> Self {
+    pub fn new(service: PlatformGateway, connections: usize, memory_bytes: usize) -> Self {
         let limits = IngressLimits::bounded(connections, LARGEST_BODY, memory_bytes / BODIES);
         Clients(Rc::new(ClientGuard {
             service,
@@ -236,7 +236,7 @@
         self.0.leaving.get()
     }
 
-    pub(crate) fn service(&self) -> &Service {
+    pub(crate) fn service(&self) -> &PlatformGateway {
         &self.0.service
     }
 
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -15,7 +15,7 @@
 use petrelshore_http1::wire::{Broken, Wire};
 use petrelshore_ingress::listener::{BodyReservation, stall_timeout};
 use petrelshore_platform_engine_client::SET;
-use petrelshore_platform_gateway::{Answer, Message, Next};
+use petrelshore_platform_gateway::{Answer, AnswerItem, ForwardedRequest};
 use petrelshore_platform_protocol::request::sequence;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -220,7 +220,14 @@
         return Ok(Err(Close::ByClient));
     }
     let left = Rc::new(move || peer.has_left());
-    let message = Message { id, target: head.target.clone(), fields, body, room, left };
+    let message = ForwardedRequest {
+        id,
+        target: head.target.clone(),
+        fields,
+        body,
+        reservation: room,
+        has_client_left: left,
+    };
     match clients.service().accept(new, message) {
         Ok(answer) => Ok(answered(clients, ends, head, wire, answer).await),
         Err(Rejection::DuplicateId) => turned(409, "Req-Id is in hand already"),
@@ -283,7 +290,7 @@
         let Some(next) = future::or(next, left).await else { return Err(Close::ByClient) };
         closes |= !began && (clients.is_shutting_down() || ends.evicted());
         let told = match next {
-            Next::Events(events) => {
+            AnswerItem::Events(events) => {
                 let before = if began { String::new() } else { reply::stream(closes) };
                 began = true;
                 if !written(wire, &reply::chunk(before, &events)).await {
@@ -291,14 +298,14 @@
                 }
                 continue;
             }
-            Next::Last(FinalAnswer::Completed) => written(wire, reply::LAST_CHUNK).await,
+            AnswerItem::FinalAnswer(FinalAnswer::Completed) => written(wire, reply::LAST_CHUNK).await,
             // Without the last chunk, so that nobody takes it for whole.
-            Next::Last(_) if began => return Err(Close::CutShort),
-            Next::Last(FinalAnswer::Rejected { retry_after, .. }) => {
+            AnswerItem::FinalAnswer(_) if began => return Err(Close::CutShort),
+            AnswerItem::FinalAnswer(FinalAnswer::Rejected { retry_after, .. }) => {
                 let told = reply::brief(503, "no room, trying again is harmless\n", closes, retry_after);
                 written(wire, told.as_bytes()).await
             }
-            Next::Last(FinalAnswer::Aborted { .. }) => {
+            AnswerItem::FinalAnswer(FinalAnswer::Aborted { .. }) => {
                 let told = reply::brief(502, "the attempts failed\n", closes, None);
                 written(wire, told.as_bytes()).await
             }
