--- a/chat-api/src/serve.rs
+++ b/chat-api/src/serve.rs
@@ -12,7 +12,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request};
 use petrelshore::interface::Nanos;
-use petrelshore_chat_gateway::{Answer, FinalAnswer, Gateway, Next};
+use petrelshore_chat_gateway::{Answer, AnswerItem, FinalAnswer, Gateway};
 use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_gateway_core::{FailureReason, Relay};
@@ -128,7 +128,7 @@
     let mut reply = if streamed {
         // The status waits for the first token: a sequence that is rejected must not look begun.
         let first = answer.next().await;
-        if let Some(Next::FinalAnswer(last)) = &first
+        if let Some(AnswerItem::FinalAnswer(last)) = &first
             && let Some(error) = reply::error_of(last)
         {
             return Ok(error.reply());
@@ -145,7 +145,7 @@
 }
 
 /// The events of a stream, from its first text on. The answer goes with the stream: a client that leaves drops it.
-fn events(answer: Answer, chunks: Chunks, first: Option<Next>) -> impl stream::Stream<Item = Bytes> {
+fn events(answer: Answer, chunks: Chunks, first: Option<AnswerItem>) -> impl stream::Stream<Item = Bytes> {
     let opening = chunks.opening();
     stream::unfold((answer, chunks, first, opening), |(mut answer, chunks, first, mut part)| async move {
         let next = match first {
@@ -153,8 +153,8 @@
             None => answer.next().await,
         };
         match next? {
-            Next::Text(text) => part.push_str(&chunks.text(&text)),
-            Next::FinalAnswer(last) => part.push_str(&chunks.closing(&last)),
+            AnswerItem::Text(text) => part.push_str(&chunks.text(&text)),
+            AnswerItem::FinalAnswer(last) => part.push_str(&chunks.closing(&last)),
         }
         Some((Bytes::from(part), (answer, chunks, None, String::new())))
     })
@@ -164,12 +164,12 @@
     let mut gathered = String::new();
     while let Some(next) = answer.next().await {
         match next {
-            Next::Text(text) => gathered.push_str(&text),
-            Next::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage }) => {
+            AnswerItem::Text(text) => gathered.push_str(&text),
+            AnswerItem::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage }) => {
                 let body = reply::completion(id, created, model, &gathered, &finish, usage);
                 return reply::json_reply(200, &body);
             }
-            Next::FinalAnswer(last) => {
+            AnswerItem::FinalAnswer(last) => {
                 if let Some(error) = reply::error_of(&last) {
                     return error.reply();
                 }
--- a/chat-gateway/src/answer.rs
+++ b/chat-gateway/src/answer.rs
@@ -1,88 +1,104 @@
-//! What crosses between the fronts and the gateway.
+//! The answer to a request, as the ingress reads it.
 
-use crate::gateway::Inner;
+use crate::state::GatewayState;
 use async_channel::{Receiver, TryRecvError};
 use event_listener::Event;
 use petrelshore::interface::SequenceId;
-use petrelshore_gateway_core::buffered::{FinalAnswer, Request};
+use petrelshore_gateway_core::buffered::FinalAnswer;
+use petrelshore_runtime::{EventDriven, wait_for};
 use std::rc::Rc;
 
-/// A request as a front understood it, with what goes to the model servers as it is.
-#[derive(Clone, Debug)]
-pub struct Ask {
-    pub request: Request,
-    pub stop: Rc<[String]>,
-    pub sampling: Rc<serde_json::Map<String, serde_json::Value>>,
-}
-
-/// What a front reads of its answer.
+/// What an ingress reads of its answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum AnswerItem {
+    /// The next part of the generated text.
     Text(String),
+    /// The end: nothing follows.
     FinalAnswer(FinalAnswer),
 }
 
-/// An answer on its way. Dropping it before its end tells the gateway that the client has left.
+/// An answer on its way. Dropping it before its end reports to the gateway that the client has left.
 pub struct Answer {
     pub(crate) id: SequenceId,
-    pub(crate) gateway: Rc<Inner>,
+    pub(crate) state: Rc<GatewayState>,
     pub(crate) texts: Receiver<String>,
-    pub(crate) ended: Rc<Event>,
-    pub(crate) over: bool,
-    /// The end of an earlier request with the same key, told again.
+    /// Notified when the final answer is there.
+    pub(crate) completed: Rc<Event>,
+    /// Whether the final answer was read.
+    pub(crate) final_answer_read: bool,
+    /// The final answer of an earlier request with the same idempotency key, replayed.
     pub(crate) replayed: Option<FinalAnswer>,
 }
 
 impl Answer {
+    /// The id of the request.
     pub fn id(&self) -> SequenceId {
         self.id
     }
 
     /// The next text, or the final answer; none after that.
-    pub async fn next(&mut self) -> Option<Next> {
-        if self.over {
+    pub async fn next(&mut self) -> Option<AnswerItem> {
+        if self.final_answer_read {
             return None;
         }
         // The channel is closed when the final answer is there; texts before it are read first.
         if let Ok(text) = self.texts.recv().await {
-            return Some(Next::Text(text));
+            return Some(AnswerItem::Text(text));
         }
-        self.finish()
+        self.take_final_answer()
     }
 
     /// The next text or the final answer, if it is there by now.
-    pub fn ready(&mut self) -> Option<Next> {
-        if self.over {
+    pub fn try_next(&mut self) -> Option<AnswerItem> {
+        if self.final_answer_read {
             return None;
         }
         match self.texts.try_recv() {
-            Ok(text) => Some(Next::Text(text)),
+            Ok(text) => Some(AnswerItem::Text(text)),
             Err(TryRecvError::Empty) => None,
-            Err(TryRecvError::Closed) => self.finish(),
+            Err(TryRecvError::Closed) => self.take_final_answer(),
         }
     }
 
-    /// Returns when the sequence has been given up, though texts before that may wait to be read: a front that
-    /// cannot hand those on can tell the end at once.
-    pub async fn given_up(&mut self) -> FinalAnswer {
-        loop {
-            let ended = self.ended.listen();
-            if let Some(last) = self.gateway.early_final_answer(self.id) {
-                self.over = true;
-                return last;
-            }
-            ended.await;
-        }
+    /// Returns once the request has failed, though texts before that may wait to be read: an ingress that cannot send
+    /// those on can report the failure at once.
+    pub async fn wait_for_failure(&mut self) -> FinalAnswer {
+        let failure = wait_for(&self.completed, || self.state.failure(self.id)).await;
+        self.final_answer_read = true;
+        failure
     }
 
-    fn finish(&mut self) -> Option<Next> {
-        self.over = true;
-        self.replayed.take().or_else(|| self.gateway.take_final_answer(self.id)).map(Next::FinalAnswer)
+    fn take_final_answer(&mut self) -> Option<AnswerItem> {
+        self.final_answer_read = true;
+        let replayed = self.replayed.take();
+        replayed.or_else(|| self.state.take_final_answer(self.id)).map(AnswerItem::FinalAnswer)
     }
 }
 
 impl Drop for Answer {
     fn drop(&mut self) {
-        self.gateway.client_left(self.id, self.over);
+        self.state.answer_dropped(self.id, self.final_answer_read);
+    }
+}
+
+impl GatewayState {
+    fn take_final_answer(&self, id: SequenceId) -> Option<FinalAnswer> {
+        self.entries.borrow_mut().get_mut(&id).and_then(|entry| entry.final_answer.take())
+    }
+
+    /// The final answer, where it is there and the request was not completed.
+    fn failure(&self, id: SequenceId) -> Option<FinalAnswer> {
+        let entries = self.entries.borrow();
+        let final_answer = entries.get(&id).and_then(|entry| entry.final_answer.clone());
+        final_answer.filter(|answer| !matches!(answer, FinalAnswer::Completed { .. }))
+    }
+
+    /// The ingress has dropped its answer, with its final answer read or not.
+    fn answer_dropped(self: &Rc<Self>, id: SequenceId, final_answer_read: bool) {
+        self.apply(|requests, now, commands| requests.client_left(now, id, final_answer_read, commands));
+        // Dropping the entry cancels whatever of it still runs.
+        let entry = self.entries.borrow_mut().remove(&id);
+        drop(entry);
+        self.request_finished.notify(usize::MAX);
     }
 }
--- /dev/null
+++ b/chat-gateway/src/attempts.rs
@@ -0,0 +1,188 @@
+//! Attempts at model servers: one attempt task each, from the command that sends it to its end.
+
+use crate::state::GatewayState;
+use async_executor::Task;
+use petrelshore::interface::{LoadReport, Nanos, SequenceId, ServerId, Step};
+use petrelshore_engine_client::{CompletionRequest, DecodeStream, Load};
+use petrelshore_gateway_core::Dispatch;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::buffered::{OutgoingAttempt, Piece};
+use petrelshore_runtime::{Delivery, EventDriven};
+use serde_json::value::RawValue;
+use std::rc::Rc;
+use std::time::Duration;
+use tracing::debug;
+
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// How the stream of a decode attempt came to its end.
+enum StreamEnd {
+    /// All of it has come.
+    Completed,
+    /// It failed.
+    Failed(AttemptEnd),
+    /// Nobody reads any more: nothing is to be reported.
+    Unread,
+}
+
+impl GatewayState {
+    /// Starts the attempt task of an attempt.
+    pub(crate) fn send_attempt(self: &Rc<Self>, outgoing: OutgoingAttempt<Rc<RawValue>>) {
+        let dispatch = outgoing.dispatch;
+        let Some(address) = self.addresses.borrow().get(&dispatch.server).copied() else {
+            return self.attempt_ended(dispatch, AttemptEnd::NotConnected, None);
+        };
+        let mut entries = self.entries.borrow_mut();
+        let Some(entry) = entries.get_mut(&dispatch.id) else { return };
+        let request = CompletionRequest {
+            to: address,
+            request_id: outgoing.request_id,
+            model: entry.model.clone(),
+            prompt: outgoing.prompt,
+            max_tokens: outgoing.max_tokens,
+            stop: entry.stop.clone(),
+            sampling: entry.sampling.clone(),
+            idempotency_key: outgoing.idempotency_key,
+            state: outgoing.transfer_params,
+            fresh: dispatch.new_connection,
+            connect_within: Duration::from_nanos(dispatch.connect_timeout),
+        };
+        let state = self.clone();
+        let task = self.spawner.spawn(async move {
+            match dispatch.step {
+                Step::Prefill => state.prefill(dispatch, request).await,
+                Step::Decode | Step::MigratedDecode | Step::Combined => state.decode(dispatch, request).await,
+            }
+        });
+        entry.attempt.start(dispatch.attempt, task);
+    }
+
+    /// The attempt task of a prefill.
+    async fn prefill(self: Rc<Self>, dispatch: Dispatch, request: CompletionRequest) {
+        let reply = self.client.prefill(&request).await;
+        let result = match reply.result {
+            Ok(result) => result,
+            Err(ending) => return self.attempt_ended(dispatch, ending, reply.load),
+        };
+        let cached_tokens = result.kept_tokens;
+        debug!(
+            request_id = dispatch.id.0,
+            attempt = dispatch.attempt,
+            step = ?dispatch.step,
+            server = dispatch.server.0,
+            cached_tokens,
+            "prefill finished"
+        );
+        self.load_reported(dispatch.server, reply.load);
+        self.detach_attempt_task(dispatch.id, dispatch.attempt);
+        self.apply(|requests, now, commands| {
+            requests.prefill_done(now, &dispatch, cached_tokens, result.params, commands)
+        });
+    }
+
+    /// The attempt task of any step that decodes.
+    async fn decode(self: Rc<Self>, dispatch: Dispatch, request: CompletionRequest) {
+        let reply = self.client.decode(&request).await;
+        let mut stream = match reply.result {
+            Ok(stream) => stream,
+            Err(ending) => return self.attempt_ended(dispatch, ending, reply.load),
+        };
+        self.load_reported(dispatch.server, reply.load);
+        match self.forward_stream(dispatch, &mut stream).await {
+            StreamEnd::Completed => {
+                stream.done();
+                self.attempt_ended(dispatch, AttemptEnd::Completed, None);
+            }
+            StreamEnd::Failed(ending) => self.attempt_ended(dispatch, ending, None),
+            StreamEnd::Unread => {}
+        }
+    }
+
+    async fn forward_stream(self: &Rc<Self>, dispatch: Dispatch, stream: &mut DecodeStream) -> StreamEnd {
+        let mut began = false;
+        loop {
+            let piece = match stream.next().await {
+                Ok(Some(piece)) => piece,
+                Ok(None) => return StreamEnd::Completed,
+                Err(ending) => return StreamEnd::Failed(ending),
+            };
+            if began {
+                let now = self.event_loop.now();
+                self.event_loop.requests_mut().token_received(now, dispatch.id);
+            } else {
+                began = true;
+                self.apply(|requests, now, commands| requests.first_token(now, &dispatch, commands));
+            }
+            if self.forward_piece(dispatch.id, piece).await == Delivery::Closed {
+                return StreamEnd::Unread;
+            }
+        }
+    }
+
+    async fn forward_piece(self: &Rc<Self>, id: SequenceId, piece: Piece) -> Delivery {
+        let text = match self.event_loop.requests_mut().receive_piece(id, piece) {
+            Some(Some(text)) => text,
+            Some(None) => return Delivery::Delivered,
+            None => return Delivery::Closed,
+        };
+        let sender = self.entries.borrow().get(&id).map(|entry| entry.texts.clone());
+        match sender {
+            Some(sender) => self.forward(id, &sender, text).await,
+            None => Delivery::Closed,
+        }
+    }
+
+    fn attempt_ended(self: &Rc<Self>, dispatch: Dispatch, ending: AttemptEnd, load: Option<Load>) {
+        debug!(
+            request_id = dispatch.id.0,
+            attempt = dispatch.attempt,
+            step = ?dispatch.step,
+            server = dispatch.server.0,
+            outcome = ?ending,
+            "attempt finished"
+        );
+        self.load_reported(dispatch.server, load);
+        self.detach_attempt_task(dispatch.id, dispatch.attempt);
+        if ending == AttemptEnd::NotConnected {
+            let change = self.membership.borrow_mut().absent(self.event_loop.now(), dispatch.server);
+            if let Some(change) = change {
+                self.apply_endpoint_change(change);
+            }
+        }
+        self.apply(|requests, now, commands| requests.attempt_ended(now, &dispatch, ending, commands));
+    }
+
+    /// Takes the task of an attempt out of its entry, if that attempt is the one in flight.
+    pub(crate) fn take_attempt_task(&self, id: SequenceId, attempt: usize) -> Option<Task<()>> {
+        let mut entries = self.entries.borrow_mut();
+        entries.get_mut(&id).and_then(|entry| entry.attempt.take(attempt))
+    }
+
+    /// An attempt task that reports its own end must get to its own end.
+    fn detach_attempt_task(&self, id: SequenceId, attempt: usize) {
+        if let Some(task) = self.take_attempt_task(id, attempt) {
+            task.detach();
+        }
+    }
+
+    /// A server reported its load, and perhaps when it started.
+    fn load_reported(&self, server: ServerId, load: Option<Load>) {
+        let Some(load) = load else { return };
+        let now = self.event_loop.now();
+        if let Some(seconds) = load.started_seconds {
+            let started_at = (seconds * NANOS_PER_SECOND) as Nanos;
+            let change = self.membership.borrow_mut().told_start(now, server, started_at);
+            if let Some(change) = change {
+                self.apply_endpoint_change(change);
+            }
+        }
+        if load.memory_share.is_some() || load.queued_prompt_tokens.is_some() {
+            let report = LoadReport {
+                memory_share: load.memory_share,
+                queued_prompt_tokens: load.queued_prompt_tokens,
+                in_flight: None,
+            };
+            self.event_loop.requests_mut().load_reported(now, server, report);
+        }
+    }
+}
--- /dev/null
+++ b/chat-gateway/src/commands.rs
@@ -0,0 +1,39 @@
+//! Executes the commands of the request table.
+
+use crate::state::GatewayState;
+use petrelshore::interface::SequenceId;
+use petrelshore_gateway_core::buffered::{Command, FinalAnswer};
+use petrelshore_runtime::EventDriven;
+use serde_json::value::RawValue;
+use std::rc::Rc;
+use tracing::debug;
+
+impl GatewayState {
+    pub(crate) fn execute_command(self: &Rc<Self>, command: Command<Rc<RawValue>>) {
+        match command {
+            Command::Send(outgoing) => self.send_attempt(*outgoing),
+            Command::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Command::Release(release) => self.send_release(release),
+            Command::Answer { id, last } => self.finish_answer(id, last),
+        }
+    }
+
+    /// Cancels an attempt by closing its connection.
+    fn cancel_attempt(self: &Rc<Self>, id: SequenceId, attempt: usize) {
+        let task = self.take_attempt_task(id, attempt);
+        // Dropping its task closes its connection.
+        drop(task);
+        self.apply(|requests, now, commands| requests.attempt_cancelled(now, id, attempt, commands));
+    }
+
+    /// The one final answer: the ingress reads it once it has read all texts before it.
+    fn finish_answer(&self, id: SequenceId, outcome: FinalAnswer) {
+        debug!(request_id = id.0, ?outcome, "request finished");
+        if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
+            entry.final_answer = Some(outcome);
+            entry.texts.close();
+            entry.completed.notify(usize::MAX);
+        }
+        self.request_finished.notify(usize::MAX);
+    }
+}
--- a/grpc-api/src/connection.rs
+++ b/grpc-api/src/connection.rs
@@ -140,7 +140,7 @@
     let peer = line.inside.peer;
     let mut pings = h2.ping_pong();
     let mut draining = false;
-    let mut stopping = pin!(line.gateway.until_draining());
+    let mut stopping = pin!(line.gateway.wait_until_draining());
     loop {
         let stop = async {
             match draining {
--- a/grpc-api/src/exchange.rs
+++ b/grpc-api/src/exchange.rs
@@ -11,7 +11,7 @@
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header, request::Parts};
 use petrelshore::interface::Nanos;
-use petrelshore_chat_gateway::{Answer, FinalAnswer, Next, Usage};
+use petrelshore_chat_gateway::{Answer, AnswerItem, FinalAnswer, Usage};
 use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_gateway_core::{FailureReason, Relay, timeouts};
@@ -99,7 +99,7 @@
 async fn stream(reply: &mut Reply, mut answer: Answer, begun: v1::Begun) -> Result<(), Told> {
     // The head waits for the first token: a sequence that is rejected must not look begun.
     let mut next = reply.unless_gone(answer.next()).await?;
-    if let Some(Next::FinalAnswer(last)) = &next
+    if let Some(AnswerItem::FinalAnswer(last)) = &next
         && let Some(unanswered) = ErrorResponse::from_final_answer(last)
     {
         return Err(unanswered.into());
@@ -111,13 +111,13 @@
         let mut last = None;
         while let Some(came) = next {
             match came {
-                Next::Text(text) => message::put(&mut part, &event(Event::Text(text))),
-                Next::FinalAnswer(end) => {
+                AnswerItem::Text(text) => message::put(&mut part, &event(Event::Text(text))),
+                AnswerItem::FinalAnswer(end) => {
                     last = Some(end);
                     break;
                 }
             }
-            next = answer.ready();
+            next = answer.try_next();
         }
         if let Some(FinalAnswer::Completed { finish_reason: finish, usage }) = &last {
             let end = v1::End { finish_reason: finish.clone(), usage: Some(counted(*usage)) };
@@ -139,15 +139,15 @@
     let mut text = String::new();
     while text.len() <= WHOLE_ANSWER {
         match reply.unless_gone(answer.next()).await? {
-            Some(Next::Text(more)) => text.push_str(&more),
-            Some(Next::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage })) => {
+            Some(AnswerItem::Text(more)) => text.push_str(&more),
+            Some(AnswerItem::FinalAnswer(FinalAnswer::Completed { finish_reason: finish, usage })) => {
                 reply.begin(&begun.id)?;
                 let v1::Begun { id, model, created } = begun;
                 let usage = Some(counted(usage));
                 let answered = v1::ChatAnswer { id, model, created, text, finish_reason: finish, usage };
                 return reply.send(message::encode(&answered), None).await;
             }
-            Some(Next::FinalAnswer(last)) => {
+            Some(AnswerItem::FinalAnswer(last)) => {
                 return Err(ErrorResponse::from_final_answer(&last)
                     .map_or(aborted(FailureReason::StreamBroken), Told::from));
             }
@@ -324,7 +324,7 @@
         };
         let given_up = async {
             let Some(answer) = answer else { return future::pending().await };
-            let last = answer.given_up().await;
+            let last = answer.wait_for_failure().await;
             Err(ErrorResponse::from_final_answer(&last)
                 .map_or(aborted(FailureReason::StreamBroken), Told::from))
         };
--- a/grpc-api/src/health.rs
+++ b/grpc-api/src/health.rs
@@ -37,6 +37,6 @@
             Timer::after(LOOK).await;
         };
         // A gateway that drains already tells nothing new.
-        if gateway.is_draining() { look.await } else { future::or(gateway.until_draining(), look).await }
+        if gateway.is_draining() { look.await } else { future::or(gateway.wait_until_draining(), look).await }
     }
 }
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -1,7 +1,7 @@
 //! From a decoded call to what the gateway is asked. What is wrong is named by its field.
 
 use petrelshore::interface::*;
-use petrelshore_chat_gateway::{Ask, Request};
+use petrelshore_chat_gateway::{GenerationRequest, Request};
 use petrelshore_gateway_core::Relay;
 use petrelshore_gateway_core::error_response::ErrorResponse;
 use petrelshore_gateway_core::fingerprint;
@@ -142,7 +142,7 @@
     client: u64,
     arrived: Nanos,
     call: Call,
-) -> Result<Ask, Wrong> {
+) -> Result<GenerationRequest, Wrong> {
     let by_model = settings.model(&call.model).ok_or_else(|| Wrong {
         what: Fault::UnknownModel,
         field: Some("model".to_owned()),
@@ -182,7 +182,7 @@
         completion_budget: head.whole_within,
         arrived_at: arrived,
     };
-    Ok(Ask { request, stop: call.stop.into(), sampling: Rc::new(call.sampling) })
+    Ok(GenerationRequest { request, stop: call.stop.into(), sampling: Rc::new(call.sampling) })
 }
 
 fn check(call: &Call) -> Result<(), Wrong> {
