--- a/chat-gateway/src/attempts.rs
+++ b/chat-gateway/src/attempts.rs
@@ -70,8 +70,8 @@
             attempt = dispatch.attempt,
             step = ?dispatch.step,
             server = dispatch.server.0,
-            cached_tokens,
-            "prefill finished"
+            outcome = ?AttemptEnd::PrefillDone { cached_tokens },
+            "attempt finished"
         );
         self.load_reported(dispatch.server, reply.load);
         self.detach_attempt_task(dispatch.id, dispatch.attempt);
--- a/chat-gateway/src/commands.rs
+++ b/chat-gateway/src/commands.rs
@@ -1,15 +1,21 @@
 //! Executes the commands of the request table.
 
-use crate::state::GatewayState;
+use crate::state::{GatewayState, Requests};
 use petrelshore::interface::SequenceId;
 use petrelshore_gateway_core::buffered::{Command, FinalAnswer};
-use petrelshore_runtime::EventDriven;
+use petrelshore_runtime::{EventDriven, EventLoop};
 use serde_json::value::RawValue;
 use std::rc::Rc;
 use tracing::debug;
 
-impl GatewayState {
-    pub(crate) fn execute_command(self: &Rc<Self>, command: Command<Rc<RawValue>>) {
+impl EventDriven for GatewayState {
+    type Requests = Requests;
+
+    fn event_loop(&self) -> &EventLoop<Requests> {
+        &self.event_loop
+    }
+
+    fn execute(self: &Rc<Self>, command: Command<Rc<RawValue>>) {
         match command {
             Command::Send(outgoing) => self.send_attempt(*outgoing),
             Command::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
@@ -17,7 +23,9 @@
             Command::Answer { id, last } => self.finish_answer(id, last),
         }
     }
+}
 
+impl GatewayState {
     /// Cancels an attempt by closing its connection.
     fn cancel_attempt(self: &Rc<Self>, id: SequenceId, attempt: usize) {
         let task = self.take_attempt_task(id, attempt);
--- a/chat-gateway/src/endpoints.rs
+++ b/chat-gateway/src/endpoints.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Reads the inventory again. A list that is not good is rejected as a whole. Returns how many servers it has.
+    /// Reads the inventory again. A list with any fault is rejected completely. Returns how many
+    /// servers it has.
     pub fn reload(&self) -> Result<usize, ReloadError> {
         let state = &self.0;
         let list = state.read_inventory()?;
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -135,7 +135,7 @@
         &self.0.spawner
     }
 
-    /// The clock that all times of this gateway are told by.
+    /// The clock that all times of this gateway go by.
     pub fn clock(&self) -> Clock {
         self.0.event_loop.clock()
     }
--- a/chat-gateway/src/state.rs
+++ b/chat-gateway/src/state.rs
@@ -4,9 +4,9 @@
 use event_listener::Event;
 use petrelshore::interface::{SequenceId, ServerId};
 use petrelshore_engine_client::Client;
-use petrelshore_gateway_core::buffered::{BufferedRequests, Command, FinalAnswer};
+use petrelshore_gateway_core::buffered::{BufferedRequests, FinalAnswer};
 use petrelshore_inventory::{Guard, Membership};
-use petrelshore_runtime::{AttemptSlot, EventDriven, EventLoop, Spawner};
+use petrelshore_runtime::{AttemptSlot, EventLoop, Spawner};
 use petrelshore_settings::Settings;
 use serde_json::value::RawValue;
 use std::cell::{Cell, RefCell};
@@ -58,15 +58,3 @@
     /// Notified when nothing further is accepted.
     pub(crate) draining: Event,
 }
-
-impl EventDriven for GatewayState {
-    type Requests = Requests;
-
-    fn event_loop(&self) -> &EventLoop<Requests> {
-        &self.event_loop
-    }
-
-    fn execute(self: &Rc<Self>, command: Command<Rc<RawValue>>) {
-        self.execute_command(command);
-    }
-}
--- a/platform-gateway/src/commands.rs
+++ b/platform-gateway/src/commands.rs
@@ -1,14 +1,21 @@
 //! Executes the commands of the request table.
 
 use crate::forwarded_request::ForwardedRequest;
-use crate::state::GatewayState;
+use crate::state::{GatewayState, Requests};
 use petrelshore::interface::SequenceId;
 use petrelshore_gateway_core::passthrough::{Command, FinalAnswer};
+use petrelshore_runtime::{EventDriven, EventLoop};
 use std::rc::Rc;
 use tracing::debug;
 
-impl GatewayState {
-    pub(crate) fn execute_command(self: &Rc<Self>, command: Command<Rc<ForwardedRequest>>) {
+impl EventDriven for GatewayState {
+    type Requests = Requests;
+
+    fn event_loop(&self) -> &EventLoop<Requests> {
+        &self.event_loop
+    }
+
+    fn execute(self: &Rc<Self>, command: Command<Rc<ForwardedRequest>>) {
         match command {
             Command::Send { dispatch, address, message } => self.send_attempt(dispatch, address, message),
             Command::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
@@ -17,7 +24,9 @@
             Command::Remove { id } => self.remove_request(id),
         }
     }
+}
 
+impl GatewayState {
     /// Cancels an attempt by closing its connection.
     fn cancel_attempt(&self, id: SequenceId, attempt: usize) {
         debug!(request_id = id.0, attempt, "attempt cancelled");
--- a/platform-gateway/src/gateway.rs
+++ b/platform-gateway/src/gateway.rs
@@ -110,7 +110,7 @@
         &self.0.names
     }
 
-    /// The clock that all times of this gateway are told by.
+    /// The clock that all times of this gateway go by.
     pub fn clock(&self) -> Clock {
         self.0.event_loop.clock()
     }
--- a/platform-gateway/src/state.rs
+++ b/platform-gateway/src/state.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use event_listener::Event;
 use petrelshore::interface::{Nanos, SequenceId};
-use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests};
+use petrelshore_gateway_core::passthrough::{FinalAnswer, PassthroughRequests};
 use petrelshore_platform_engine_client::Client;
 use petrelshore_platform_protocol::settings::Names;
-use petrelshore_runtime::{AttemptSlot, EventDriven, EventLoop, Spawner};
+use petrelshore_runtime::{AttemptSlot, EventLoop, Spawner};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -45,15 +45,3 @@
     /// Notified when `discovery_address` has changed.
     pub(crate) discovery_address_changed: Event,
 }
-
-impl EventDriven for GatewayState {
-    type Requests = Requests;
-
-    fn event_loop(&self) -> &EventLoop<Requests> {
-        &self.event_loop
-    }
-
-    fn execute(self: &Rc<Self>, command: Command<Rc<ForwardedRequest>>) {
-        self.execute_command(command);
-    }
-}
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -3,7 +3,7 @@
 //! A gateway is one thread: tasks on sockets report events to a request table, and the [`EventDriven`] gateway executes
 //! the commands that the table returns. This package has what both gateways need for that: a monotonic [`Clock`], one
 //! [`TimerDriver`], a [`Spawner`], the [`EventLoop`], the [`AttemptSlot`] of a request, and helpers to wait for a
-//! condition ([`wait_until`]) or for the first of several calls ([`first_success`]). It makes no routing decisions.
+//! condition ([`wait_until`]) or for the first of several calls ([`first_success()`]). It makes no routing decisions.
 
 mod attempt_slot;
 mod clock;
