--- a/cli/src/platform/configuration.rs
+++ b/cli/src/platform/configuration.rs
@@ -1,7 +1,7 @@
 //! Reads the configuration file that the environment names, at the start and on SIGHUP.
 
 use async_io::Timer;
-use petrelshore_platform_gateway::Service;
+use petrelshore_platform_gateway::PlatformGateway;
 use petrelshore_platform_protocol::config::{self, Config};
 use std::cell::Cell;
 use std::fmt;
@@ -76,12 +76,12 @@
 
 /// Takes discovery's address from the configuration as it is now. A malformed one changes nothing, and is read again
 /// until it is good, or until another reload is asked for.
-pub(super) async fn reload(service: Service, number: usize, reloads: ReloadCounter) {
+pub(super) async fn reload(gateway: PlatformGateway, number: usize, reloads: ReloadCounter) {
     for reading in 1..=QUICK_READINGS + SLOW_READINGS {
         match read() {
             Ok(config) => {
                 info!(discovery = %config.discovery, "configuration reloaded");
-                return service.set_discovery_address(config.discovery);
+                return gateway.set_discovery_address(config.discovery);
             }
             Err(error) => warn!(%error, reading, "configuration rejected, the one before stays"),
         }
--- a/cli/src/platform/mod.rs
+++ b/cli/src/platform/mod.rs
@@ -13,7 +13,7 @@
 use event_listener::Event;
 use petrelshore_chat_gateway::Spawner;
 use petrelshore_ingress::listener::bind;
-use petrelshore_platform_gateway::{Service, discovery};
+use petrelshore_platform_gateway::{PlatformGateway, discovery};
 use petrelshore_platform_ingress::Clients;
 use petrelshore_platform_protocol::config::Config;
 use shutdown::Shutdown;
@@ -58,22 +58,22 @@
     let limits = ConnectionLimits::new(config.descriptors);
     let (name, memory, listen) = (config.name.clone(), config.memory_bytes, listener.address);
     let (longest_abandon, clients_resume) = (config.longest_abandon, config.clients_resume);
-    let service = Service::start(config, limits.servers, Spawner::new(executor));
-    executor.spawn(discovery::watch(service.clone())).detach();
-    let clients = Clients::new(service.clone(), limits.clients, memory);
+    let gateway = PlatformGateway::start(config, limits.servers, Spawner::new(executor));
+    executor.spawn(discovery::watch(gateway.clone())).detach();
+    let clients = Clients::new(gateway.clone(), limits.clients, memory);
     let ingress = executor.spawn(clients.clone().serve(listener));
-    executor.spawn(log_status(service.clone(), clients.clone())).detach();
+    executor.spawn(log_status(gateway.clone(), clients.clone())).detach();
     info!(name, %listen, clients = limits.clients, "ready");
 
     let stop_signal = Rc::new(Event::new());
     let stopped = stop_signal.listen();
     let following =
-        executor.spawn(follow_signals(signals, service.clone(), executor.clone(), stop_signal.clone()));
+        executor.spawn(follow_signals(signals, gateway.clone(), executor.clone(), stop_signal.clone()));
     stopped.await;
-    info!(in_flight = service.tracked(), "stopping");
-    Shutdown::new(service.clone(), clients, longest_abandon, clients_resume).run().await;
+    info!(in_flight = gateway.tracked(), "stopping");
+    Shutdown::new(gateway.clone(), clients, longest_abandon, clients_resume).run().await;
     drop((ingress, following));
-    info!(counts = ?service.counts(), violations = ?service.violations(), "stopped");
+    info!(counts = ?gateway.counts(), violations = ?gateway.violations(), "stopped");
     Ok(())
 }
 
@@ -81,7 +81,7 @@
 /// by an old endpoint list.
 async fn follow_signals(
     mut signals: Signals,
-    service: Service,
+    gateway: PlatformGateway,
     executor: Rc<LocalExecutor<'static>>,
     stop_signal: Rc<Event>,
 ) {
@@ -90,25 +90,25 @@
         match signals.next().await {
             Signal::Reload => {
                 let number = reloads.next();
-                executor.spawn(reload(service.clone(), number, reloads.clone())).detach();
+                executor.spawn(reload(gateway.clone(), number, reloads.clone())).detach();
             }
             Signal::Stop => drop(stop_signal.notify(usize::MAX)),
         }
     }
 }
 
-async fn log_status(service: Service, clients: Clients) {
+async fn log_status(gateway: PlatformGateway, clients: Clients) {
     loop {
         Timer::after(STATUS_LOG_INTERVAL).await;
-        let (servers, idle_servers, pending_releases) = service.connection_counts();
+        let connections = gateway.connection_counts();
         info!(
-            in_flight = service.tracked(),
+            in_flight = gateway.tracked(),
             clients = clients.connections(),
-            servers,
-            idle_servers,
-            pending_releases,
-            counts = ?service.counts(),
-            violations = ?service.violations(),
+            servers = connections.open,
+            idle_servers = connections.idle,
+            pending_releases = connections.pending_releases,
+            counts = ?gateway.counts(),
+            violations = ?gateway.violations(),
             "status"
         );
     }
--- a/cli/src/platform/shutdown.rs
+++ b/cli/src/platform/shutdown.rs
@@ -4,7 +4,7 @@
 use futures_lite::future;
 use petrelshore::interface::Nanos;
 use petrelshore_gateway_core::graceful_shutdown::{MigrationWindow, ShutdownPlan};
-use petrelshore_platform_gateway::Service;
+use petrelshore_platform_gateway::PlatformGateway;
 use petrelshore_platform_ingress::Clients;
 use std::time::Duration;
 use tracing::info;
@@ -17,7 +17,7 @@
 
 /// A shutdown under way.
 pub(super) struct Shutdown {
-    service: Service,
+    gateway: PlatformGateway,
     clients: Clients,
     plan: ShutdownPlan,
     /// When the stop signal came.
@@ -27,14 +27,14 @@
 impl Shutdown {
     /// Plans the shutdown of a gateway whose stop signal has just come.
     pub(super) fn new(
-        service: Service,
+        gateway: PlatformGateway,
         clients: Clients,
         longest_abandon: Nanos,
         clients_resume: bool,
     ) -> Self {
-        let signalled_at = service.clock().now();
-        let plan = service.shutdown_plan(longest_abandon, clients_resume);
-        Shutdown { service, clients, plan, signalled_at }
+        let signalled_at = gateway.clock().now();
+        let plan = gateway.shutdown_plan(longest_abandon, clients_resume);
+        Shutdown { gateway, clients, plan, signalled_at }
     }
 
     /// Returns once everything is answered, or the plan's time is over.
@@ -44,7 +44,7 @@
     }
 
     async fn until(&self, after_signal: Nanos) {
-        Timer::at(self.service.clock().instant(self.signalled_at + after_signal)).await;
+        Timer::at(self.gateway.clock().instant(self.signalled_at + after_signal)).await;
     }
 
     async fn migrate_streams(&self) {
@@ -55,14 +55,14 @@
             self.until(after).await;
             // What has come in this turn is forwarded first: a stream may have ended by itself.
             future::yield_now().await;
-            self.service.migrate_streams(&self.plan, (after, after + MIGRATION_INTERVAL));
+            self.gateway.migrate_streams(&self.plan, after..after + MIGRATION_INTERVAL);
             after += MIGRATION_INTERVAL;
         }
     }
 
     async fn stop_accepting(&self) {
         self.until(self.plan.accept_until).await;
-        self.service.drain();
+        self.gateway.drain();
         self.clients.begin_shutdown();
     }
 
@@ -72,8 +72,8 @@
         };
         self.until(terminate_at).await;
         future::yield_now().await;
-        info!(in_flight = self.service.tracked(), "terminating requests in flight");
-        self.service.terminate_all();
+        info!(in_flight = self.gateway.tracked(), "terminating requests in flight");
+        self.gateway.terminate_all();
         self.until(exit_by).await;
     }
 
@@ -82,9 +82,9 @@
     async fn until_idle(&self) {
         loop {
             self.clients.until_empty().await;
-            self.service.until_empty().await;
+            self.gateway.wait_until_idle().await;
             Timer::after(FINAL_ACCEPT_TIMEOUT).await;
-            if self.clients.is_empty() && self.service.is_empty() {
+            if self.clients.is_empty() && self.gateway.is_idle() {
                 return;
             }
         }
