--- a/src/fleet/candidates.rs
+++ b/src/fleet/candidates.rs
@@ -1,69 +1,79 @@
-//! The servers that a decision looks at.
+//! The servers that a decision examines.
 
-use super::{Fleet, Members, Server, Slot, ZoneShare, race};
-use crate::interface::*;
+use super::hashing::rendezvous_rank;
+use super::index::Members;
+use super::quotas::ZoneQuota;
+use super::registry::Fleet;
+use super::server::{Server, Slot};
+use crate::interface::{CellId, Role, ZoneId};
 use std::collections::BTreeMap;
 
 /// All servers, or some of them.
 #[derive(Clone, Debug)]
 pub enum Candidates {
+    /// All that are known.
     All,
-    These(Vec<Slot>),
+    /// Those in these slots.
+    Slots(Vec<Slot>),
 }
 
 impl Candidates {
-    /// Each of these servers once.
+    /// The servers in these slots, each of them once.
     pub fn distinct(mut slots: Vec<Slot>) -> Self {
         slots.sort_unstable();
         slots.dedup();
-        Candidates::These(slots)
+        Candidates::Slots(slots)
     }
 }
 
-/// Servers among which a sequence has to stay.
+/// Servers that a sequence is bound to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum ServerScope {
+    /// Those of a zone.
     Zone(ZoneId),
+    /// Those of a cell.
     Cell(CellId),
-    Nobody,
+    /// None.
+    Empty,
 }
 
-/// Whether a server is in a group; all are where there is none.
-pub fn in_scope(group: Option<Group>, server: &Server) -> bool {
-    match group {
+/// Whether a server is in a scope; all are where there is none.
+pub fn in_scope(scope: Option<ServerScope>, server: &Server) -> bool {
+    match scope {
         None => true,
-        Some(Group::Zone(zone)) => zone == server.endpoint.zone,
-        Some(Group::Cell(cell)) => cell == server.endpoint.cell,
-        Some(Group::Nobody) => false,
+        Some(ServerScope::Zone(zone)) => zone == server.endpoint.zone,
+        Some(ServerScope::Cell(cell)) => cell == server.endpoint.cell,
+        Some(ServerScope::Empty) => false,
     }
 }
 
 impl Fleet {
-    /// Those servers, counted as they are looked at.
+    /// The candidates, counted as they are examined.
     pub fn among<'a>(&'a self, candidates: &'a Candidates) -> impl Iterator<Item = &'a Server> {
-        let (all, these) = match candidates {
+        let (all, slots) = match candidates {
             Candidates::All => (Some(self.values()), None),
-            Candidates::These(slots) => (None, Some(slots.iter().map(|slot| self.at(*slot)))),
+            Candidates::Slots(slots) => (None, Some(slots.iter().map(|slot| self.at(*slot)))),
         };
-        let servers = all.into_iter().flatten().chain(these.into_iter().flatten());
-        servers.inspect(|_| self.count(1))
+        let servers = all.into_iter().flatten().chain(slots.into_iter().flatten());
+        servers.inspect(|_| self.count_examined(1))
     }
 
-    /// Ready servers of a role in a group, or in all.
-    pub fn pool(&self, role: Role, group: Option<Group>) -> &Members {
-        match group {
-            None => self.index.members(role, None),
-            Some(Group::Zone(zone)) => self.index.members(role, Some(zone)),
-            Some(Group::Cell(cell)) => self.index.cell(cell, role),
-            Some(Group::Nobody) => self.index.nobody(),
+    /// Ready servers of a role in a scope, or in the fleet.
+    pub fn pool(&self, role: Role, scope: Option<ServerScope>) -> &Members {
+        match scope {
+            None => self.index().members(role, None),
+            Some(ServerScope::Zone(zone)) => self.index().members(role, Some(zone)),
+            Some(ServerScope::Cell(cell)) => self.index().cell(cell, role),
+            Some(ServerScope::Empty) => self.index().empty(),
         }
     }
 
-    /// The prefill server that is a key's home, in the zone that the key has by the zones' turns.
-    pub fn home(&self, key: u64, zones: &BTreeMap<ZoneId, ZoneShare>) -> Option<Slot> {
-        let zones = zones.iter().filter(|(_, share)| share.turn > 0.0);
-        let zones = zones.map(|(zone, share)| (race(key, zone.0 as u64, share.turn), *zone));
-        let (_, zone) = zones.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
-        self.index.ring(zone)?.server(key)
+    /// The prefill server that is a key's affinity replica, in the zone that the key belongs to by this gateway's quotas.
+    pub fn affinity_replica(&self, key: u64, zones: &BTreeMap<ZoneId, ZoneQuota>) -> Option<Slot> {
+        let used = zones.iter().filter(|(_, quota)| quota.gateway_quota > 0.0);
+        let ranked =
+            used.map(|(zone, quota)| (rendezvous_rank(key, zone.0 as u64, quota.gateway_quota), *zone));
+        let (_, zone) = ranked.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
+        self.index().ring(zone)?.server(key)
     }
 }
--- /dev/null
+++ b/src/fleet/registry.rs
@@ -0,0 +1,200 @@
+//! The servers of the endpoint list, by their ids.
+
+use super::index::{Index, Members};
+use super::server::{Server, Slot};
+use crate::interface::{
+    CellId, Endpoint, EndpointState, Nanos, Role, ServerId, ServerKind, SnapshotKind, Weights,
+};
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Least memory of a server, in tokens: it is divided by.
+const MIN_MEMORY_TOKENS: f64 = 1.0;
+/// Least weight of a server.
+const MIN_WEIGHT: f64 = 1e-3;
+
+/// All servers that a gateway knows.
+pub struct Fleet {
+    kinds: Vec<ServerKind>,
+    weights: Weights,
+    slots: Vec<Server>,
+    free_slots: Vec<Slot>,
+    by_id: BTreeMap<ServerId, Slot>,
+    /// Starts of servers so far.
+    generations: u64,
+    ring_points: usize,
+    index: Index,
+    /// Whether a list has come since the index was built.
+    index_is_stale: bool,
+    examined: Cell<u64>,
+}
+
+impl Fleet {
+    /// A fleet without servers. Each prefill server will have so many points on its zone's hash ring.
+    pub fn new(kinds: Vec<ServerKind>, weights: Weights, ring_points: usize) -> Self {
+        Fleet {
+            kinds,
+            weights,
+            slots: Vec::new(),
+            free_slots: Vec::new(),
+            by_id: BTreeMap::new(),
+            generations: 0,
+            ring_points,
+            index: Index::default(),
+            index_is_stale: true,
+            examined: Cell::new(0),
+        }
+    }
+
+    /// Takes in the endpoint list, or what has changed in it. A server that is new, or has restarted, is made by
+    /// `new_server` from its entry; one that has gone stays for as long as an attempt is in flight to it.
+    pub fn update(
+        &mut self,
+        scope: SnapshotKind,
+        entries: &[Endpoint],
+        mut new_server: impl FnMut(&Endpoint) -> Server,
+    ) {
+        self.index_is_stale = true;
+        self.remove_gone();
+        if scope != SnapshotKind::Delta {
+            self.mark_unlisted_gone(entries);
+        }
+        for entry in entries {
+            let slot = match self.by_id.get(&entry.server) {
+                Some(&slot) if entry.started_at <= self.slots[slot].endpoint.started_at => {
+                    self.slots[slot].endpoint = entry.clone();
+                    slot
+                }
+                _ => self.insert(new_server(entry)),
+            };
+            self.apply_kind(slot, entry);
+        }
+    }
+
+    fn remove_gone(&mut self) {
+        let (slots, free_slots) = (&self.slots, &mut self.free_slots);
+        self.by_id.retain(|_, slot| {
+            let server = &slots[*slot];
+            let stays = server.endpoint.state != EndpointState::Gone || !server.in_flight.is_empty();
+            if !stays {
+                free_slots.push(*slot);
+            }
+            stays
+        });
+    }
+
+    fn mark_unlisted_gone(&mut self, entries: &[Endpoint]) {
+        let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
+        for (_, slot) in self.by_id.iter().filter(|(id, _)| !listed.contains(id)) {
+            self.slots[*slot].endpoint.state = EndpointState::Gone;
+        }
+    }
+
+    fn insert(&mut self, mut server: Server) -> Slot {
+        self.generations += 1;
+        server.generation = self.generations;
+        let id = server.endpoint.server;
+        if let Some(&slot) = self.by_id.get(&id) {
+            self.slots[slot] = server;
+            return slot;
+        }
+        let slot = self.free_slots.pop().unwrap_or(self.slots.len());
+        match self.slots.get_mut(slot) {
+            Some(freed) => *freed = server,
+            None => self.slots.push(server),
+        }
+        self.by_id.insert(id, slot);
+        slot
+    }
+
+    /// Sets what a server has by its kind and its entry.
+    fn apply_kind(&mut self, slot: Slot, entry: &Endpoint) {
+        let kind = &self.kinds[entry.kind.0];
+        let server = &mut self.slots[slot];
+        server.role = kind.role;
+        server.memory_tokens = kind.memory_tokens.max(MIN_MEMORY_TOKENS);
+        server.weight = match self.weights {
+            Weights::Size => entry.weight.max(MIN_WEIGHT),
+            Weights::Unused => 1.0,
+        };
+    }
+
+    /// Builds the index anew where a list has come since, or a server's slow start is over.
+    pub fn refresh(&mut self, now: Nanos) {
+        if self.index_is_stale || now >= self.index.valid_until() {
+            let servers = self.by_id.values().map(|slot| (*slot, &self.slots[*slot]));
+            let previous = std::mem::take(&mut self.index);
+            self.index = Index::new(now, servers, self.ring_points, previous);
+            self.index_is_stale = false;
+        }
+    }
+
+    /// The index as of the last [`Fleet::refresh`].
+    pub fn index(&self) -> &Index {
+        &self.index
+    }
+
+    /// Ready servers of a role in one cell.
+    pub fn cell(&self, cell: CellId, role: Role) -> &Members {
+        self.index.cell(cell, role)
+    }
+
+    /// How many servers decisions have examined so far, each time counted.
+    pub fn examined(&self) -> u64 {
+        self.examined.get()
+    }
+
+    /// Counts servers that are examined.
+    pub(super) fn count_examined(&self, servers: usize) {
+        self.examined.set(self.examined.get() + servers as u64);
+    }
+
+    /// How many servers are known.
+    pub fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// Whether no servers are known.
+    pub fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    /// A server by its id.
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.by_id.get(&id).map(|slot| &self.slots[*slot])
+    }
+
+    /// A server by its id, to be changed.
+    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        let slot = self.by_id.get(&id)?;
+        self.slots.get_mut(*slot)
+    }
+
+    /// The slot of a server.
+    pub fn slot(&self, id: ServerId) -> Option<Slot> {
+        self.by_id.get(&id).copied()
+    }
+
+    /// The server in a slot.
+    pub fn at(&self, slot: Slot) -> &Server {
+        &self.slots[slot]
+    }
+
+    /// All servers in the order of their ids.
+    pub fn values(&self) -> impl Iterator<Item = &Server> + Clone {
+        self.by_id.values().map(|slot| &self.slots[*slot])
+    }
+
+    /// All servers from one id on, in the order of their ids.
+    pub fn values_from(&self, first: ServerId) -> impl Iterator<Item = &Server> {
+        self.by_id.range(first..).map(|(_, slot)| &self.slots[*slot])
+    }
+}
+
+impl std::ops::Index<ServerId> for Fleet {
+    type Output = Server;
+
+    fn index(&self, id: ServerId) -> &Server {
+        &self.slots[self.by_id[&id]]
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! petrelshore decides where a language-model sequence is read and where its answer is written.
-//! `Scheduler` in `scheduler` decides; `interface` holds the plain types it is told and answers with, `fleet` the servers
-//! that it knows.
+//! petrelshore decides where the prompt of a language-model sequence is prefilled and where its answer is decoded.
+//!
+//! [`Scheduler`] decides. [`interface`] holds the plain types that go into and out of it, [`fleet`] the servers that it
+//! knows, and [`statistics`] what it has measured.
 
 pub mod attempt_history;
 pub mod bounded;
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,69 +1,109 @@
-//! Admission control: overload is met before the prefill.
+//! Admission control: overload is shed before the prefill.
 
-use super::*;
+use super::decode::MAX_DECODE_LOAD;
+use super::parameters::LOAD_REPORT_STALENESS;
+use super::{Scheduler, Selection};
+use crate::fleet::Server;
+use crate::interface::{Nanos, Role, Sequence, Step, TenantId};
 
-/// Part of its own work that a guess takes to have been read in no time, or work once refused stays refused.
-pub(super) const UNREAD: f64 = 0.1;
-/// Part of the emptiest writer's memory that is kept for sequences worth more.
-pub(super) const RESERVE: f64 = 0.1;
-/// A prompt counts in its own refusal up to so many mean ones: past that its SLO and client allow for it.
-pub(super) const OWN_PART: f64 = 1.4;
-/// Own rate of a tenant past its share of the quota before it counts as over.
-pub(super) const OVER_SHARE: f64 = 1.2;
+/// Share of its own work that an estimate of prefill time counts as prefilled in no time: without it, work that was once
+/// rejected would stay rejected.
+const PREFILL_ESTIMATE_PRIOR: f64 = 0.1;
+/// Share of the least loaded decode server's memory that is kept for sequences of the highest priority.
+const PRIORITY_HEADROOM: f64 = 0.1;
+/// Length up to which a prompt counts in its own rejection, as a multiple of the mean prompt: past that its latency
+/// objective and its client allow for it.
+const MAX_COUNTED_PROMPT_RATIO: f64 = 1.4;
+/// A tenant's rate at this gateway, as a multiple of its part of the quota, past which it counts as over quota.
+const OVER_QUOTA_RATIO: f64 = 1.2;
+/// Share of the time left that the expected wait of a sequence of no priority may take.
+const MIN_WAIT_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Overload is met before the read: the less a sequence is worth, the earlier it is turned away. Also holds
-    /// against lost servers and slow links; hurts when a short jam clears faster than it seems.
-    pub(super) fn overloaded(&self, now: Nanos, sequence: &Sequence, pick: &Pick) -> bool {
+    /// Overload is shed before the prefill: the lower a sequence's priority, the earlier it is rejected. Also guards
+    /// against lost servers and slow links; harmful when a short overload clears faster than it seems.
+    pub(super) fn is_overloaded(&self, now: Nanos, sequence: &Sequence, selection: &Selection) -> bool {
         if sequence.resumed {
             return false;
         }
-        let time = |step| self.known_time(now, step, 0.0).unwrap_or(0.0);
-        let wait = match pick.step {
-            // Guards against turning the longest prompts away first, by whatever makes all wait.
-            Step::Prefill => {
-                let longer = sequence.prompt_tokens - pick.kept - OWN_PART * self.stats.mean_prompt(now);
-                let work = self.read_work(now, &self.fleet[pick.server], sequence, pick.kept);
-                self.read_wait(now, work - longer.max(0.0)) + time(Step::Decode)
-            }
-            step => time(step),
-        };
-        let value = self.value(now, sequence);
-        let among = self.decode_candidates(sequence, Some(&self.fleet[pick.server].endpoint));
-        let answering = self.fleet.among(&among).filter(|s| s.role != Role::Prefill && self.ready(now, s));
-        let load = answering.map(|s| self.decode_load(now, s)).min_by(f64::total_cmp);
-        if load.is_some_and(|load| load > FULL - (1.0 - value) * RESERVE) {
+        let wait = self.expected_wait(now, sequence, selection);
+        let priority = self.effective_priority(now, sequence);
+        if self.lacks_decode_headroom(now, sequence, selection, priority) {
             return true;
         }
-        let slack = 0.5 + 0.5 * value;
-        let left = (self.deployment.slo(sequence) as f64)
-            .min(sequence.first_token_deadline.saturating_sub(now) as f64);
-        wait > left * slack
+        let wait_share = MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * priority;
+        let slo = self.deployment.slo(sequence) as f64;
+        let left = slo.min(sequence.first_token_deadline.saturating_sub(now) as f64);
+        wait > left * wait_share
     }
 
-    /// Queued prompt tokens, reported or own, and this prompt less what the reader should have kept of it.
-    pub(super) fn read_work(&self, now: Nanos, server: &Server, sequence: &Sequence, kept: f64) -> f64 {
-        let own = server.own_tokens(0);
-        let queued = server.report.queued_prompt_tokens.map_or(own, |queue| {
-            let age = now.saturating_sub(server.reported) as f64;
-            let faded = queue * (-age / REPORT_LAG as f64).exp2();
-            own.max(faded + server.own_tokens(server.reported.saturating_sub(REPORT_LAG)))
-        });
-        queued + sequence.prompt_tokens - kept
+    /// The time to the first token that is to be expected, in nanoseconds.
+    fn expected_wait(&self, now: Nanos, sequence: &Sequence, selection: &Selection) -> f64 {
+        let median_time = |step| self.fleet_response_time(now, step, 0.0).unwrap_or(0.0);
+        if selection.step != Step::Prefill {
+            return median_time(selection.step);
+        }
+        // Guards against rejecting the longest prompts first, whatever makes all of them wait.
+        let max_counted = MAX_COUNTED_PROMPT_RATIO * self.statistics.mean_prompt_tokens(now);
+        let not_counted = sequence.prompt_tokens - selection.cached_tokens - max_counted;
+        let server = &self.fleet[selection.server];
+        let work = self.prefill_work(now, server, sequence, selection.cached_tokens);
+        self.prefill_wait(now, work - not_counted.max(0.0)) + median_time(Step::Decode)
     }
 
-    /// How long such prompt work has taken of late, hidden queues included; it fades when hardly a read is known.
-    pub(super) fn read_wait(&self, now: Nanos, work: f64) -> f64 {
-        self.stats.read_time.read(now) * work / (self.stats.read_tokens.read(now) + UNREAD * work).max(1.0)
+    /// Whether even the least loaded server that could answer is too full for a sequence of this priority.
+    fn lacks_decode_headroom(
+        &self,
+        now: Nanos,
+        sequence: &Sequence,
+        selection: &Selection,
+        priority: f64,
+    ) -> bool {
+        let home = &self.fleet[selection.server].endpoint;
+        let candidates = self.decode_candidates(sequence, Some(home));
+        let answering =
+            self.fleet.among(&candidates).filter(|s| s.role != Role::Prefill && self.is_available(now, s));
+        let min_load = answering.map(|s| self.decode_load(now, s)).min_by(f64::total_cmp);
+        min_load.is_some_and(|load| load > MAX_DECODE_LOAD - (1.0 - priority) * PRIORITY_HEADROOM)
     }
 
-    /// Utility against the highest, less for a tenant past its share.
-    pub(super) fn value(&self, now: Nanos, sequence: &Sequence) -> f64 {
-        let utility = self.deployment.relative_priority(sequence.traffic);
-        let over = sequence.tenant.is_some_and(|TenantId(tenant)| {
-            let part = self.deployment.tenants[tenant].per_second / self.deployment.gateways as f64;
-            self.stats.tenants[tenant].per_second(now, self.stats.started) > OVER_SHARE * part
+    /// Prompt tokens queued at a server, reported or own, and this prompt less what the server should have cached.
+    pub(super) fn prefill_work(
+        &self,
+        now: Nanos,
+        server: &Server,
+        sequence: &Sequence,
+        cached_tokens: f64,
+    ) -> f64 {
+        let own = server.own_tokens_since(0);
+        let queued = server.report.queued_prompt_tokens.map_or(own, |reported| {
+            let age = now.saturating_sub(server.reported_at) as f64;
+            let remaining = reported * (-age / LOAD_REPORT_STALENESS as f64).exp2();
+            let not_in_report = server.reported_at.saturating_sub(LOAD_REPORT_STALENESS);
+            own.max(remaining + server.own_tokens_since(not_in_report))
         });
-        if over { utility * self.deployment.over_quota_factor } else { utility }
+        queued + sequence.prompt_tokens - cached_tokens
+    }
+
+    /// How long so much prompt work has taken of late in nanoseconds, queues that are not reported included. The estimate
+    /// fades while hardly a prefill is measured.
+    pub(super) fn prefill_wait(&self, now: Nanos, work: f64) -> f64 {
+        let measured_time = self.statistics.prefill_time.read(now);
+        let measured_tokens = self.statistics.prefill_tokens.read(now);
+        measured_time * work / (measured_tokens + PREFILL_ESTIMATE_PRIOR * work).max(1.0)
+    }
+
+    /// Priority weight as a share of the highest, less for a tenant over its quota.
+    fn effective_priority(&self, now: Nanos, sequence: &Sequence) -> f64 {
+        let priority = self.deployment.relative_priority(sequence.traffic);
+        let over_quota = sequence.tenant.is_some_and(|tenant| self.is_over_quota(now, tenant));
+        if over_quota { priority * self.deployment.over_quota_factor } else { priority }
+    }
+
+    /// Whether a tenant sends more through this gateway than the gateway's part of its quota allows.
+    fn is_over_quota(&self, now: Nanos, TenantId(tenant): TenantId) -> bool {
+        let part = self.deployment.tenants[tenant].per_second / self.deployment.gateways as f64;
+        let rate = self.statistics.tenant_arrivals[tenant].per_second(now, self.statistics.started_at);
+        rate > OVER_QUOTA_RATIO * part
     }
 }
--- a/src/scheduler/affinity.rs
+++ b/src/scheduler/affinity.rs
@@ -1,51 +1,180 @@
-//! Prefix affinity: what servers should have kept of sessions and shared texts.
+//! Prefix affinity: which prefill servers should get a session or a shared prefix, and what they should have cached.
 
-use super::*;
+use super::Scheduler;
+use super::parameters::{MIN_DIVISOR, PREFIX_HALF_LIFE};
+use crate::decay::DecayingSum;
+use crate::fleet::{Candidates, Server, Slot, mix_bits, rendezvous_rank};
+use crate::interface::{Nanos, PrefixId, Role, Sequence, ServerId};
+use crate::statistics::{CachedPrefix, PrefixKey, ServerPrefix};
+use std::collections::HashMap;
 
-pub(super) const NEW_HOMES: f64 = 6.0;
-/// What a reader that had kept its text makes of that multiple, and one that had not.
-pub(super) const FOUND: f64 = 1.2;
-pub(super) const MISSED: f64 = 0.4;
-/// Half-life of how often a shared text was sent: about how long a reader keeps one that is not read again.
-pub(super) const TEXT_LIFE: Nanos = 10_000_000_000;
-/// Servers that are candidates for a text as it was sent there last.
-pub(super) const LAST_SENT: usize = 8;
+/// Servers that a prefix was sent to last and that are candidates for it.
+const MAX_RECENT_SERVERS: usize = 8;
+/// Affinity replicas of a shared prefix, as a multiple of its share of this gateway's sends times all prefill servers.
+const REPLICAS_PER_SEND_SHARE: f64 = 8.0;
+/// Sends that a shared prefix's share starts out from: until enough are counted, it counts as one of so many prefixes.
+const PREFIX_SHARE_PRIOR: f64 = 10.0;
+/// Distance from a sequence of a prefill server that is none of its affinity replicas.
+pub(super) const NON_REPLICA_DISTANCE: f64 = 1e9;
+
+/// The prefill servers that a sequence's prefixes belong to, the same ones at every gateway.
+pub(super) struct AffinityReplicas {
+    /// How far each server is from being the session's replica; [`NON_REPLICA_DISTANCE`] and more for those that are no
+    /// replicas of its shared prefix.
+    pub(super) distances: HashMap<ServerId, f64>,
+    /// The prefill servers to choose from.
+    pub(super) candidates: Candidates,
+}
+
+impl AffinityReplicas {
+    /// The least of the distances; infinite where there are none.
+    pub(super) fn nearest(&self) -> f64 {
+        self.distances.values().copied().fold(f64::INFINITY, f64::min)
+    }
+}
+
+/// How far a prefill server is from a sequence's prefixes.
+struct AffinityDistance {
+    server: ServerId,
+    to_session: f64,
+    to_shared_prefix: f64,
+}
 
 impl Scheduler {
-    /// What the reader should have kept: texts age out as it reads its memory full, with the other gateways' part. A
-    /// shared text may have come to it through other gateways, with that probability.
-    pub(super) fn credit(&self, server: &Server, sequence: &Sequence, elsewhere: f64) -> f64 {
-        let room = server.memory / self.deployment.gateways as f64;
-        let live = |text: Text| {
-            let kept = self.stats.kept.get(&(server.generation, text))?;
-            let there = kept.read_before >= server.forgotten && server.read_in_all - kept.read_before < room;
-            there.then_some(kept.tokens)
+    /// How far prefill servers are from being this session's replica, to which every gateway turns, and the candidates:
+    /// by a hash, weighted by the share of all prefills that each should get. Guards against prefilling prefixes again
+    /// when a gateway has restarted or a session comes through another one.
+    pub(super) fn affinity_replicas(&self, now: Nanos, sequence: &Sequence) -> AffinityReplicas {
+        let session_key = sequence.session.map_or(sequence.id.0, |session| session.0);
+        let prefill_servers = self.fleet.index().prefill_servers().max(1) as f64;
+        let replica_share = self.prefix_replica_share(now, sequence, prefill_servers);
+        if self.scans_in_full() {
+            self.scanned_replicas(sequence, session_key, replica_share)
+        } else {
+            self.sampled_replicas(sequence, session_key, replica_share * prefill_servers)
+        }
+    }
+
+    /// The share of all prefill servers that are to have a sequence's shared prefix cached: by its share of all prefills,
+    /// as far as own sends tell, rather than evicted from all of them. The more often it is not found there, the fewer.
+    fn prefix_replica_share(&self, now: Nanos, sequence: &Sequence, prefill_servers: f64) -> f64 {
+        let new_prefix =
+            (self.new_prefix_replicas * PREFIX_SHARE_PRIOR / prefill_servers).min(REPLICAS_PER_SEND_SHARE);
+        (new_prefix + REPLICAS_PER_SEND_SHARE * self.prefix_send_count(now, sequence))
+            / (PREFIX_SHARE_PRIOR + self.statistics.all_prefix_sends.read(now))
+    }
+
+    /// The replicas among a few servers of a large fleet, those that the prefixes were sent to last among them.
+    fn sampled_replicas(&self, sequence: &Sequence, session_key: u64, replicas: f64) -> AffinityReplicas {
+        let mut slots = self.replica_slots(session_key, sequence.prefix, replicas);
+        let distance_of = |slot: &Slot| {
+            let distance = self.affinity_distance(self.fleet.at(*slot), sequence, session_key)?;
+            Some((distance.server, distance.to_session))
+        };
+        let distances = slots.iter().filter_map(distance_of).collect();
+        let prefixes = [sequence.session.map(PrefixKey::Session), sequence.prefix.map(PrefixKey::Shared)];
+        let recent = prefixes.into_iter().flatten().flat_map(|key| self.statistics.recent_servers(key));
+        slots.extend(recent.filter_map(|server| self.fleet.slot(server)));
+        self.sample_role(sequence, Role::Prefill, self.deployment.zone, &mut slots);
+        AffinityReplicas { distances, candidates: Candidates::distinct(slots) }
+    }
+
+    /// The replicas among all servers of a small fleet.
+    fn scanned_replicas(
+        &self,
+        sequence: &Sequence,
+        session_key: u64,
+        replica_share: f64,
+    ) -> AffinityReplicas {
+        let prefill_servers = self.fleet.values().filter(|s| s.role == Role::Prefill);
+        let known: Vec<AffinityDistance> =
+            prefill_servers.filter_map(|s| self.affinity_distance(s, sequence, session_key)).collect();
+        // The nearest server is a replica, however few there are to be.
+        let nearest = known.iter().map(|known| known.to_shared_prefix).fold(f64::INFINITY, f64::min);
+        let max_distance = nearest.max(replica_share);
+        let distance_of = |known: AffinityDistance| {
+            let is_replica = known.to_shared_prefix <= max_distance;
+            (known.server, known.to_session + if is_replica { 0.0 } else { NON_REPLICA_DISTANCE })
         };
-        let session = sequence.session.and_then(|id| live(Text::Session(id))).unwrap_or(0.0);
-        let prefix =
-            sequence.prefix.and_then(|id| live(Text::Prefix(id))).unwrap_or(0.0).min(sequence.prefix_tokens);
-        session.max(prefix).max(elsewhere * sequence.prefix_tokens).min(sequence.prompt_tokens)
+        AffinityReplicas {
+            distances: known.into_iter().map(distance_of).collect(),
+            candidates: Candidates::All,
+        }
+    }
+
+    /// How far a prefill server is from a sequence's prefixes; none where its cell has no quota of prefills yet.
+    fn affinity_distance(
+        &self,
+        server: &Server,
+        sequence: &Sequence,
+        session_key: u64,
+    ) -> Option<AffinityDistance> {
+        let cell = self.quotas.cells.get(&server.endpoint.cell)?;
+        let zone = self.quotas.zones.get(&cell.zone)?;
+        let weight = zone.gateway_quota * cell.prefill_quota / zone.prefill_quota * server.weight
+            / cell.prefill_capacity.max(MIN_DIVISOR);
+        let id = server.endpoint.server;
+        let to_shared_prefix =
+            sequence.prefix.map_or(0.0, |PrefixId(prefix)| rendezvous_rank(mix_bits(prefix), id.0, weight));
+        let to_session = rendezvous_rank(session_key, id.0, weight);
+        Some(AffinityDistance { server: id, to_session, to_shared_prefix })
+    }
+
+    /// Prompt tokens that a server should have cached: prefixes are evicted as it prefills its memory full, this gateway's
+    /// part of it. A shared prefix may have come to it through other gateways, with the probability given.
+    pub(super) fn expected_cached_tokens(
+        &self,
+        server: &Server,
+        sequence: &Sequence,
+        elsewhere_probability: f64,
+    ) -> f64 {
+        let session =
+            sequence.session.map_or(0.0, |id| self.cached_prefix_tokens(server, PrefixKey::Session(id)));
+        let shared =
+            sequence.prefix.map_or(0.0, |id| self.cached_prefix_tokens(server, PrefixKey::Shared(id)));
+        session
+            .max(shared.min(sequence.prefix_tokens))
+            .max(elsewhere_probability * sequence.prefix_tokens)
+            .min(sequence.prompt_tokens)
+    }
+
+    /// Tokens of a prefix that a server should have cached, as far as own sends tell.
+    fn cached_prefix_tokens(&self, server: &Server, prefix: PrefixKey) -> f64 {
+        let key = ServerPrefix { generation: server.generation, prefix };
+        let Some(sent) = self.statistics.cached_prefixes.get(&key) else { return 0.0 };
+        let memory = server.memory_tokens / self.deployment.gateways as f64;
+        let is_cached = sent.prefilled_before >= server.evicted_tokens
+            && server.prefilled_tokens - sent.prefilled_before < memory;
+        if is_cached { sent.tokens } else { 0.0 }
     }
 
-    /// How often this gateway has sent a sequence's shared text of late.
-    pub(super) fn text_sent(&self, now: Nanos, sequence: &Sequence) -> f64 {
-        sequence.prefix.and_then(|id| self.stats.prefixes.get(&id)).map_or(0.0, |sent| sent.read(now))
+    /// How often this gateway has sent a sequence's shared prefix of late.
+    fn prefix_send_count(&self, now: Nanos, sequence: &Sequence) -> f64 {
+        let sends = sequence.prefix.and_then(|id| self.statistics.prefix_sends.get(&id));
+        sends.map_or(0.0, |sends| sends.read(now))
     }
 
-    /// A server is sent a sequence's texts, of which it should have kept so many tokens.
-    pub(super) fn keep(&mut self, now: Nanos, sequence: &Sequence, server: ServerId, kept: f64) {
+    /// A server is sent a sequence's prefixes, of which it should have so many tokens cached.
+    pub(super) fn record_prefixes_sent(
+        &mut self,
+        now: Nanos,
+        sequence: &Sequence,
+        server: ServerId,
+        cached_tokens: f64,
+    ) {
         let Some(server) = self.fleet.get_mut(server) else { return };
-        let read_before = server.read_in_all;
-        server.read_in_all += sequence.prompt_tokens - kept;
+        let prefilled_before = server.prefilled_tokens;
+        server.prefilled_tokens += sequence.prompt_tokens - cached_tokens;
         if let Some(id) = sequence.session {
-            let kept = Kept { tokens: sequence.prompt_tokens, read_before };
-            self.stats.text_sent(server, Text::Session(id), kept, LAST_SENT);
+            let sent = CachedPrefix { tokens: sequence.prompt_tokens, prefilled_before };
+            self.statistics.prefix_sent(server, PrefixKey::Session(id), sent, MAX_RECENT_SERVERS);
         }
         if let Some(id) = sequence.prefix {
-            let kept = Kept { tokens: sequence.prefix_tokens, read_before };
-            self.stats.text_sent(server, Text::Prefix(id), kept, LAST_SENT);
-            self.stats.prefixes.entry_or_insert_with(id, || DecayingSum::new(TEXT_LIFE)).add(now, 1.0);
-            self.stats.texts.add(now, 1.0);
+            let sent = CachedPrefix { tokens: sequence.prefix_tokens, prefilled_before };
+            self.statistics.prefix_sent(server, PrefixKey::Shared(id), sent, MAX_RECENT_SERVERS);
+            let new_sum = || DecayingSum::new(PREFIX_HALF_LIFE);
+            self.statistics.prefix_sends.entry_or_insert_with(id, new_sum).add(now, 1.0);
+            self.statistics.all_prefix_sends.add(now, 1.0);
         }
     }
 }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,104 +1,141 @@
-//! Which servers a decision looks at: all of a small fleet, of a large one those that a hash or chance names.
+//! Which servers a decision examines: all of a small fleet, of a large one those that a hash or a sample names.
 
-use super::*;
+use super::Scheduler;
+use crate::fleet::{Candidates, SampleSize, Server, ServerScope, Slot, in_scope, jump_hash, mix_bits};
+use crate::interface::{Endpoint, Nanos, PrefixId, Role, Sequence, ServerId, ZoneId};
 
-/// Fleets up to this size are looked at whole.
-pub(super) const SMALL_FLEET: usize = 128;
-/// Homes of a session, or of its shared text, that are candidates.
-const HOMES: u64 = 8;
-/// Warm and cold servers drawn from one zone, from all zones, and from the prefill server's cell.
-const OF_ZONE: Draw = Draw { warm: 8, cold: 4 };
-const OF_ALL: Draw = Draw { warm: 4, cold: 2 };
-const OF_CELL: Draw = Draw { warm: 24, cold: 4 };
-/// Where none of them is ready, so many others are looked at in turn, up to so many times for one look.
-const WIDER: usize = 64;
-const WIDER_STEPS: usize = 4;
+/// Affinity replicas of a session, or of its shared prefix, that are candidates.
+const MAX_REPLICA_CANDIDATES: u64 = 8;
+/// Servers of a role that are sampled from one zone.
+const ZONE_SAMPLE: SampleSize = SampleSize { warm: 8, slow_start: 4 };
+/// Servers of a role that are sampled from the fleet, or from an idempotency scope.
+const FLEET_SAMPLE: SampleSize = SampleSize { warm: 4, slow_start: 2 };
+/// Servers of a role that are sampled from the prefill server's cell.
+const CELL_SAMPLE: SampleSize = SampleSize { warm: 24, slow_start: 4 };
+/// Servers of a role that are examined in turn where no candidate is available.
+const FALLBACK_BATCH: usize = 64;
+/// Such batches for one decision.
+const MAX_FALLBACK_BATCHES: usize = 4;
 /// Roles that answer.
-pub(super) const ANSWERING: [Role; 2] = [Role::Decode, Role::Combined];
+pub(super) const DECODE_ROLES: [Role; 2] = [Role::Decode, Role::Combined];
 
-/// What servers are ranked by, the least first.
+/// What servers are ranked by, the lowest first; none for those that can't be selected.
 pub(super) type Rank<'a> = dyn Fn(&Server) -> Option<f64> + 'a;
 
 impl Scheduler {
-    pub(super) fn is_small(&self) -> bool {
-        self.fleet.len() <= self.bound
+    /// Whether decisions examine all servers.
+    pub(super) fn scans_in_full(&self) -> bool {
+        self.fleet.len() <= self.max_full_scan
     }
 
-    /// The server with the least of a measure, of those that have one and may be sent this; ties go by lot.
-    pub(super) fn least(
+    /// The server with the lowest rank, of those that may be sent this sequence. Ties go by a number that each gateway
+    /// draws for each server.
+    pub(super) fn lowest_ranked(
         &self,
         now: Nanos,
         sequence: &Sequence,
-        of: &Candidates,
-        by: &Rank,
+        candidates: &Candidates,
+        rank: &Rank,
     ) -> Option<ServerId> {
-        let scope = self.scope(sequence);
-        let open = self.fleet.among(of).filter(|s| self.allowed(now, s) && in_scope(scope, s));
-        let least = open.filter_map(|s| Some((by(s)?, s)));
-        let least = least.min_by(|(a, x), (b, y)| a.total_cmp(b).then(x.lot.total_cmp(&y.lot)));
-        least.map(|(_, server)| server.endpoint.server)
+        let scope = self.idempotency_scope(sequence);
+        let servers = self.fleet.among(candidates);
+        let eligible = servers.filter(|s| self.is_eligible(now, s) && in_scope(scope, s));
+        let ranked = eligible.filter_map(|s| Some((rank(s)?, s)));
+        let lowest =
+            ranked.min_by(|(a, x), (b, y)| a.total_cmp(b).then(x.tie_breaker.total_cmp(&y.tie_breaker)));
+        lowest.map(|(_, server)| server.endpoint.server)
     }
 
-    /// The least of the candidates. Where none of them is ready, others are looked at in turn until one is.
-    pub(super) fn search(
+    /// The lowest ranked of the candidates. Where it is not available, others are examined in turn until one is.
+    pub(super) fn select_lowest(
         &self,
         now: Nanos,
         sequence: &Sequence,
-        among: &Candidates,
+        candidates: &Candidates,
         roles: &[Role],
-        by: &Rank,
+        rank: &Rank,
     ) -> Option<ServerId> {
-        let ready = |id: &ServerId| self.ready(now, &self.fleet[*id]);
-        let mut found = self.least(now, sequence, among, by);
-        for _ in 0..WIDER_STEPS {
-            if self.is_small() || found.as_ref().is_some_and(ready) {
-                return found;
+        let is_available = |id: &ServerId| self.is_available(now, &self.fleet[*id]);
+        let mut selected = self.lowest_ranked(now, sequence, candidates, rank);
+        for _ in 0..MAX_FALLBACK_BATCHES {
+            if self.scans_in_full() || selected.as_ref().is_some_and(is_available) {
+                return selected;
             }
-            let mut slots = Vec::new();
-            for role in roles {
-                let pool = self.fleet.pool(*role, self.scope(sequence));
-                self.sampler.borrow_mut().next(*role, pool, WIDER, &mut slots);
-            }
-            let further = self.least(now, sequence, &Candidates::These(slots), by);
-            found = further.filter(ready).or(found).or(further);
+            let batch = self.fallback_batch(sequence, roles);
+            let further = self.lowest_ranked(now, sequence, &batch, rank);
+            selected = further.filter(is_available).or(selected).or(further);
+        }
+        selected
+    }
+
+    /// The next servers of the roles in turn.
+    fn fallback_batch(&self, sequence: &Sequence, roles: &[Role]) -> Candidates {
+        let mut slots = Vec::new();
+        for role in roles {
+            let pool = self.fleet.pool(*role, self.idempotency_scope(sequence));
+            self.sampler.borrow_mut().next_in_turn(*role, pool, FALLBACK_BATCH, &mut slots);
         }
-        found
+        Candidates::Slots(slots)
     }
 
-    /// The prefill servers of a session's homes, or of its text's: so many of the zones that this gateway turns to.
-    pub(super) fn nominees(&self, session: u64, prefix: Option<PrefixId>, homes: f64) -> Vec<Slot> {
-        let zones = &self.shares.zones;
-        let homes = ((homes / zones.len().max(1) as f64).ceil() as u64).max(1);
-        let key = |n: u64| match prefix {
-            None => mix(session ^ mix(n)),
-            Some(PrefixId(text)) if homes <= HOMES => mix(mix(text) ^ mix(n)),
-            Some(PrefixId(text)) => mix(mix(text) ^ mix(bucket(mix(session ^ mix(n)), homes))),
-        };
-        let many = if prefix.is_some() { homes.min(HOMES) } else { HOMES };
-        (0..many).filter_map(|n| self.fleet.home(key(n), zones)).collect()
+    /// The prefill servers that are affinity replicas of a session, or of its shared prefix: so many over the zones that
+    /// this gateway turns to.
+    pub(super) fn replica_slots(
+        &self,
+        session_key: u64,
+        prefix: Option<PrefixId>,
+        replicas: f64,
+    ) -> Vec<Slot> {
+        let zones = &self.quotas.zones;
+        let per_zone = ((replicas / zones.len().max(1) as f64).ceil() as u64).max(1);
+        let count =
+            if prefix.is_some() { per_zone.min(MAX_REPLICA_CANDIDATES) } else { MAX_REPLICA_CANDIDATES };
+        (0..count)
+            .map(|number| replica_key(session_key, prefix, per_zone, number))
+            .filter_map(|key| self.fleet.affinity_replica(key, zones))
+            .collect()
     }
 
-    /// The servers that answer of a cell, and some of its zone and of all.
+    /// The servers of a cell that answer, and a sample of its zone and of the fleet.
     pub(super) fn decode_candidates(&self, sequence: &Sequence, home: Option<&Endpoint>) -> Candidates {
-        if self.is_small() {
+        if self.scans_in_full() {
             return Candidates::All;
         }
+        let zone = home.map_or(self.deployment.zone, |home| home.zone);
         let mut slots = Vec::new();
-        for role in ANSWERING {
+        for role in DECODE_ROLES {
             if let Some(home) = home {
-                self.sampler.borrow_mut().sample(self.fleet.cell(home.cell, role), OF_CELL, &mut slots);
+                let in_cell = self.fleet.cell(home.cell, role);
+                self.sampler.borrow_mut().sample(in_cell, CELL_SAMPLE, &mut slots);
             }
-            self.draw(sequence, role, home.map_or(self.deployment.zone, |home| home.zone), &mut slots);
+            self.sample_role(sequence, role, zone, &mut slots);
         }
         Candidates::distinct(slots)
     }
 
-    /// Some of a role: of the group that knows a sequence's repeats where it has one, else of a zone and of all.
-    pub(super) fn draw(&self, sequence: &Sequence, role: Role, zone: ZoneId, slots: &mut Vec<Slot>) {
-        let (mut sampler, scope) = (self.sampler.borrow_mut(), self.scope(sequence));
+    /// Adds a sample of a role: of a sequence's idempotency scope where it has one, else of a zone and of the fleet.
+    pub(super) fn sample_role(&self, sequence: &Sequence, role: Role, zone: ZoneId, slots: &mut Vec<Slot>) {
+        let mut sampler = self.sampler.borrow_mut();
+        let scope = self.idempotency_scope(sequence);
         if scope.is_none() {
-            sampler.sample(self.fleet.pool(role, Some(Group::Zone(zone))), OF_ZONE, slots);
+            let in_zone = self.fleet.pool(role, Some(ServerScope::Zone(zone)));
+            sampler.sample(in_zone, ZONE_SAMPLE, slots);
+        }
+        sampler.sample(self.fleet.pool(role, scope), FLEET_SAMPLE, slots);
+    }
+}
+
+/// The hash key of one affinity replica. A shared prefix with more replicas than are candidates has its sessions dealt
+/// out over them.
+fn replica_key(session_key: u64, prefix: Option<PrefixId>, replicas: u64, number: u64) -> u64 {
+    match prefix {
+        None => mix_bits(session_key ^ mix_bits(number)),
+        Some(PrefixId(prefix)) if replicas <= MAX_REPLICA_CANDIDATES => {
+            mix_bits(mix_bits(prefix) ^ mix_bits(number))
+        }
+        Some(PrefixId(prefix)) => {
+            let replica = jump_hash(mix_bits(session_key ^ mix_bits(number)), replicas);
+            mix_bits(mix_bits(prefix) ^ mix_bits(replica))
         }
-        sampler.sample(self.fleet.pool(role, scope), OF_ALL, slots);
     }
 }
--- a/src/scheduler/decode.rs
+++ b/src/scheduler/decode.rs
@@ -1,131 +1,215 @@
-//! Decode selection: after the prefill the least loaded server of its cell, and servers that take a request whole.
+//! Decode selection: after the prefill the least loaded server of its cell, and servers that run a request combined.
 
-use super::*;
+use super::candidates::DECODE_ROLES;
+use super::parameters::{LOAD_REPORT_STALENESS, MEASUREMENT_HALF_LIFE, MIN_DIVISOR};
+use super::{Scheduler, Selection};
+use crate::fleet::{Candidates, Server, rendezvous_rank};
+use crate::interface::{Endpoint, Nanos, Role, Sequence, ServerId, Step};
 
-/// A writer reported or reckoned fuller than this has no room.
-pub(super) const FULL: f64 = 0.95;
-/// A state leaves its cell when the least loaded writer there is this much fuller than the least in the hall.
-pub(super) const SPILL: f64 = 0.3;
-/// Part at which writers of another zone count for states that are handed on.
-pub(super) const ZONE_AWAY: f64 = 0.25;
+/// Share of its memory in use, reported or estimated, past which a server has no capacity for another answer.
+pub(super) const MAX_DECODE_LOAD: f64 = 0.95;
+/// A KV cache is migrated when the least loaded decode server of its cell is fuller by this share of memory than the least
+/// loaded of the zone.
+const SPILLOVER_LOAD_GAP: f64 = 0.3;
+/// The same for servers of other zones.
+const REMOTE_ZONE_LOAD_GAP: f64 = 1.0;
+/// Weight of another zone's decode servers for KV caches that are handed on by chance.
+const REMOTE_ZONE_WEIGHT: f64 = 0.25;
+/// Length of an answer that gives no hint, as a share of the most tokens that it may have.
+const DEFAULT_OUTPUT_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// The least loaded writer of the reader's cell; without one, elsewhere, own zone first. Two exceptions. A state
-    /// leaves a cell that is much fuller than another of the hall. And a cell that reads more than its writers can
-    /// take hands on the rest, by lot to where less is read, while their loads are not known.
+    /// The least loaded decode server of the prefill server's cell; without one, elsewhere, own zone first. Two
+    /// exceptions. A KV cache leaves a cell that is much fuller than another of the zone. And a cell that prefills more
+    /// than its decode servers can take hands on the rest, by chance and to where less is prefilled, while their loads are
+    /// not known.
     pub(super) fn select_decode(
         &mut self,
         now: Nanos,
         sequence: &Sequence,
-        reader: ServerId,
-    ) -> Option<Pick> {
-        let chance = self.chance.rand_float();
-        let home = &self.fleet[reader].endpoint;
-        let writes =
-            |s: &Server| s.role == Role::Decode || (self.shares.no_writers && s.role == Role::Combined);
-        let among = self.decode_candidates(sequence, Some(home));
-        let near = |s: &Server| s.endpoint.cell == home.cell && writes(s);
-        let sound =
-            |s: &Server| s.role != Role::Prefill && self.ready(now, s) && self.has_room(now, s, sequence);
-        let fresh = |s: &Server| {
-            let age = now.saturating_sub(s.reported) as f64 / HALF_LIFE as f64;
-            s.report.memory_share.map_or(0.0, |_| (-age).exp2())
+        prefill_server: ServerId,
+    ) -> Option<Selection> {
+        let chance = self.random.rand_float();
+        let home = &self.fleet[prefill_server].endpoint;
+        let candidates = self.decode_candidates(sequence, Some(home));
+        if chance < self.spillover_probability(now, home, &candidates)
+            && let Some(server) = self.select_spillover(now, sequence, home, &candidates)
+        {
+            return Some(Selection { server, step: Step::MigratedDecode, cached_tokens: 0.0 });
+        }
+        let failures = self.class_failures(now, sequence);
+        let rank = |s: &Server| {
+            (s.role != Role::Prefill).then(|| {
+                let distance = self.distance_from_home(s, home);
+                let available = self.can_decode(now, s, sequence);
+                let penalty = self.unavailable_penalty(now, s, available) * (1.0 + distance);
+                let retries = self.expected_retries(now, s, sequence, &failures);
+                self.ranked_load(now, s) + distance + retries + penalty
+            })
         };
-        let known = self.fleet.among(&among).filter(|s| near(s)).map(fresh).fold(0.0, f64::max);
-        let leave = self.shares.cells.get(&home.cell).map_or(0.0, |c| 1.0 - c.writers / c.reads.max(1e-9));
-        if chance < leave * (1.0 - known) {
-            let away = |s: &Server| {
-                let cell = self.shares.cells.get(&s.endpoint.cell).filter(|c| c.spare() > 0.0 && sound(s))?;
-                let zone = if cell.zone == home.zone { 1.0 } else { ZONE_AWAY };
-                let part = zone * cell.spare() * s.weight / cell.writers.max(1e-9);
-                Some(race(sequence.id.0, s.endpoint.server.0, part))
-            };
-            let picked = self.least(now, sequence, &among, &away);
-            if let Some(server) = picked {
-                return Some(Pick { server, step: Step::MigratedDecode, kept: 0.0 });
+        let server = self.select_lowest(now, sequence, &candidates, &DECODE_ROLES, &rank)?;
+        let in_cell = self.fleet[server].endpoint.cell == home.cell;
+        let step = if in_cell { Step::Decode } else { Step::MigratedDecode };
+        Some(Selection { server, step, cached_tokens: 0.0 })
+    }
+
+    /// The share of its KV caches that a cell should hand on, by its quotas, as far as the loads of its decode servers are
+    /// not known.
+    fn spillover_probability(&self, now: Nanos, home: &Endpoint, candidates: &Candidates) -> f64 {
+        let in_cell = self.fleet.among(candidates).filter(|s| self.decodes_in_cell(s, home));
+        let known = in_cell.map(|s| report_freshness(now, s)).fold(0.0, f64::max);
+        let excess = self
+            .quotas
+            .cells
+            .get(&home.cell)
+            .map_or(0.0, |cell| 1.0 - cell.decode_capacity / cell.prefill_quota.max(MIN_DIVISOR));
+        excess * (1.0 - known)
+    }
+
+    /// A decode server of a cell that can take more than is prefilled in it, by a hash over the cells' spare capacity.
+    fn select_spillover(
+        &self,
+        now: Nanos,
+        sequence: &Sequence,
+        home: &Endpoint,
+        candidates: &Candidates,
+    ) -> Option<ServerId> {
+        let rank = |s: &Server| {
+            let cell = self.quotas.cells.get(&s.endpoint.cell)?;
+            if cell.spare_decode_capacity() <= 0.0 || !self.can_decode(now, s, sequence) {
+                return None;
             }
-        }
-        let failing = self.failing(now, sequence);
-        let load = |s: &Server| {
-            let far = match (near(s), s.endpoint.zone == home.zone) {
-                (true, _) => 0.0,
-                (false, true) => SPILL,
-                (false, false) => 1.0,
-            };
-            let last = self.last(now, s, sound(s)) * (1.0 + far);
-            self.ranked_load(now, s) + far + self.doubt(now, s, sequence, failing) + last
+            let zone_weight = if cell.zone == home.zone { 1.0 } else { REMOTE_ZONE_WEIGHT };
+            let weight =
+                zone_weight * cell.spare_decode_capacity() * s.weight / cell.decode_capacity.max(MIN_DIVISOR);
+            Some(rendezvous_rank(sequence.id.0, s.endpoint.server.0, weight))
+        };
+        self.lowest_ranked(now, sequence, candidates, &rank)
+    }
+
+    /// Whether a server decodes beside the prefill server that holds a KV cache.
+    fn decodes_in_cell(&self, server: &Server, home: &Endpoint) -> bool {
+        let decodes = match server.role {
+            Role::Decode => true,
+            Role::Combined => self.quotas.no_decode_servers,
+            Role::Prefill => false,
         };
-        let by = |s: &Server| (s.role != Role::Prefill).then(|| load(s));
-        let server = self.search(now, sequence, &among, &ANSWERING, &by)?;
-        let beside = self.fleet[server].endpoint.cell == home.cell;
-        Some(Pick { server, step: if beside { Step::Decode } else { Step::MigratedDecode }, kept: 0.0 })
+        server.endpoint.cell == home.cell && decodes
+    }
+
+    /// What migrating a KV cache to a server counts for, as a share of its memory.
+    fn distance_from_home(&self, server: &Server, home: &Endpoint) -> f64 {
+        if self.decodes_in_cell(server, home) {
+            0.0
+        } else if server.endpoint.zone == home.zone {
+            SPILLOVER_LOAD_GAP
+        } else {
+            REMOTE_ZONE_LOAD_GAP
+        }
+    }
+
+    /// Whether a server that answers is available and has capacity for a sequence.
+    fn can_decode(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
+        server.role != Role::Prefill
+            && self.is_available(now, server)
+            && self.has_capacity(now, server, sequence)
     }
 
-    /// Mixed servers take their share of sequences whole: while one holds less than the least loaded writer and has
-    /// begun all that it was sent. Reading slows its answers, so each gateway gives it one prompt at a time.
-    pub(super) fn select_mixed(&self, now: Nanos, sequence: &Sequence) -> Option<Pick> {
+    /// Combined servers take their share of sequences from the prompt on: while one is less loaded than the least loaded
+    /// decode server and has begun all that it was sent. A prefill slows its answers, so each gateway gives it one prompt
+    /// at a time.
+    pub(super) fn select_combined(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
         if self.fleet.pool(Role::Combined, None).is_empty() {
             return None;
         }
-        let among = self.decode_candidates(sequence, None);
-        let least = |role: Role| {
-            let open = |s: &Server| s.role == role && self.ready(now, s) && self.has_room(now, s, sequence);
-            let idle = |s: &Server| role == Role::Decode || s.out.iter().all(|out| !out.waiting);
-            self.least(now, sequence, &among, &|s| (open(s) && idle(s)).then(|| self.ranked_load(now, s)))
-        };
-        let mixed = least(Role::Combined)?;
+        let candidates = self.decode_candidates(sequence, None);
+        let combined = self.least_loaded(now, sequence, &candidates, |s| {
+            s.role == Role::Combined && s.in_flight.iter().all(|attempt| !attempt.awaits_first_token)
+        })?;
+        let decode = self.least_loaded(now, sequence, &candidates, |s| s.role == Role::Decode);
         let load = |id: ServerId| self.ranked_load(now, &self.fleet[id]);
-        least(Role::Decode)
-            .is_none_or(|writer| load(mixed) < load(writer))
-            .then(|| self.whole(sequence, mixed))
+        let is_less_loaded = decode.is_none_or(|decode| load(combined) < load(decode));
+        is_less_loaded.then(|| self.combined_selection(sequence, combined))
     }
 
-    /// Where no reader can be had, or no attempt would be left to answer after a read: whoever does both.
-    pub(super) fn select_whole(&self, now: Nanos, sequence: &Sequence) -> Option<Pick> {
-        let open = |s: &Server| self.deployment.serves_combined(s.role) && self.ready(now, s);
-        let by = |s: &Server| open(s).then(|| self.ranked_load(now, s));
-        let found = self.search(now, sequence, &self.decode_candidates(sequence, None), &ANSWERING, &by);
-        found.map(|server| self.whole(sequence, server))
+    /// The least loaded of the available servers that have capacity for a sequence and are wanted.
+    fn least_loaded(
+        &self,
+        now: Nanos,
+        sequence: &Sequence,
+        candidates: &Candidates,
+        is_wanted: impl Fn(&Server) -> bool,
+    ) -> Option<ServerId> {
+        let rank = |s: &Server| {
+            let open = is_wanted(s) && self.can_decode(now, s, sequence);
+            open.then(|| self.ranked_load(now, s))
+        };
+        self.lowest_ranked(now, sequence, candidates, &rank)
     }
 
-    pub(super) fn whole(&self, sequence: &Sequence, server: ServerId) -> Pick {
-        Pick { server, step: Step::Combined, kept: self.credit(&self.fleet[server], sequence, 0.0) }
+    /// Where no prefill server can be had, or no attempt would be left to decode after a prefill: a server that does both.
+    pub(super) fn select_combined_fallback(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
+        let rank = |s: &Server| {
+            let open = self.deployment.serves_combined(s.role) && self.is_available(now, s);
+            open.then(|| self.ranked_load(now, s))
+        };
+        let candidates = self.decode_candidates(sequence, None);
+        let server = self.select_lowest(now, sequence, &candidates, &DECODE_ROLES, &rank)?;
+        Some(self.combined_selection(sequence, server))
+    }
+
+    fn combined_selection(&self, sequence: &Sequence, server: ServerId) -> Selection {
+        let cached_tokens = self.expected_cached_tokens(&self.fleet[server], sequence, 0.0);
+        Selection { server, step: Step::Combined, cached_tokens }
     }
 
-    pub(super) fn has_room(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
-        self.decode_load(now, server) + self.stream_tokens(sequence) / server.memory <= FULL
+    /// Whether a sequence's KV cache and answer still fit into a server's memory.
+    fn has_capacity(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
+        self.decode_load(now, server) + self.expected_memory_tokens(sequence) / server.memory_tokens
+            <= MAX_DECODE_LOAD
     }
 
-    /// The last reported share of memory. One that nothing of ours will renew fades, or a server once full would
-    /// never be tried again.
-    pub(super) fn told_share(&self, now: Nanos, server: &Server) -> Option<f64> {
-        let age = if server.out.is_empty() { now.saturating_sub(server.reported) } else { 0 };
-        server.report.memory_share.map(|share| share * (-(age as f64) / HALF_LIFE as f64).exp2())
+    /// The last reported share of memory in use. One that nothing of ours will renew decays, or a server that was once
+    /// full would never be tried again.
+    pub(super) fn reported_memory_share(&self, now: Nanos, server: &Server) -> Option<f64> {
+        let age = if server.in_flight.is_empty() { now.saturating_sub(server.reported_at) } else { 0 };
+        server.report.memory_share.map(|share| share * (-(age as f64) / MEASUREMENT_HALF_LIFE as f64).exp2())
     }
 
-    /// The reported share of memory with own streams since, never less than all own streams out.
+    /// The share of a server's memory in use: as reported, with own answers since, and never less than all own answers in
+    /// flight.
     pub(super) fn decode_load(&self, now: Nanos, server: &Server) -> f64 {
-        let own = server.own_tokens(0) / server.memory;
-        let Some(share) = self.told_share(now, server) else { return own };
-        let since = server.own_tokens(server.reported.saturating_sub(REPORT_LAG)) / server.memory;
+        let own = server.own_tokens_since(0) / server.memory_tokens;
+        let Some(share) = self.reported_memory_share(now, server) else { return own };
+        let not_in_report = server.reported_at.saturating_sub(LOAD_REPORT_STALENESS);
+        let since = server.own_tokens_since(not_in_report) / server.memory_tokens;
         own.max(share + since)
     }
 
-    /// The load by which servers that answer are ranked: one that has told none yet comes as the mean of those that
-    /// have, one that has started anew as empty. Says nothing of room: a gateway that has heard from full servers
-    /// only must not take all for full.
-    pub(super) fn ranked_load(&self, now: Nanos, server: &Server) -> f64 {
-        let told = server.report.memory_share.is_some() || now < server.cold_until;
-        let unknown = if told { 0.0 } else { self.shares.told };
-        self.decode_load(now, server) + unknown
+    /// The load by which servers that answer are ranked: one that has reported none yet counts as the mean of those that
+    /// have, one that has restarted as empty. Says nothing of capacity: a gateway that has heard from full servers only
+    /// must not take all for full.
+    fn ranked_load(&self, now: Nanos, server: &Server) -> f64 {
+        let is_known = server.report.memory_share.is_some() || server.in_slow_start(now);
+        let unreported = if is_known { 0.0 } else { self.quotas.mean_reported_memory };
+        self.decode_load(now, server) + unreported
     }
 
-    /// Memory a stream will hold: its prompt and its answer, half the most where its length is not known.
-    pub(super) fn stream_tokens(&self, sequence: &Sequence) -> f64 {
-        let pace = self.deployment.types[sequence.traffic.0].token_interval.max(1) as f64;
-        let answer = sequence.output_length_hint.map_or(sequence.max_output_tokens / 2.0, |hint| {
-            (hint as f64 / pace).min(sequence.max_output_tokens)
-        });
-        sequence.prompt_tokens + answer
+    /// Tokens of memory that a sequence will hold at a decode server: its prompt and its answer, half the most that it may
+    /// have where its length is not known.
+    pub(super) fn expected_memory_tokens(&self, sequence: &Sequence) -> f64 {
+        let token_interval = self.deployment.types[sequence.traffic.0].token_interval.max(1) as f64;
+        let max_tokens = sequence.max_output_tokens;
+        let output_tokens = match sequence.output_length_hint {
+            Some(hint) => (hint as f64 / token_interval).min(max_tokens),
+            None => max_tokens * DEFAULT_OUTPUT_SHARE,
+        };
+        sequence.prompt_tokens + output_tokens
     }
 }
+
+/// How much a server's load report still counts: 1 when it has just come, less with its age; 0 without one.
+fn report_freshness(now: Nanos, server: &Server) -> f64 {
+    let age = now.saturating_sub(server.reported_at) as f64 / MEASUREMENT_HALF_LIFE as f64;
+    server.report.memory_share.map_or(0.0, |_| (-age).exp2())
+}
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -1,136 +1,105 @@
-//! Outlier detection: what outcomes tell of a server, and which servers are passed over.
+//! Outlier detection: which servers are ejected or ranked behind the others.
 
-use super::*;
+use super::Scheduler;
+use super::parameters::{HIGH_QUANTILE_DEVIATIONS, MIN_DIVISOR};
+use crate::fleet::Server;
+use crate::interface::{Attempt, AttemptStatus, EndpointState, Nanos, Outcome, Sequence, Step};
+use crate::statistics::{RequestClass, ServerClass};
 
-/// A high quantile, about the 95th of a hundred, in deviations of the logarithm.
-pub(super) const HIGH: f64 = 1.65;
-/// A server is slow when its high quantile is this many times its fellows'.
-pub(super) const SLOW: f64 = 3.0;
-/// Answers of late that a verdict on a server needs.
-pub(super) const EVIDENCE: f64 = 1.5;
-/// Half-life of what is known of a server's failures: a few of a gateway's own sequences.
-pub(super) const TRUST: Nanos = 10_000_000_000;
-/// Pause after a failure that speaks against the server: a few attempts' time, short against a trouble.
-pub(super) const SHUN: Nanos = 2_000_000_000;
-/// Reports show a server as it was about this long before; a server that was full is asked again after it.
-pub(super) const REPORT_LAG: Nanos = 300_000_000;
-/// More than any measure of work or load: what is not ready comes last.
-pub(super) const LAST: f64 = 1e9;
+/// A server is an outlier when its high response time is this many times that of its role.
+const SLOW_OUTLIER_FACTOR: f64 = 3.0;
+/// Recent response times, in decayed counts, that a verdict on a server or a step needs.
+const MIN_SAMPLE_WEIGHT: f64 = 1.5;
+/// Added to the rank of a server that is not available: more than any measure of work or load.
+const UNAVAILABLE_PENALTY: f64 = 1e9;
+/// Multiple of that penalty for a server that is ejected.
+const EJECTED_PENALTY_FACTOR: f64 = 10.0;
+/// Highest share of failures that the expected retries at a server are reckoned from.
+const MAX_FAILURE_SHARE: f64 = 0.9;
 
-impl Scheduler {
-    /// Allowed, and nothing speaks against it.
-    pub(super) fn ready(&self, now: Nanos, server: &Server) -> bool {
-        self.allowed(now, server) && self.sound(now, server)
-    }
+/// How attempts of one class of requests fare over all servers.
+pub(super) struct ClassFailures {
+    /// The share of them that failed of late.
+    pub(super) share: f64,
+    /// How far that is above the class that fails least, as a share of it.
+    pub(super) excess: f64,
+}
 
-    pub(super) fn sound(&self, now: Nanos, server: &Server) -> bool {
-        server.endpoint.state == EndpointState::Ready && now >= server.paused_until && !self.slow(now, server)
+impl Scheduler {
+    /// Whether a server may be sent an attempt, and nothing speaks against it.
+    pub(super) fn is_available(&self, now: Nanos, server: &Server) -> bool {
+        self.is_eligible(now, server) && self.is_healthy(now, server)
     }
 
-    /// What is not ready comes last, and behind it what has just refused or broken a connection: one that is gone
-    /// looks least loaded, as its streams ended.
-    pub(super) fn last(&self, now: Nanos, server: &Server, ready: bool) -> f64 {
-        let refused = now < server.paused_until;
-        if ready { 0.0 } else { LAST * if refused { 10.0 } else { 1.0 } }
+    /// Whether a server is listed as ready, and neither ejected nor slow.
+    pub(super) fn is_healthy(&self, now: Nanos, server: &Server) -> bool {
+        server.endpoint.state == EndpointState::Ready
+            && now >= server.ejected_until
+            && !self.is_slow_outlier(now, server)
     }
 
-    /// Far slower than its fellows by a high quantile of its times, or silent. Verdicts fade, so it is tried again.
-    pub(super) fn slow(&self, now: Nanos, server: &Server) -> bool {
-        let Some((usual, _)) = self.usual[server.role as usize] else { return false };
-        self.high_time(now, server).is_some_and(|own| own > SLOW * usual)
-            || server.silence(now) as f64 > SLOW * usual
+    /// What is added to a server's rank: servers that are not available come last, and behind them those that have just
+    /// rejected an attempt or broken a connection. One that is gone looks least loaded, as its streams have ended.
+    pub(super) fn unavailable_penalty(&self, now: Nanos, server: &Server, available: bool) -> f64 {
+        if available {
+            return 0.0;
+        }
+        let ejected = now < server.ejected_until;
+        UNAVAILABLE_PENALTY * if ejected { EJECTED_PENALTY_FACTOR } else { 1.0 }
     }
 
-    /// The high quantile of a server's answer times, where enough of them are known.
-    pub(super) fn high_time(&self, now: Nanos, server: &Server) -> Option<f64> {
-        server.times.quantile(now, HIGH).filter(|_| server.times.weight(now) >= EVIDENCE)
+    /// Whether a server is far slower than others of its role by a high quantile of its response times, or silent for as
+    /// long. Measurements decay, so that it is tried again.
+    fn is_slow_outlier(&self, now: Nanos, server: &Server) -> bool {
+        let Some(typical) = self.typical_times[server.role as usize] else { return false };
+        let max_time = SLOW_OUTLIER_FACTOR * typical.lower;
+        self.high_response_time(now, server).is_some_and(|time| time > max_time)
+            || server.silence(now) as f64 > max_time
     }
 
-    pub(super) fn known_time(&self, now: Nanos, step: Step, deviations: f64) -> Option<f64> {
-        let times = &self.stats.times[step as usize];
-        times.quantile(now, deviations).filter(|_| times.weight(now) >= EVIDENCE)
+    /// The high quantile of a server's response times in nanoseconds, where enough of them are known.
+    pub(super) fn high_response_time(&self, now: Nanos, server: &Server) -> Option<f64> {
+        let times = &server.response_times;
+        times.quantile(now, HIGH_QUANTILE_DEVIATIONS).filter(|_| times.weight(now) >= MIN_SAMPLE_WEIGHT)
     }
 
-    /// The share of attempts of this sequence's kind (traffic type and tenant) that failed of late, and how far that
-    /// is above the kind that fails least.
-    pub(super) fn failing(&self, now: Nanos, sequence: &Sequence) -> (f64, f64) {
-        let kind = self.stats.failed.get(&(sequence.traffic, sequence.tenant));
-        let usual = kind.map_or(0.0, |all| all.read(now, 0.0));
-        let least = self.stats.failed.values().map(|all| all.read(now, usual)).fold(usual, f64::min);
-        (usual, (usual - least) / usual.max(1e-9))
+    /// A quantile of the response times of a step over all servers in nanoseconds, where enough of them are known.
+    pub(super) fn fleet_response_time(&self, now: Nanos, step: Step, deviations: f64) -> Option<f64> {
+        let times = &self.statistics.response_times[step as usize];
+        times.quantile(now, deviations).filter(|_| times.weight(now) >= MIN_SAMPLE_WEIGHT)
     }
 
-    /// How many further attempts one here is likely to need: by how many of its kind failed here of late, as far as
-    /// that kind fails more than others. Guards against servers that fail, ignore or turn away one kind of traffic.
-    /// Each attempt of this sequence that timed out here counts for one more: against turning again and again to a
-    /// server that takes everything and answers nothing.
-    pub(super) fn doubt(&self, now: Nanos, server: &Server, sequence: &Sequence, failing: (f64, f64)) -> f64 {
-        let lost = |a: &&Attempt| {
-            a.server == server.endpoint.server && a.status == AttemptStatus::Finished(Outcome::TimedOut)
-        };
-        let again = sequence.attempts.iter().filter(lost).count() as f64;
-        let (usual, more) = failing;
-        if more <= 0.0 {
-            return again;
-        }
-        let here = self.stats.failed_at.get(&(server.generation, (sequence.traffic, sequence.tenant)));
-        let share = here.map_or(usual, |here| here.read(now, usual));
-        again + more * share / (1.0 - share.min(0.9))
+    /// How attempts of a sequence's class fare over all servers.
+    pub(super) fn class_failures(&self, now: Nanos, sequence: &Sequence) -> ClassFailures {
+        let failures = &self.statistics.failures;
+        let class = failures.get(&RequestClass::of(sequence));
+        let share = class.map_or(0.0, |class| class.share(now, 0.0));
+        let lowest = failures.values().map(|class| class.share(now, share)).fold(share, f64::min);
+        ClassFailures { share, excess: (share - lowest) / share.max(MIN_DIVISOR) }
     }
 
-    pub(super) fn learn(
-        &mut self,
+    /// How many retries an attempt at a server is likely to need: by the share of its class that failed there of late, as
+    /// far as that class fails more than others. Guards against servers that fail, ignore or reject one kind of traffic.
+    /// Each attempt of this sequence that timed out there counts for one more: guards against a server that accepts
+    /// everything and answers nothing.
+    pub(super) fn expected_retries(
+        &self,
         now: Nanos,
+        server: &Server,
         sequence: &Sequence,
-        attempt: &Attempt,
-        got: Outcome,
-        began: bool,
-    ) {
-        let shows = self.deployment.shows_progress(sequence.traffic, attempt.step);
-        let Some(server) = self.fleet.get_mut(attempt.server) else { return };
-        let rtt = now.saturating_sub(attempt.sent_at);
-        server.out.retain(|out| out.sequence != sequence.id);
-        let timed = matches!(got, Outcome::PrefillDone { .. } | Outcome::TimedOut) && !began && shows;
-        let time = if timed { rtt as f64 } else { 0.0 };
-        if time > 0.0 {
-            self.stats.times[attempt.step as usize].add(now, time);
-        }
-        if !matches!(got, Outcome::KvCacheMissing | Outcome::Cancelled | Outcome::NeverSent) {
-            let bad = !began && !matches!(got, Outcome::PrefillDone { .. } | Outcome::Completed);
-            let new = || FadingShare::new(TRUST);
-            let stream = (sequence.traffic, sequence.tenant);
-            self.stats.failed_at.entry_or_insert_with((server.generation, stream), new).add(now, bad);
-            self.stats.failed.entry_or_insert_with(stream, new).add(now, bad);
-        }
-        match got {
-            Outcome::PrefillDone { cached_tokens: kept } => {
-                server.heard = now;
-                server.times.add(now, time);
-                self.stats.read_time.add(now, time);
-                self.stats.read_tokens.add(now, attempt.load_tokens);
-                if sequence.prefix_tokens > 0.0 {
-                    let missed = kept < sequence.prefix_tokens / 2.0;
-                    self.stats.missed.add(now, missed);
-                    self.new_homes = (self.new_homes * if missed { MISSED } else { FOUND }).clamp(1.0, 1e3);
-                }
-                if kept + 1.0 < attempt.expected_cached_tokens / 2.0 {
-                    server.forgotten = server.read_in_all;
-                }
-            }
-            // A server that is full says so at once; one that takes its time means this kind of traffic.
-            Outcome::AtCapacity if rtt < REPORT_LAG => {
-                (server.heard, server.paused_until) = (now, now + REPORT_LAG)
-            }
-            Outcome::Completed | Outcome::AtCapacity | Outcome::KvCacheMissing | Outcome::Error => {
-                server.heard = now
-            }
-            // One connection that breaks may be all that broke; nobody there shows at the next one.
-            Outcome::Reset => server.paused_until = server.paused_until.max(now + REPORT_LAG),
-            Outcome::ConnectFailed => server.paused_until = now + SHUN,
-            Outcome::TimedOut if shows && attempt.step != Step::MigratedDecode => {
-                server.times.add(now, rtt as f64)
-            }
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
+        failures: &ClassFailures,
+    ) -> f64 {
+        let timed_out_here = |attempt: &&Attempt| {
+            attempt.server == server.endpoint.server
+                && attempt.status == AttemptStatus::Finished(Outcome::TimedOut)
+        };
+        let time_outs = sequence.attempts.iter().filter(timed_out_here).count() as f64;
+        if failures.excess <= 0.0 {
+            return time_outs;
         }
+        let at_server = ServerClass { generation: server.generation, class: RequestClass::of(sequence) };
+        let recent = self.statistics.server_failures.get(&at_server);
+        let share = recent.map_or(failures.share, |recent| recent.share(now, failures.share));
+        time_outs + failures.excess * share / (1.0 - share.min(MAX_FAILURE_SHARE))
     }
 }
--- a/src/scheduler/prefill.rs
+++ b/src/scheduler/prefill.rs
@@ -1,84 +1,88 @@
-//! Prefill selection: the server with least prompt work, and the homes of sessions and shared texts.
+//! Prefill selection: the server with the least prompt work, with regard to prefix affinity.
 
-use super::*;
+use super::affinity::{AffinityReplicas, NON_REPLICA_DISTANCE};
+use super::outlier::ClassFailures;
+use super::{Scheduler, Selection};
+use crate::fleet::Server;
+use crate::interface::{Nanos, Role, Sequence, Step};
 
-/// Part of a prompt that a session's home reader is hoped to have kept.
-pub(super) const HOME: f64 = 0.25;
-/// A shared text is at home at so many times its part of all readers, as far as own sends tell.
-pub(super) const TEXT_HOMES: f64 = 8.0;
-/// While nothing tells it counts as one of so many, and is at home at this many readers: so many at first, then as
-/// reads find it, from one to so many times its part.
-pub(super) const FEW_TEXTS: f64 = 10.0;
+/// Share of a prompt by which the nearest affinity replica ranks before the other servers.
+const AFFINITY_PROMPT_SHARE: f64 = 0.25;
+/// Share of a prompt that is expected to be missing from a replica's cache, before any prefill has shown it.
+const DEFAULT_PREFIX_MISS_SHARE: f64 = 0.5;
+/// Prefills of the prompt that one expected retry at a server counts for.
+const PREFILLS_PER_RETRY: f64 = 2.0;
+
+/// What affinity says of one server.
+struct ServerAffinity {
+    /// How near it is to being the replica of a sequence: 1 for the nearest.
+    nearness: f64,
+    /// Prompt tokens that it is expected to have cached.
+    cached_tokens: f64,
+}
 
 impl Scheduler {
-    /// The reader with least prompt work. One whose cell's writers can't take its even part of all reads counts part
-    /// of the prompt again, since that part of its states has to be moved once more.
-    pub(super) fn select_prefill(&self, now: Nanos, sequence: &Sequence) -> Option<Pick> {
-        if sequence.attempts.len() + 2 > self.most_attempts(sequence) {
+    /// The prefill server with the least prompt work.
+    pub(super) fn select_prefill(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
+        if sequence.attempts.len() + 2 > self.max_attempts(sequence) {
             return None;
         }
-        let (homes, among) = self.homes(now, sequence);
-        let nearest = homes.values().copied().fold(f64::INFINITY, f64::min);
-        let kept = |s: &Server| {
-            let away = homes.get(&s.endpoint.server).copied().unwrap_or(LAST);
-            // How surely a home has kept its text: as the reads of late have found them.
-            let hope = if away < LAST { 1.0 - self.stats.missed.read(now, 0.5) } else { 0.0 };
-            ((nearest / away).min(1.0), self.credit(s, sequence, hope))
-        };
-        let failing = self.failing(now, sequence);
-        let work = |s: &Server| {
-            let far = if self.shares.cells.get(&s.endpoint.cell).is_some_and(|c| c.reads > 0.0) {
-                0.0
-            } else {
-                1.0
-            };
-            let (home, kept) = kept(s);
-            let last = self.last(now, s, self.ready(now, s));
-            // A cold one that may be sent something comes first, or its part is left and warm ones jam.
-            let cold = if now < s.cold_until { 1.0 } else { 0.0 };
-            let again = far - HOME * home - cold + 2.0 * self.doubt(now, s, sequence, failing);
-            self.read_work(now, s, sequence, kept) + again * sequence.prompt_tokens + last
+        let replicas = self.affinity_replicas(now, sequence);
+        let nearest = replicas.nearest();
+        let failures = self.class_failures(now, sequence);
+        let rank = |s: &Server| {
+            (s.role == Role::Prefill).then(|| {
+                let affinity = self.server_affinity(now, sequence, s, &replicas, nearest);
+                self.prefill_rank(now, sequence, s, &affinity, &failures)
+            })
         };
-        let by = |s: &Server| (s.role == Role::Prefill).then(|| work(s));
-        let server = self.search(now, sequence, &among, &[Role::Prefill], &by)?;
-        Some(Pick { server, step: Step::Prefill, kept: kept(&self.fleet[server]).1 })
+        let server = self.select_lowest(now, sequence, &replicas.candidates, &[Role::Prefill], &rank)?;
+        let affinity = self.server_affinity(now, sequence, &self.fleet[server], &replicas, nearest);
+        Some(Selection { server, step: Step::Prefill, cached_tokens: affinity.cached_tokens })
     }
 
-    /// How far readers are from being this session's home, to which every gateway turns, and the candidates: a hash,
-    /// by the part of all reads each should get. Guards against reading texts anew when a gateway has restarted or a
-    /// session comes through another one.
-    fn homes(&self, now: Nanos, sequence: &Sequence) -> (HashMap<ServerId, f64>, Candidates) {
-        let key = sequence.session.map_or(sequence.id.0, |session| session.0);
-        // A text that many share is kept by some readers, by its part of all reads as far as own sends tell, rather
-        // than pushed out of all: by the fewer the more often it is not found there.
-        let readers = self.fleet.index().prefill_servers().max(1) as f64;
-        let new = (self.new_homes * FEW_TEXTS / readers).min(TEXT_HOMES);
-        let spread =
-            (new + TEXT_HOMES * self.text_sent(now, sequence)) / (FEW_TEXTS + self.stats.texts.read(now));
-        let away = |s: &Server| {
-            let cell = self.shares.cells.get(&s.endpoint.cell)?;
-            let zone = self.shares.zones.get(&cell.zone)?;
-            let part = zone.turn * cell.reads / zone.reads * s.weight / cell.readers.max(1e-9);
-            let text =
-                sequence.prefix.map_or(0.0, |PrefixId(text)| race(mix(text), s.endpoint.server.0, part));
-            Some((s.endpoint.server, race(key, s.endpoint.server.0, part), text))
+    fn server_affinity(
+        &self,
+        now: Nanos,
+        sequence: &Sequence,
+        server: &Server,
+        replicas: &AffinityReplicas,
+        nearest: f64,
+    ) -> ServerAffinity {
+        let distance =
+            replicas.distances.get(&server.endpoint.server).copied().unwrap_or(NON_REPLICA_DISTANCE);
+        // How surely a replica has its prefix cached: as prefills of late have found it.
+        let hit_probability = if distance < NON_REPLICA_DISTANCE {
+            1.0 - self.statistics.prefix_misses.share(now, DEFAULT_PREFIX_MISS_SHARE)
+        } else {
+            0.0
         };
-        if !self.is_small() {
-            let mut slots = self.nominees(key, sequence.prefix, spread * readers);
-            let away = |slot: &Slot| away(self.fleet.at(*slot)).map(|(server, away, _)| (server, away));
-            let homes = slots.iter().filter_map(away).collect();
-            let texts = [sequence.session.map(Text::Session), sequence.prefix.map(Text::Prefix)];
-            let sent_to = texts.into_iter().flatten().flat_map(|text| self.stats.sent_to(text));
-            slots.extend(sent_to.filter_map(|server| self.fleet.slot(server)));
-            self.draw(sequence, Role::Prefill, self.deployment.zone, &mut slots);
-            return (homes, Candidates::distinct(slots));
+        ServerAffinity {
+            nearness: (nearest / distance).min(1.0),
+            cached_tokens: self.expected_cached_tokens(server, sequence, hit_probability),
         }
-        let readers = self.fleet.values().filter(|s| s.role == Role::Prefill);
-        let readers: Vec<_> = readers.filter_map(away).collect();
-        // The first of them is one, however few there are.
-        let spread = readers.iter().map(|(.., text)| *text).fold(f64::INFINITY, f64::min).max(spread);
-        let astray = |text: f64| if text > spread { LAST } else { 0.0 };
-        let homes = readers.into_iter().map(|(server, away, text)| (server, away + astray(text)));
-        (homes.collect(), Candidates::All)
+    }
+
+    /// Prompt tokens that a server would have to prefill before this sequence is done, with what speaks for or against it
+    /// as prefills of the prompt.
+    fn prefill_rank(
+        &self,
+        now: Nanos,
+        sequence: &Sequence,
+        server: &Server,
+        affinity: &ServerAffinity,
+        failures: &ClassFailures,
+    ) -> f64 {
+        // A cell has no quota of prefills where each KV cache would have to be migrated.
+        let cell = self.quotas.cells.get(&server.endpoint.cell);
+        let migration = if cell.is_some_and(|cell| cell.prefill_quota > 0.0) { 0.0 } else { 1.0 };
+        let penalty = self.unavailable_penalty(now, server, self.is_available(now, server));
+        // One in slow start that may be sent something comes first, or its part is left over and warm ones queue.
+        let slow_start = if server.in_slow_start(now) { 1.0 } else { 0.0 };
+        let extra_prefills = migration - AFFINITY_PROMPT_SHARE * affinity.nearness - slow_start
+            + PREFILLS_PER_RETRY * self.expected_retries(now, server, sequence, failures);
+        self.prefill_work(now, server, sequence, affinity.cached_tokens)
+            + extra_prefills * sequence.prompt_tokens
+            + penalty
     }
 }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,41 +1,52 @@
-//! Slow start, rule 4: how much a cold server may be sent by this gateway.
+//! Slow start (rule 4): how much a server that has just started may be sent by this gateway.
 
-use super::*;
+use super::Scheduler;
+use super::parameters::MIN_DIVISOR;
+use crate::decay::NANOS_PER_SECOND;
+use crate::fleet::Server;
+use crate::interface::{EndpointState, Nanos, Role};
 
-/// A cold server's ordinary part, against its present share of a warm fellow's traffic.
-pub(super) const COLD_PART: f64 = 1.25;
-/// Part of the rule's figure for a cold server that is used at the most, for chance and unequal gateways.
-pub(super) const COLD_SAFE: f64 = 0.8;
+/// Traffic of a server in slow start, as a multiple of its present capacity share of a warm server's traffic.
+const SLOW_START_TRAFFIC_FACTOR: f64 = 1.25;
+/// Share of the overload limit that is used at most, as a margin for chance and for gateways of unequal traffic.
+const SLOW_START_SAFETY_FACTOR: f64 = 0.8;
 
 impl Scheduler {
-    /// Listed as ready, and within this gateway's part of what a cold server may be sent.
-    pub(super) fn allowed(&self, now: Nanos, server: &Server) -> bool {
+    /// Whether a server is listed as ready, and within this gateway's part of its slow-start budget.
+    pub(super) fn is_eligible(&self, now: Nanos, server: &Server) -> bool {
         server.endpoint.state == EndpointState::Ready
-            && (now >= server.cold_until
-                || now >= server.cold_sent.saturating_add(self.cold_pause(now, server)))
+            && (!server.in_slow_start(now)
+                || now >= server.slow_start_sent_at.saturating_add(self.slow_start_interval(now, server)))
     }
 
-    /// Rule 4: the time one send takes up of this gateway's part of a cold server. What a server of the pool carries
-    /// of its admitted sequences stands for capacity, of a reader only of those that were read first; all gateways
-    /// keep the same part. There is no floor, and the first send waits for a part of the pause drawn by lot: over
-    /// hundreds of gateways both add up.
-    pub(super) fn cold_pause(&self, now: Nanos, server: &Server) -> Nanos {
-        let prefills = server.role == Role::Prefill;
-        let weight = self.fleet.index().pool_weight(prefills);
-        let [read, whole] =
-            [0, 1].map(|taken| self.stats.admitted[taken].per_second(now, self.stats.started));
-        let carried = if prefills { read } else { read + whole };
-        let fair = carried * server.weight / weight.max(1e-9);
-        let present = self.present(now, server);
-        let most =
-            COLD_SAFE * self.deployment.slow_start_overload_factor * self.deployment.slow_start_initial_share;
-        (server.cold_part * 1e9 / (fair * most.min(COLD_PART * present)).max(1e-9)) as Nanos
+    /// The time that one send takes up of this gateway's part of a slow-start budget. The admitted sequences that a warm
+    /// server of the pool gets stand for capacity; for a prefill server only those that were prefilled first. All
+    /// gateways keep to the same part. There is no lower bound, and the first send waits for a random part of the
+    /// interval: over hundreds of gateways both add up.
+    fn slow_start_interval(&self, now: Nanos, server: &Server) -> Nanos {
+        let is_prefill = server.role == Role::Prefill;
+        let pool_weight = self.fleet.index().pool_weight(is_prefill);
+        let pool_rate = self.admitted_per_second(now, is_prefill);
+        let warm_rate = pool_rate * server.weight / pool_weight.max(MIN_DIVISOR);
+        let overload_share = SLOW_START_SAFETY_FACTOR
+            * self.deployment.slow_start_overload_factor
+            * self.deployment.slow_start_initial_share;
+        let share = overload_share.min(SLOW_START_TRAFFIC_FACTOR * self.capacity_share(now, server));
+        (server.slow_start_cost * NANOS_PER_SECOND / (warm_rate * share).max(MIN_DIVISOR)) as Nanos
     }
 
-    /// The share of its capacity that a server should have by now: a straight line from the stated start.
-    pub(super) fn present(&self, now: Nanos, server: &Server) -> f64 {
-        let cold =
-            server.cold_until.saturating_sub(now) as f64 / self.deployment.slow_start_duration.max(1) as f64;
-        1.0 - (1.0 - self.deployment.slow_start_initial_share) * cold.clamp(0.0, 1.0)
+    /// Sequences per second that this gateway has admitted to the prefill servers, or to all others.
+    fn admitted_per_second(&self, now: Nanos, is_prefill: bool) -> f64 {
+        let statistics = &self.statistics;
+        let prefilled = statistics.admitted_prefill.per_second(now, statistics.started_at);
+        let combined = statistics.admitted_combined.per_second(now, statistics.started_at);
+        if is_prefill { prefilled } else { prefilled + combined }
+    }
+
+    /// The share of its capacity that a server should have by now: linear in the time since its start.
+    pub(super) fn capacity_share(&self, now: Nanos, server: &Server) -> f64 {
+        let remaining = server.slow_start_until.saturating_sub(now) as f64
+            / self.deployment.slow_start_duration.max(1) as f64;
+        1.0 - (1.0 - self.deployment.slow_start_initial_share) * remaining.clamp(0.0, 1.0)
     }
 }
--- a/src/scheduler/start_times.rs
+++ b/src/scheduler/start_times.rs
@@ -1,100 +1,111 @@
-//! When servers started, by the own clock.
+//! When servers started, by the local clock.
 //!
-//! Lists tell starts by the wall clocks of other machines. Those may be wrong, and be stepped while gateways run, and so
-//! may this machine's. What is sure is the order on the own clock: a server started before it was told, and one that is
-//! new in a list started after the list before it was made, but for the time that word of it takes. So how far the
-//! stamps' clock is ahead of the own one is estimated from those bounds: as long as the estimate lies between them it
-//! stays, and where it does not, the server that is told counts as started just now, the slowest start there is.
+//! Endpoint lists give start times by the wall clocks of other machines. Those may be wrong, and be stepped while gateways
+//! run, and so may this machine's. What is certain is the order on the local clock: a server started before it was
+//! listed, and one that is new in a list started after the list before it was made, except for the time that a list takes
+//! to come. These bounds give an estimate of the offset between the clocks: as long as it lies between them it is kept,
+//! and where it does not, the new server counts as started just now, the slowest start there is.
 
 use crate::bounded::BoundedTable;
-use crate::interface::*;
+use crate::interface::{Endpoint, Nanos, ServerId, SnapshotKind, StartTimeClock};
 use std::borrow::Cow;
 
-/// The most by which two wall clocks may be apart that are each wrong by an hour, and some minutes for starts just now.
-const WRONG_MOST: i64 = 7_500_000_000_000;
-/// How long word of a start may take while lists come.
-const WORD_TAKES: Nanos = 2_000_000_000;
-/// Starts that are remembered, also of servers that are listed no more: one that comes back is not taken for new.
-const MOST_KNOWN: usize = 16_384;
+/// Most nanoseconds by which two wall clocks may differ that are each wrong by an hour, and some minutes for servers that
+/// started just now.
+const MAX_CLOCK_OFFSET: i64 = 7_500_000_000_000;
+/// Most nanoseconds between a start and the list that has it.
+const MAX_LIST_DELAY: Nanos = 2_000_000_000;
+/// Servers whose start is remembered, listed or not: one that comes back does not count as new.
+const MAX_KNOWN_SERVERS: usize = 16_384;
 
+/// The last known start of a server.
 #[derive(Clone, Copy)]
-struct Start {
-    stamp: Nanos,
-    at: Nanos,
+struct KnownStart {
+    /// As its endpoint gave it.
+    listed: Nanos,
+    /// By the local clock.
+    local: Nanos,
 }
 
-/// What lists have told of starts.
+/// What endpoint lists have shown of start times.
 pub(super) struct StartTimes {
-    stamps: StartTimeClock,
-    /// The stamps' clock less the own one, in nanoseconds; none before the first stamp.
-    ahead: Option<i64>,
-    /// When discovery's last list came.
-    listed: Option<Nanos>,
-    known: BoundedTable<ServerId, Start>,
+    clock: StartTimeClock,
+    /// The lists' clock less the local one, in nanoseconds; none before the first start time.
+    offset: Option<i64>,
+    /// When the last list came that was not a cached one.
+    last_list_at: Option<Nanos>,
+    known: BoundedTable<ServerId, KnownStart>,
 }
 
 impl StartTimes {
-    pub(super) fn new(stamps: StartTimeClock) -> Self {
-        StartTimes { stamps, ahead: None, listed: None, known: BoundedTable::new(MOST_KNOWN) }
+    /// No start times, on the clock given.
+    pub(super) fn new(clock: StartTimeClock) -> Self {
+        StartTimes { clock, offset: None, last_list_at: None, known: BoundedTable::new(MAX_KNOWN_SERVERS) }
     }
 
-    /// The entries of a list, with starts by the own clock.
-    pub(super) fn on_own_clock<'a>(
+    /// The entries of a list, with start times by the local clock.
+    pub(super) fn on_local_clock<'a>(
         &mut self,
         now: Nanos,
         scope: SnapshotKind,
         entries: &'a [Endpoint],
     ) -> Cow<'a, [Endpoint]> {
-        if self.stamps == StartTimeClock::Local {
+        if self.clock == StartTimeClock::Local {
             return Cow::Borrowed(entries);
         }
-        self.estimate(now, entries);
+        self.update_offset(now, entries);
         if scope != SnapshotKind::Cached {
-            self.listed = Some(now);
+            self.last_list_at = Some(now);
         }
-        let start = |entry: &Endpoint| Endpoint { started_at: self.started(now, entry), ..entry.clone() };
-        Cow::Owned(entries.iter().map(start).collect())
+        let with_local_start =
+            |entry: &Endpoint| Endpoint { started_at: self.local_start(now, entry), ..entry.clone() };
+        Cow::Owned(entries.iter().map(with_local_start).collect())
     }
 
-    /// Holds the estimate between its bounds, by the newest of the starts that were not known.
-    fn estimate(&mut self, now: Nanos, entries: &[Endpoint]) {
-        let new = |entry: &&Endpoint| {
-            self.known.get(&entry.server).is_none_or(|start| start.stamp != entry.started_at)
-        };
-        let newest =
-            entries.iter().filter(new).map(|entry| entry.started_at).max().filter(|stamp| *stamp > 0);
-        let Some(newest) = newest else { return };
-        let least = signed(newest) - signed(now);
-        let Some(listed) = self.listed else {
-            // The newest of all that have started so far: maybe just now. By a clock that is ahead it looks old.
-            let doubtful = if least >= -WRONG_MOST { least } else { 0 };
-            self.ahead = Some(self.ahead.map_or(doubtful, |ahead| ahead.max(doubtful)));
+    /// Keeps the estimated offset between its bounds, by the newest of the starts that were not known.
+    fn update_offset(&mut self, now: Nanos, entries: &[Endpoint]) {
+        let Some(newest) = self.newest_start(entries) else { return };
+        let min_offset = to_signed(newest) - to_signed(now);
+        let Some(last_list_at) = self.last_list_at else {
+            // The newest of all starts so far: maybe just now. By a clock that is ahead it looks old.
+            let offset = if min_offset >= -MAX_CLOCK_OFFSET { min_offset } else { 0 };
+            self.offset = Some(self.offset.map_or(offset, |known| known.max(offset)));
             return;
         };
-        let most = signed(newest) - signed(listed.saturating_sub(WORD_TAKES));
-        let ahead = self.ahead.unwrap_or(0);
-        self.ahead = Some(if (least..=most).contains(&ahead) { ahead } else { least });
+        let max_offset = to_signed(newest) - to_signed(last_list_at.saturating_sub(MAX_LIST_DELAY));
+        let offset = self.offset.unwrap_or(0);
+        self.offset = Some(if (min_offset..=max_offset).contains(&offset) { offset } else { min_offset });
+    }
+
+    /// The newest start time of a list that was not known, if any is given.
+    fn newest_start(&self, entries: &[Endpoint]) -> Option<Nanos> {
+        let is_new = |entry: &&Endpoint| {
+            self.known.get(&entry.server).is_none_or(|start| start.listed != entry.started_at)
+        };
+        let newest = entries.iter().filter(is_new).map(|entry| entry.started_at).max();
+        newest.filter(|start| *start > 0)
     }
 
-    fn started(&mut self, now: Nanos, entry: &Endpoint) -> Nanos {
-        let stamp = entry.started_at;
-        if stamp == 0 {
+    /// When a server started by the local clock; zero: long ago.
+    fn local_start(&mut self, now: Nanos, entry: &Endpoint) -> Nanos {
+        let listed = entry.started_at;
+        if listed == 0 {
             return 0;
         }
         let before = self.known.get(&entry.server).copied();
-        if let Some(start) = before.filter(|start| start.stamp == stamp) {
-            // Written anew: what leaves a full table is what has not been listed for longest.
+        if let Some(start) = before.filter(|start| start.listed == listed) {
+            // Inserted again: what leaves a full table is what has not been listed for longest.
             self.known.insert(entry.server, start);
-            return start.at;
+            return start.local;
         }
-        // Another start of the same server is a later one, whatever the stamps say.
-        let earliest = before.map_or(1, |start| start.at + 1);
-        let at = stamp.saturating_add_signed(-self.ahead.unwrap_or(0)).min(now).max(earliest);
-        self.known.insert(entry.server, Start { stamp, at });
-        at
+        // Another start of the same server is a later one, whatever the list's clock says.
+        let earliest = before.map_or(1, |start| start.local + 1);
+        let local = listed.saturating_add_signed(-self.offset.unwrap_or(0)).min(now).max(earliest);
+        self.known.insert(entry.server, KnownStart { listed, local });
+        local
     }
 }
 
-fn signed(time: Nanos) -> i64 {
+fn to_signed(time: Nanos) -> i64 {
     i64::try_from(time).unwrap_or(i64::MAX)
 }
