--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One test for each failure that a run or an incident has shown.
+//! Regressions: one test for each failure that a run or an incident has shown.
 
 mod common;
 
@@ -8,332 +8,313 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn the_writer_lies_in_the_readers_cell_and_is_the_least_loaded_there() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn decode_goes_to_least_loaded_server_of_prefill_cell() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     for id in 0..12 {
         let mut sequence = new_sequence(id, 0, START);
-        let reader = read(&mut scheduler, START, &mut sequence, 50 * MS);
-        scheduler.load_reported(
-            START,
-            ServerId(reader.0 + 1),
-            LoadReport { memory_share: Some(0.5), ..LoadReport::default() },
-        );
-        let writer = sent(scheduler.schedule(START + 50 * MS, &mut sequence));
-        assert_eq!(writer.0, reader.0 + 2);
-        scheduler.load_reported(
-            START + 50 * MS,
-            writer,
-            LoadReport { memory_share: Some(0.1), ..LoadReport::default() },
-        );
+        let prefill_server = prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+        scheduler.load_reported(START, ServerId(prefill_server.0 + 1), memory_report(0.5));
+        let decode_server = sent_to(scheduler.schedule(START + 50 * MILLISECOND, &mut sequence));
+        assert_eq!(decode_server.0, prefill_server.0 + 2);
+        scheduler.load_reported(START + 50 * MILLISECOND, decode_server, memory_report(0.1));
     }
 }
 
 #[test]
-fn a_session_goes_back_to_the_reader_that_keeps_its_text() {
-    let mut scheduler = scheduler(deployment(), &fleet());
-    let first = read(&mut scheduler, START, &mut new_sequence(1, 0, START), 50 * MS);
+fn session_returns_to_server_that_caches_its_prefix() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
+    let first = prefill(&mut scheduler, START, &mut new_sequence(1, 0, START), 50 * MILLISECOND);
     for turn in 1..5 {
-        let now = START + turn * 1000 * MS;
-        assert_eq!(read(&mut scheduler, now, &mut new_sequence(1, 0, now), 50 * MS), first);
+        let now = START + turn * 1000 * MILLISECOND;
+        assert_eq!(prefill(&mut scheduler, now, &mut new_sequence(1, 0, now), 50 * MILLISECOND), first);
     }
 }
 
 #[test]
-fn a_gateway_that_starts_anew_turns_to_the_readers_its_fellows_use() {
-    let mut list = fleet();
+fn restarted_gateway_selects_same_replicas_as_others() {
+    let mut list = two_cell_fleet();
     list.reverse();
-    let (mut one, mut other) = (scheduler(deployment(), &fleet()), Scheduler::new(START, deployment(), 99));
+    let (mut one, mut other) =
+        (new_scheduler(deployment(), &two_cell_fleet()), Scheduler::new(START, deployment(), 99));
     other.update_endpoints(START, SnapshotKind::Cached, &list);
     for id in 0..20 {
-        let now = START + id * 100 * MS;
+        let now = START + id * 100 * MILLISECOND;
         let mut sequence = new_sequence(id, 0, now);
         sequence.session = Some(SessionId(id * 7919));
         assert_eq!(
-            read(&mut one, now, &mut sequence.clone(), 50 * MS),
-            read(&mut other, now, &mut sequence, 50 * MS)
+            prefill(&mut one, now, &mut sequence.clone(), 50 * MILLISECOND),
+            prefill(&mut other, now, &mut sequence, 50 * MILLISECOND)
         );
     }
 }
 
 #[test]
-fn a_gateway_that_knows_no_times_is_patient() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn timeout_without_measurements_is_half_the_time_left() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sequence = new_sequence(1, 0, START);
-    sent(scheduler.schedule(START, &mut sequence));
-    assert_eq!(scheduler.next_timeout(START, &sequence), 2000 * MS);
+    sent_to(scheduler.schedule(START, &mut sequence));
+    assert_eq!(scheduler.next_timeout(START, &sequence), 2000 * MILLISECOND);
 }
 
 #[test]
-fn extreme_figures_and_repeated_outcomes_change_nothing() {
-    let mut scheduler = scheduler(deployment(), &fleet());
-    let late = Endpoint { started_at: Nanos::MAX, state: EndpointState::Gone, ..entry(9, 0, 0) };
+fn extreme_values_and_repeated_outcomes_are_ignored() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
+    let late = Endpoint { started_at: Nanos::MAX, state: EndpointState::Gone, ..ready_endpoint(9, 0, 0) };
     scheduler.update_endpoints(START, SnapshotKind::Delta, &[late]);
     let mut sequence = new_sequence(1, 0, START);
     sequence.prompt_tokens = 1e300;
     scheduler.schedule(START, &mut sequence);
     let mut sequence = new_sequence(2, 0, START);
-    read(&mut scheduler, START, &mut sequence, 50 * MS);
-    sent(scheduler.schedule(START + 50 * MS, &mut sequence));
+    prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+    sent_to(scheduler.schedule(START + 50 * MILLISECOND, &mut sequence));
     assert_eq!(
-        scheduler.attempt_finished(START + 60 * MS, &mut sequence, 0, Outcome::Reset, false),
+        scheduler.attempt_finished(START + 60 * MILLISECOND, &mut sequence, 0, Outcome::Reset, false),
         NextStep::Wait
     );
 }
 
 #[test]
-fn empty_pools_and_lists_that_repeat_themselves_end_in_an_answer() {
-    let one_kind = |kind| fleet().into_iter().filter(|l| l.kind == ServerKindId(kind)).collect::<Vec<_>>();
-    let twice = [entry(0, 0, 0), Endpoint { started_at: START, ..entry(0, 0, 0) }, entry(0, 0, 0)];
+fn empty_and_duplicate_endpoint_lists_end_in_an_answer() {
+    let one_kind =
+        |kind| two_cell_fleet().into_iter().filter(|e| e.kind == ServerKindId(kind)).collect::<Vec<_>>();
+    let twice = [
+        ready_endpoint(0, 0, 0),
+        Endpoint { started_at: START, ..ready_endpoint(0, 0, 0) },
+        ready_endpoint(0, 0, 0),
+    ];
     for list in [Vec::new(), one_kind(0), one_kind(1), twice.to_vec()] {
         for gateways in [1, 5000] {
-            let mut scheduler = scheduler(Deployment { gateways, ..deployment() }, &list);
+            let mut scheduler = new_scheduler(Deployment { gateways, ..deployment() }, &list);
             let (mut now, mut sequence) = (START, new_sequence(1, 0, START));
-            let over = (0..200).any(|_| {
-                let answer = scheduler.schedule(now, &mut sequence);
+            let has_answer = (0..200).any(|_| {
+                let decision = scheduler.schedule(now, &mut sequence);
                 now += scheduler.next_timeout(now, &sequence).max(1);
-                if let Decision::Send(_) = answer {
-                    let outcome = Outcome::PrefillDone { cached_tokens: 0.0 };
-                    close(&mut scheduler, now, &mut sequence, outcome);
+                if let Decision::Send(_) = decision {
+                    finish_last_attempt(&mut scheduler, now, &mut sequence, PREFILL_DONE);
                 }
-                matches!(answer, Decision::Reject { .. } | Decision::Abort { .. })
+                matches!(decision, Decision::Reject { .. } | Decision::Abort { .. })
             });
-            assert!(over && now <= sequence.first_token_deadline);
+            assert!(has_answer && now <= sequence.first_token_deadline);
         }
     }
 }
 
 #[test]
-fn readers_without_room_beside_them_still_take_their_part() {
-    let mut scheduler = scheduler(deployment(), &fleet());
-    for writer in [1, 2] {
-        scheduler.load_reported(
-            START,
-            ServerId(writer),
-            LoadReport { memory_share: Some(1.0), ..LoadReport::default() },
-        );
+fn prefill_servers_of_full_cells_still_take_their_part() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
+    for decode_server in [1, 2] {
+        scheduler.load_reported(START, ServerId(decode_server), memory_report(1.0));
     }
-    let mut readers = [0; 6];
+    let mut prefill_servers = [0; 6];
     for id in 0..9 {
         let mut sequence = new_sequence(id, 0, START);
         sequence.session = None;
-        readers[sent(scheduler.schedule(START, &mut sequence)).0 as usize] += 1;
+        prefill_servers[sent_to(scheduler.schedule(START, &mut sequence)).0 as usize] += 1;
     }
-    assert!(readers[0] >= 3 && readers[3] >= 3, "{readers:?}");
+    assert!(prefill_servers[0] >= 3 && prefill_servers[3] >= 3, "{prefill_servers:?}");
 }
 
 #[test]
-fn a_full_cell_hands_its_state_to_one_with_room() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn full_cell_migrates_kv_cache_to_cell_with_capacity() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sequence = new_sequence(1, 0, START);
-    let reader = read(&mut scheduler, START, &mut sequence, 50 * MS);
-    for writer in [reader.0 + 1, reader.0 + 2] {
-        scheduler.load_reported(
-            START,
-            ServerId(writer),
-            LoadReport { memory_share: Some(1.0), ..LoadReport::default() },
-        );
+    let prefill_server = prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+    for decode_server in [prefill_server.0 + 1, prefill_server.0 + 2] {
+        scheduler.load_reported(START, ServerId(decode_server), memory_report(1.0));
     }
-    let writer = sent(scheduler.schedule(START + 50 * MS, &mut sequence));
-    assert_ne!(writer.0 / 3, reader.0 / 3);
+    let decode_server = sent_to(scheduler.schedule(START + 50 * MILLISECOND, &mut sequence));
+    assert_ne!(decode_server.0 / 3, prefill_server.0 / 3);
 }
 
 #[test]
-fn a_cell_much_fuller_than_another_of_its_hall_hands_its_state_over() {
-    let one_hall: Vec<Endpoint> = fleet().into_iter().map(|l| Endpoint { zone: ZoneId(0), ..l }).collect();
-    for (share, leaves) in [(0.2, false), (0.6, true)] {
-        let mut scheduler = scheduler(deployment(), &one_hall);
+fn much_fuller_cell_migrates_kv_cache_within_its_zone() {
+    let one_zone: Vec<Endpoint> =
+        two_cell_fleet().into_iter().map(|e| Endpoint { zone: ZoneId(0), ..e }).collect();
+    for (share, migrates) in [(0.2, false), (0.6, true)] {
+        let mut scheduler = new_scheduler(deployment(), &one_zone);
         let mut sequence = new_sequence(1, 0, START);
-        let reader = read(&mut scheduler, START, &mut sequence, 50 * MS);
-        for writer in [reader.0 + 1, reader.0 + 2] {
-            scheduler.load_reported(
-                START,
-                ServerId(writer),
-                LoadReport { memory_share: Some(share), ..LoadReport::default() },
-            );
+        let prefill_server = prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+        for decode_server in [prefill_server.0 + 1, prefill_server.0 + 2] {
+            scheduler.load_reported(START, ServerId(decode_server), memory_report(share));
         }
-        let writer = sent(scheduler.schedule(START + 50 * MS, &mut sequence));
-        assert_eq!(writer.0 / 3 != reader.0 / 3, leaves);
+        let decode_server = sent_to(scheduler.schedule(START + 50 * MILLISECOND, &mut sequence));
+        assert_eq!(decode_server.0 / 3 != prefill_server.0 / 3, migrates);
     }
 }
 
 #[test]
-fn a_state_that_went_with_its_reader_is_read_anew() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn kv_cache_lost_with_its_server_is_prefilled_again() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sequence = new_sequence(1, 0, START);
-    let reader = read(&mut scheduler, START, &mut sequence, 50 * MS);
-    let gone = Endpoint { state: EndpointState::Gone, ..fleet()[reader.0 as usize].clone() };
+    let prefill_server = prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+    let gone = Endpoint { state: EndpointState::Gone, ..two_cell_fleet()[prefill_server.0 as usize].clone() };
     scheduler.update_endpoints(START, SnapshotKind::Delta, &[gone]);
-    assert_eq!(sent(scheduler.schedule(START + 50 * MS, &mut sequence)).0 % 3, 0);
+    assert_eq!(sent_to(scheduler.schedule(START + 50 * MILLISECOND, &mut sequence)).0 % 3, 0);
 }
 
 #[test]
-fn a_mixed_server_gets_one_unread_prompt_at_a_time_and_streams_are_no_queue() {
-    let mut list = fleet();
-    list.push(entry(6, 2, 0));
-    let mut scheduler = scheduler(deployment(), &list);
-    scheduler.load_reported(
-        START,
-        ServerId(6),
-        LoadReport { memory_share: Some(0.1), ..LoadReport::default() },
-    );
-    for writer in [1, 2, 4, 5] {
-        scheduler.load_reported(
-            START,
-            ServerId(writer),
-            LoadReport { memory_share: Some(0.6), ..LoadReport::default() },
-        );
+fn combined_server_gets_one_pending_prompt_at_a_time() {
+    let mut list = two_cell_fleet();
+    list.push(ready_endpoint(6, 2, 0));
+    let mut scheduler = new_scheduler(deployment(), &list);
+    scheduler.load_reported(START, ServerId(6), memory_report(0.1));
+    for decode_server in [1, 2, 4, 5] {
+        scheduler.load_reported(START, ServerId(decode_server), memory_report(0.6));
     }
     let mut first = new_sequence(1, 0, START);
-    assert_eq!(sent(scheduler.schedule(START, &mut first)), ServerId(6));
-    assert_ne!(sent(scheduler.schedule(START, &mut new_sequence(2, 0, START))), ServerId(6));
-    scheduler.first_token(START + 30 * MS, &mut first, 0);
+    assert_eq!(sent_to(scheduler.schedule(START, &mut first)), ServerId(6));
+    assert_ne!(sent_to(scheduler.schedule(START, &mut new_sequence(2, 0, START))), ServerId(6));
+    scheduler.first_token(START + 30 * MILLISECOND, &mut first, 0);
     for id in 3..20 {
-        let now = START + id * 40 * MS;
+        let now = START + id * 40 * MILLISECOND;
         let mut sequence = new_sequence(id, 0, now);
-        let server = sent(scheduler.schedule(now, &mut sequence));
+        let server = sent_to(scheduler.schedule(now, &mut sequence));
         if server == ServerId(6) {
-            scheduler.first_token(now + 30 * MS, &mut sequence, 0);
+            scheduler.first_token(now + 30 * MILLISECOND, &mut sequence, 0);
         }
     }
 }
 
 #[test]
-fn a_silent_reader_is_passed_over_before_its_time_outs() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn silent_prefill_server_is_ejected_before_its_timeouts() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     for id in 0..40 {
-        let now = START + id * 100 * MS;
-        read(&mut scheduler, now, &mut new_sequence(id, 0, now), 50 * MS);
+        let now = START + id * 100 * MILLISECOND;
+        prefill(&mut scheduler, now, &mut new_sequence(id, 0, now), 50 * MILLISECOND);
     }
-    let quiet = START + 5000 * MS;
-    let lost = sent(scheduler.schedule(quiet, &mut new_sequence(50, 0, quiet)));
+    let silent_from = START + 5000 * MILLISECOND;
+    let silent = sent_to(scheduler.schedule(silent_from, &mut new_sequence(50, 0, silent_from)));
     for id in 51..60 {
-        let now = quiet + 400 * MS;
-        assert_ne!(read(&mut scheduler, now, &mut new_sequence(id, 0, now), 50 * MS), lost);
+        let now = silent_from + 400 * MILLISECOND;
+        assert_ne!(prefill(&mut scheduler, now, &mut new_sequence(id, 0, now), 50 * MILLISECOND), silent);
     }
 }
 
 #[test]
-fn short_reads_do_not_make_long_prompts_look_late() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn short_prefills_do_not_get_long_prompts_rejected() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     for id in 0..40 {
-        let now = START + id * 100 * MS;
+        let now = START + id * 100 * MILLISECOND;
         let mut sequence = new_sequence(id, 0, now);
         sequence.session = None;
         sequence.prompt_tokens = if id % 8 == 0 { 6000.0 } else { 20.0 };
         let time = if id % 8 == 0 { 300 } else { 30 };
-        read(&mut scheduler, now, &mut sequence, time * MS);
+        prefill(&mut scheduler, now, &mut sequence, time * MILLISECOND);
     }
-    let now = START + 4000 * MS;
+    let now = START + 4000 * MILLISECOND;
     let mut sequence = new_sequence(99, 0, now);
     (sequence.prompt_tokens, sequence.session) = (8000.0, None);
-    sent(scheduler.schedule(now, &mut sequence));
+    sent_to(scheduler.schedule(now, &mut sequence));
 }
 
 #[test]
-fn a_read_in_a_jam_is_given_the_time_the_jam_takes() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn prefill_timeout_grows_with_the_queue() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     for id in 0..20 {
-        let now = START + id * 200 * MS;
-        read(&mut scheduler, now, &mut new_sequence(100 + id, 0, now), 700 * MS);
+        let now = START + id * 200 * MILLISECOND;
+        prefill(&mut scheduler, now, &mut new_sequence(100 + id, 0, now), 700 * MILLISECOND);
     }
-    let now = START + 4000 * MS;
+    let now = START + 4000 * MILLISECOND;
     let mut sequence = new_sequence(1, 0, now);
-    sent(scheduler.schedule(now, &mut sequence));
-    assert!(scheduler.next_timeout(now, &sequence) >= 1400 * MS);
+    sent_to(scheduler.schedule(now, &mut sequence));
+    assert!(scheduler.next_timeout(now, &sequence) >= 1400 * MILLISECOND);
 }
 
 #[test]
-fn cold_servers_of_one_cell_get_no_more_than_this_gateways_part() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn slow_start_cell_gets_only_this_gateways_part() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sends = Vec::new();
     for id in 0..200u64 {
-        let now = START + id * 50 * MS;
+        let now = START + id * 50 * MILLISECOND;
         if id == 100 {
-            let mut change: Vec<Endpoint> = fleet();
-            change[..3].iter_mut().for_each(|cold| cold.started_at = now);
+            let mut change: Vec<Endpoint> = two_cell_fleet();
+            change[..3].iter_mut().for_each(|restarted| restarted.started_at = now);
             change[3..].iter_mut().for_each(|gone| gone.state = EndpointState::Gone);
             scheduler.update_endpoints(now, SnapshotKind::Delta, &change);
         }
         let mut sequence = new_sequence(id, 0, now);
-        let Decision::Send(reader) = scheduler.schedule(now, &mut sequence) else { continue };
-        close(&mut scheduler, now + 20 * MS, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
-        let writer = scheduler.schedule(now + 20 * MS, &mut sequence);
+        let Decision::Send(prefill_server) = scheduler.schedule(now, &mut sequence) else { continue };
+        finish_last_attempt(&mut scheduler, now + 20 * MILLISECOND, &mut sequence, PREFILL_DONE);
+        let decode = scheduler.schedule(now + 20 * MILLISECOND, &mut sequence);
         if id >= 100 {
-            sends.push((now, reader));
-            sends.extend(if let Decision::Send(writer) = writer {
-                Some((now + 20 * MS, writer))
+            sends.push((now, prefill_server));
+            sends.extend(if let Decision::Send(decode_server) = decode {
+                Some((now + 20 * MILLISECOND, decode_server))
             } else {
                 None
             });
         }
-        if let Decision::Send(_) = writer {
-            scheduler.first_token(now + 30 * MS, &mut sequence, 1);
-            close(&mut scheduler, now + 40 * MS, &mut sequence, Outcome::Completed);
+        if let Decision::Send(_) = decode {
+            scheduler.first_token(now + 30 * MILLISECOND, &mut sequence, 1);
+            finish_last_attempt(&mut scheduler, now + 40 * MILLISECOND, &mut sequence, Outcome::Completed);
         }
     }
     for (server, pool) in [(0, 2.0), (1, 4.0), (2, 4.0)] {
         let times: Vec<Nanos> = sends.iter().filter(|(_, s)| s.0 == server).map(|(at, _)| *at).collect();
-        let most =
-            times.iter().map(|t| times.iter().filter(|o| *o >= t && **o < t + 1500 * MS).count()).max();
+        let max_sends = max_in_window(&times, 1500 * MILLISECOND);
         let budget = 2.5 * 0.3 * (20.0 / pool) * 1.5;
-        assert!(most.is_some_and(|most| most > 0 && most as f64 <= budget + 1.0), "{most:?} of {budget}");
+        assert!(
+            max_sends.is_some_and(|max| max > 0 && max as f64 <= budget + 1.0),
+            "{max_sends:?} of {budget}"
+        );
     }
 }
 
 #[test]
-fn hundreds_of_gateways_together_keep_a_cold_server_within_its_budget() {
+fn hundreds_of_gateways_keep_slow_start_budget_together() {
     let gateways = 274;
     let deployment = Deployment { gateways, ..deployment() };
     let mut schedulers: Vec<Scheduler> =
-        (0..gateways).map(|_| scheduler(deployment.clone(), &fleet())).collect();
+        (0..gateways).map(|_| new_scheduler(deployment.clone(), &two_cell_fleet())).collect();
     for (at, scheduler) in schedulers.iter_mut().enumerate() {
         *scheduler = Scheduler::new(START, deployment.clone(), at as u64);
-        scheduler.update_endpoints(START, SnapshotKind::Cached, &fleet());
+        scheduler.update_endpoints(START, SnapshotKind::Cached, &two_cell_fleet());
     }
-    let (mut sends, gap) = (Vec::new(), 7 * MS);
-    let told = START + 8000 * MS;
+    let (mut sends, gap) = (Vec::new(), 7 * MILLISECOND);
+    let restart = START + 8000 * MILLISECOND;
     for id in 0..2000u64 {
         let now = START + id * gap;
         let at = (id * 101 % gateways as u64) as usize;
-        if now >= told && now < told + gap {
-            let cold = Endpoint { started_at: now, ..entry(0, 0, 0) };
-            schedulers
-                .iter_mut()
-                .for_each(|b| b.update_endpoints(now, SnapshotKind::Delta, std::slice::from_ref(&cold)));
+        if now >= restart && now < restart + gap {
+            let restarted = Endpoint { started_at: now, ..ready_endpoint(0, 0, 0) };
+            schedulers.iter_mut().for_each(|scheduler| {
+                scheduler.update_endpoints(now, SnapshotKind::Delta, std::slice::from_ref(&restarted))
+            });
         }
         let mut sequence = new_sequence(id, 0, now);
         sequence.session = None;
         if let Decision::Send(server) = schedulers[at].schedule(now, &mut sequence) {
-            sends.extend((now >= told && server == ServerId(0)).then_some(now));
-            close(&mut schedulers[at], now, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
+            sends.extend((now >= restart && server == ServerId(0)).then_some(now));
+            finish_last_attempt(&mut schedulers[at], now, &mut sequence, PREFILL_DONE);
             sequence.completed = true;
         }
     }
-    let most = sends.iter().map(|t| sends.iter().filter(|o| *o >= t && **o < t + 1500 * MS).count()).max();
+    let max_sends = max_in_window(&sends, 1500 * MILLISECOND);
     let budget = 2.5 * 0.3 * 1.5 * (1e9 / gap as f64 / 2.0);
     assert!(
-        most.is_some_and(|most| most as f64 <= budget && most as f64 > budget / 10.0),
-        "{most:?} of {budget}"
+        max_sends.is_some_and(|max| max as f64 <= budget && max as f64 > budget / 10.0),
+        "{max_sends:?} of {budget}"
     );
 }
 
 #[test]
-fn cells_with_few_writers_hand_states_on_to_those_with_many() {
+fn cells_short_of_decode_servers_spill_over() {
     let kinds = [(0, 0), (0, 0), (0, 0), (1, 0), (0, 1), (1, 1), (1, 1), (1, 1)];
-    let list: Vec<Endpoint> = (0..).zip(kinds).map(|(id, (kind, cell))| entry(id, kind, cell)).collect();
-    let list: Vec<Endpoint> = list.into_iter().map(|l| Endpoint { zone: ZoneId(0), ..l }).collect();
-    let mut scheduler = scheduler(Deployment { gateways: 100, ..deployment() }, &list);
+    let list: Vec<Endpoint> =
+        (0..).zip(kinds).map(|(id, (kind, cell))| ready_endpoint(id, kind, cell)).collect();
+    let list: Vec<Endpoint> = list.into_iter().map(|e| Endpoint { zone: ZoneId(0), ..e }).collect();
+    let mut scheduler = new_scheduler(Deployment { gateways: 100, ..deployment() }, &list);
     let mut work = [0; 8];
     for id in 0..400 {
-        let now = START + id * 1000 * MS;
+        let now = START + id * 1000 * MILLISECOND;
         let mut sequence = new_sequence(id, 0, now);
         sequence.session = Some(SessionId(id));
-        let reader = read(&mut scheduler, now, &mut sequence, 50 * MS);
-        let writer = sent(scheduler.schedule(now + 50 * MS, &mut sequence));
-        work[reader.0 as usize] += 1;
-        work[writer.0 as usize] += 1;
-        scheduler.first_token(now + 90 * MS, &mut sequence, 1);
-        close(&mut scheduler, now + 500 * MS, &mut sequence, Outcome::Completed);
+        let prefill_server = prefill(&mut scheduler, now, &mut sequence, 50 * MILLISECOND);
+        let decode_server = sent_to(scheduler.schedule(now + 50 * MILLISECOND, &mut sequence));
+        work[prefill_server.0 as usize] += 1;
+        work[decode_server.0 as usize] += 1;
+        scheduler.first_token(now + 90 * MILLISECOND, &mut sequence, 1);
+        finish_last_attempt(&mut scheduler, now + 500 * MILLISECOND, &mut sequence, Outcome::Completed);
     }
     let (reads, writes) = ([0, 1, 2, 4].map(|id: usize| work[id]), [work[3], work[5] + work[6] + work[7]]);
     assert!(reads.iter().all(|sent| (60..150).contains(sent)), "{work:?}");
@@ -341,29 +322,29 @@
 }
 
 #[test]
-fn a_server_that_fails_one_traffic_type_is_left_by_it_and_kept_by_the_others() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn server_failing_one_traffic_type_keeps_the_others() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     for id in 0..8 {
-        let now = START + id * 100 * MS;
+        let now = START + id * 100 * MILLISECOND;
         for traffic in [0, 2] {
             let mut sequence = new_sequence(id * 2 + traffic as u64, traffic, now);
             sequence.session = None;
-            let reader = sent(scheduler.schedule(now, &mut sequence));
-            let failing = traffic == 0 && reader == ServerId(0);
-            let outcome = if failing { Outcome::Error } else { Outcome::PrefillDone { cached_tokens: 0.0 } };
-            close(&mut scheduler, now + 30 * MS, &mut sequence, outcome);
+            let prefill_server = sent_to(scheduler.schedule(now, &mut sequence));
+            let fails = traffic == 0 && prefill_server == ServerId(0);
+            let outcome = if fails { Outcome::Error } else { PREFILL_DONE };
+            finish_last_attempt(&mut scheduler, now + 30 * MILLISECOND, &mut sequence, outcome);
             sequence.completed = true;
         }
     }
     let mut sends = [[0; 6]; 3];
     for id in 100..120 {
-        let now = START + id * 50 * MS;
+        let now = START + id * 50 * MILLISECOND;
         for traffic in [0, 2] {
             let mut sequence = new_sequence(id * 2 + traffic as u64, traffic, now);
             sequence.session = None;
-            let reader = sent(scheduler.schedule(now, &mut sequence));
-            sends[traffic][reader.0 as usize] += 1;
-            close(&mut scheduler, now + 30 * MS, &mut sequence, Outcome::Cancelled);
+            let prefill_server = sent_to(scheduler.schedule(now, &mut sequence));
+            sends[traffic][prefill_server.0 as usize] += 1;
+            finish_last_attempt(&mut scheduler, now + 30 * MILLISECOND, &mut sequence, Outcome::Cancelled);
             sequence.completed = true;
         }
     }
@@ -371,221 +352,233 @@
 }
 
 #[test]
-fn a_gateway_with_little_traffic_takes_its_time_limits_from_all_servers_together() {
-    let mut scheduler = scheduler(Deployment { gateways: 100, ..deployment() }, &fleet());
+fn low_traffic_gateway_takes_timeouts_from_whole_fleet() {
+    let mut scheduler = new_scheduler(Deployment { gateways: 100, ..deployment() }, &two_cell_fleet());
     for id in 0..4 {
-        let now = START + id * 500 * MS;
+        let now = START + id * 500 * MILLISECOND;
         let mut sequence = new_sequence(id, 0, now);
         sequence.session = None;
-        let reader = sent(scheduler.schedule(now, &mut sequence));
-        close(&mut scheduler, now + 60 * MS, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
-        scheduler.load_reported(now, reader, LoadReport::default());
+        let prefill_server = sent_to(scheduler.schedule(now, &mut sequence));
+        finish_last_attempt(&mut scheduler, now + 60 * MILLISECOND, &mut sequence, PREFILL_DONE);
+        scheduler.load_reported(now, prefill_server, LoadReport::default());
     }
-    let now = START + 6000 * MS;
+    let now = START + 6000 * MILLISECOND;
     let mut sequence = new_sequence(9, 0, now);
-    sent(scheduler.schedule(now, &mut sequence));
-    let limit = scheduler.next_timeout(now, &sequence);
-    assert!(limit > 400 * MS && limit < 1500 * MS, "{limit}");
+    sent_to(scheduler.schedule(now, &mut sequence));
+    let timeout = scheduler.next_timeout(now, &sequence);
+    assert!(timeout > 400 * MILLISECOND && timeout < 1500 * MILLISECOND, "{timeout}");
 }
 
 #[test]
-fn a_jam_that_has_cleared_does_not_go_on_turning_work_away() {
-    let mut scheduler = scheduler(deployment(), &fleet());
-    let mut take = |now: Nanos, id: u64, time: Nanos| {
+fn cleared_queue_stops_causing_rejections() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
+    let mut is_sent = |now: Nanos, id: u64, time: Nanos| {
         let mut sequence = new_sequence(id, 1, now);
         (sequence.session, sequence.prompt_tokens, sequence.prefix) = (None, 3000.0, None);
-        let answer = scheduler.schedule(now, &mut sequence);
-        if let Decision::Send(_) = answer {
-            close(&mut scheduler, now + time, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
+        let decision = scheduler.schedule(now, &mut sequence);
+        if let Decision::Send(_) = decision {
+            finish_last_attempt(&mut scheduler, now + time, &mut sequence, PREFILL_DONE);
             sequence.completed = true;
         }
-        matches!(answer, Decision::Send(_))
+        matches!(decision, Decision::Send(_))
     };
-    let jammed = (0..20).filter(|id| take(START + id * 100 * MS, *id, 3000 * MS)).count();
-    let cleared = (20..60).filter(|id| take(START + id * 500 * MS, *id, 50 * MS)).count();
-    assert!(jammed < 10 && cleared > 20, "{jammed} {cleared}");
+    let sent_in_overload =
+        (0..20).filter(|id| is_sent(START + id * 100 * MILLISECOND, *id, 3000 * MILLISECOND)).count();
+    let sent_after =
+        (20..60).filter(|id| is_sent(START + id * 500 * MILLISECOND, *id, 50 * MILLISECOND)).count();
+    assert!(sent_in_overload < 10 && sent_after > 20, "{sent_in_overload} {sent_after}");
 }
 
 #[test]
-fn after_an_answer_that_went_wrong_the_prompt_is_read_anew_and_the_state_is_still_let_go_in_time() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn failed_decode_prefills_again_and_releases_in_time() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sequence = new_sequence(1, 0, START);
-    read(&mut scheduler, START, &mut sequence, 50 * MS);
-    let now = START + 100 * MS;
-    sent(scheduler.schedule(now, &mut sequence));
-    close(&mut scheduler, now, &mut sequence, Outcome::Error);
-    let reader = sent(scheduler.schedule(now, &mut sequence));
-    assert_eq!((sequence.attempts.last().map(|a| a.step), reader.0 % 3), (Some(Step::Prefill), 0));
-    close(&mut scheduler, now + 50 * MS, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
-    sent(scheduler.schedule(now + 50 * MS, &mut sequence));
+    prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+    let now = START + 100 * MILLISECOND;
+    sent_to(scheduler.schedule(now, &mut sequence));
+    finish_last_attempt(&mut scheduler, now, &mut sequence, Outcome::Error);
+    let prefill_server = sent_to(scheduler.schedule(now, &mut sequence));
+    assert_eq!((sequence.attempts.last().map(|a| a.step), prefill_server.0 % 3), (Some(Step::Prefill), 0));
+    finish_last_attempt(&mut scheduler, now + 50 * MILLISECOND, &mut sequence, PREFILL_DONE);
+    sent_to(scheduler.schedule(now + 50 * MILLISECOND, &mut sequence));
     assert_eq!(sequence.attempts.last().map(|a| a.step), Some(Step::Decode), "it had attempts left for both");
 
-    // Where no reader can be had, what the first may still hold is let go within its time.
+    // Where no prefill server can be had, what the first one may still hold is released in time.
     let mut sequence = new_sequence(2, 0, now);
-    read(&mut scheduler, now, &mut sequence, 50 * MS);
-    sent(scheduler.schedule(now + 50 * MS, &mut sequence));
-    close(&mut scheduler, now + 60 * MS, &mut sequence, Outcome::Error);
-    let gone = |id| Endpoint { state: EndpointState::Draining, ..entry(id, 0, (id / 3) as i64) };
-    scheduler.update_endpoints(now + 60 * MS, SnapshotKind::Delta, &[gone(0), gone(3)]);
-    let release =
-        (0..15).find_map(|n| match scheduler.schedule(now + 60 * MS + n * 20 * MS, &mut sequence) {
+    prefill(&mut scheduler, now, &mut sequence, 50 * MILLISECOND);
+    sent_to(scheduler.schedule(now + 50 * MILLISECOND, &mut sequence));
+    finish_last_attempt(&mut scheduler, now + 60 * MILLISECOND, &mut sequence, Outcome::Error);
+    let gone = |id| Endpoint { state: EndpointState::Draining, ..ready_endpoint(id, 0, (id / 3) as i64) };
+    scheduler.update_endpoints(now + 60 * MILLISECOND, SnapshotKind::Delta, &[gone(0), gone(3)]);
+    let release = (0..15).find_map(|n| {
+        match scheduler.schedule(now + 60 * MILLISECOND + n * 20 * MILLISECOND, &mut sequence) {
             Decision::Wait => None,
             Decision::Reject { release, .. } => Some(release),
             other => panic!("{other:?}"),
-        });
+        }
+    });
     assert_eq!(release, Some(true));
 }
 
 #[test]
-fn one_connection_that_breaks_pauses_its_server_shortly_and_one_that_is_refused_for_longer() {
-    for (outcome, paused) in [(Outcome::Reset, false), (Outcome::ConnectFailed, true)] {
-        let mut scheduler = scheduler(deployment(), &fleet()[..3]);
+fn reset_ejects_briefly_and_connect_failure_for_longer() {
+    for (outcome, is_ejected) in [(Outcome::Reset, false), (Outcome::ConnectFailed, true)] {
+        let mut scheduler = new_scheduler(deployment(), &two_cell_fleet()[..3]);
         let mut sequence = new_sequence(1, 0, START);
-        read(&mut scheduler, START, &mut sequence, 50 * MS);
-        let writer = sent(scheduler.schedule(START + 50 * MS, &mut sequence));
-        close(&mut scheduler, START + 60 * MS, &mut sequence, outcome);
-        let now = START + 500 * MS;
+        prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+        let decode_server = sent_to(scheduler.schedule(START + 50 * MILLISECOND, &mut sequence));
+        finish_last_attempt(&mut scheduler, START + 60 * MILLISECOND, &mut sequence, outcome);
+        let now = START + 500 * MILLISECOND;
         let mut next = new_sequence(2, 0, now);
-        read(&mut scheduler, now, &mut next, 50 * MS);
-        let other = ServerId(3 - writer.0);
-        scheduler.load_reported(now, other, LoadReport { memory_share: Some(0.5), ..LoadReport::default() });
-        assert_eq!(sent(scheduler.schedule(now + 50 * MS, &mut next)) == other, paused, "{outcome:?}");
+        prefill(&mut scheduler, now, &mut next, 50 * MILLISECOND);
+        let other = ServerId(3 - decode_server.0);
+        scheduler.load_reported(now, other, memory_report(0.5));
+        assert_eq!(
+            sent_to(scheduler.schedule(now + 50 * MILLISECOND, &mut next)) == other,
+            is_ejected,
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
-fn a_writer_that_refuses_its_connection_is_not_turned_to_again_while_the_others_are_full() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn unreachable_server_ranks_behind_full_ones() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sequence = new_sequence(1, 0, START);
-    let reader = read(&mut scheduler, START, &mut sequence, 50 * MS);
-    let now = START + 50 * MS;
-    for writer in [1, 2, 4, 5].into_iter().filter(|writer| *writer != reader.0 + 1) {
-        scheduler.load_reported(
-            now,
-            ServerId(writer),
-            LoadReport { memory_share: Some(1.0), ..LoadReport::default() },
-        );
+    let prefill_server = prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+    let now = START + 50 * MILLISECOND;
+    for decode_server in
+        [1, 2, 4, 5].into_iter().filter(|decode_server| *decode_server != prefill_server.0 + 1)
+    {
+        scheduler.load_reported(now, ServerId(decode_server), memory_report(1.0));
     }
-    let gone = sent(scheduler.schedule(now, &mut sequence));
-    assert_eq!(gone.0, reader.0 + 1, "the only one with room");
-    // Its streams ended with it, so it looks as empty as before.
-    close(&mut scheduler, now, &mut sequence, Outcome::ConnectFailed);
-    assert_eq!(sent(scheduler.schedule(now, &mut sequence)).0, reader.0 + 2, "full, and there");
+    let unreachable = sent_to(scheduler.schedule(now, &mut sequence));
+    assert_eq!(unreachable.0, prefill_server.0 + 1, "the only one with capacity");
+    // Its answers ended with it, so it looks as empty as before.
+    finish_last_attempt(&mut scheduler, now, &mut sequence, Outcome::ConnectFailed);
+    assert_eq!(
+        sent_to(scheduler.schedule(now, &mut sequence)).0,
+        prefill_server.0 + 2,
+        "full, but reachable"
+    );
 }
 
 #[test]
-fn where_no_attempts_are_left_for_a_new_read_and_write_the_last_one_asks_for_the_state_that_may_wait() {
-    let mut scheduler = scheduler(deployment(), &fleet());
+fn last_attempt_decodes_where_none_is_left_to_prefill_again() {
+    let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
     let mut sequence = new_sequence(1, 0, START);
-    read(&mut scheduler, START, &mut sequence, 50 * MS);
-    let now = START + 50 * MS;
+    prefill(&mut scheduler, START, &mut sequence, 50 * MILLISECOND);
+    let now = START + 50 * MILLISECOND;
     for (step, outcome) in [(Step::Decode, Outcome::Reset), (Step::Prefill, Outcome::Reset)] {
-        sent(scheduler.schedule(now, &mut sequence));
+        sent_to(scheduler.schedule(now, &mut sequence));
         assert_eq!(sequence.attempts.last().map(|a| a.step), Some(step));
-        close(&mut scheduler, now, &mut sequence, outcome);
+        finish_last_attempt(&mut scheduler, now, &mut sequence, outcome);
     }
-    sent(scheduler.schedule(now, &mut sequence));
+    sent_to(scheduler.schedule(now, &mut sequence));
     assert_eq!((sequence.attempts.last().map(|a| a.step), sequence.attempts.len()), (Some(Step::Decode), 4));
 }
 
-/// Guards against a text that some conversations share being read at every reader, which pushes out all others.
+/// Guards against a prefix that some sessions share being prefilled at every server, which evicts all others.
 #[test]
-fn a_shared_text_has_a_few_home_readers_at_every_gateway_and_one_that_all_share_has_all() {
-    // Twenty cells of a reader and a writer.
-    let cell = |n: u64| Endpoint { zone: ZoneId(0), ..entry(n, (n % 2) as usize, (n / 2) as i64) };
+fn shared_prefix_has_few_replicas_unless_all_share_it() {
+    // Twenty cells of a prefill and a decode server.
+    let cell = |n: u64| Endpoint { zone: ZoneId(0), ..ready_endpoint(n, (n % 2) as usize, (n / 2) as i64) };
     let fleet: Vec<Endpoint> = (0..40).map(cell).collect();
-    for (alike, fewest, most) in [(false, 1, 8), (true, 14, 20)] {
-        let (mut readers, mut held) = (BTreeSet::new(), BTreeSet::new());
+    for (all_share, min_replicas, max_replicas) in [(false, 1, 8), (true, 14, 20)] {
+        let (mut replicas, mut cached) = (BTreeSet::new(), BTreeSet::new());
         for gateway in 0..60 {
             let mut scheduler = Scheduler::new(START, Deployment { gateways: 60, ..deployment() }, gateway);
             scheduler.update_endpoints(START, SnapshotKind::Cached, &fleet);
             for n in 0..=60 {
                 let mut sequence = new_sequence(gateway * 100 + n, 0, START);
-                let text = if n == 60 || alike { 77 } else { 1_000 + gateway * 100 + n };
+                let prefix = if n == 60 || all_share { 77 } else { 1_000 + gateway * 100 + n };
                 sequence.session = Some(SessionId(sequence.id.0));
-                (sequence.prefix, sequence.prefix_tokens) = (Some(PrefixId(text)), 800.0);
-                let reader = sent(scheduler.schedule(START, &mut sequence));
-                let found = !held.insert((reader, text));
-                let kept = if found { sequence.prefix_tokens } else { 0.0 };
-                close(
+                (sequence.prefix, sequence.prefix_tokens) = (Some(PrefixId(prefix)), 800.0);
+                let prefill_server = sent_to(scheduler.schedule(START, &mut sequence));
+                let found = !cached.insert((prefill_server, prefix));
+                let cached_tokens = if found { sequence.prefix_tokens } else { 0.0 };
+                finish_last_attempt(
                     &mut scheduler,
-                    START + MS,
+                    START + MILLISECOND,
                     &mut sequence,
-                    Outcome::PrefillDone { cached_tokens: kept },
+                    Outcome::PrefillDone { cached_tokens },
                 );
                 if n == 60 {
-                    readers.insert(reader);
+                    replicas.insert(prefill_server);
                 }
             }
         }
-        assert!((fewest..=most).contains(&readers.len()), "alike: {alike}, {readers:?}");
+        assert!(
+            (min_replicas..=max_replicas).contains(&replicas.len()),
+            "all share it: {all_share}, {replicas:?}"
+        );
     }
 }
 
 #[test]
-fn where_readers_are_few_a_text_that_is_rarely_sent_still_has_a_home() {
-    let fleet: Vec<Endpoint> = (0..8).map(|n| entry(n, (n % 2) as usize, 0)).collect();
+fn rare_prefix_keeps_a_replica_on_a_small_fleet() {
+    let fleet: Vec<Endpoint> = (0..8).map(|n| ready_endpoint(n, (n % 2) as usize, 0)).collect();
     let rare = |id| {
         let (session, prefix) = (Some(SessionId(999_999)), Some(PrefixId(77)));
         Sequence { session, prefix, prefix_tokens: 800.0, ..new_sequence(id, 0, START) }
     };
-    // A gateway that has sent many other texts of late.
-    let knowing = || {
-        let mut scheduler = scheduler(deployment(), &fleet);
+    // A gateway that has sent many other prefixes of late.
+    let experienced_scheduler = || {
+        let mut scheduler = new_scheduler(deployment(), &fleet);
         for n in 0..100 {
             let (session, prefix) = (Some(SessionId(n)), Some(PrefixId(1_000 + n)));
             let mut sequence =
                 Sequence { session, prefix, prefix_tokens: 800.0, ..new_sequence(n, 0, START) };
-            read(&mut scheduler, START, &mut sequence, MS);
+            prefill(&mut scheduler, START, &mut sequence, MILLISECOND);
         }
         scheduler
     };
-    let home = read(&mut knowing(), START, &mut rare(500), MS);
-    // A short read that is out there is less than what the home is hoped to have kept.
-    let mut scheduler = knowing();
+    let replica = prefill(&mut experienced_scheduler(), START, &mut rare(500), MILLISECOND);
+    // A short prefill that is in flight there is less work than what the replica is expected to have cached.
+    let mut scheduler = experienced_scheduler();
     for n in 600.. {
         let mut short =
             Sequence { session: Some(SessionId(n)), prompt_tokens: 100.0, ..new_sequence(n, 0, START) };
-        if sent(scheduler.schedule(START, &mut short)) == home {
+        if sent_to(scheduler.schedule(START, &mut short)) == replica {
             break;
         }
-        close(&mut scheduler, START + MS, &mut short, Outcome::PrefillDone { cached_tokens: 0.0 });
+        finish_last_attempt(&mut scheduler, START + MILLISECOND, &mut short, PREFILL_DONE);
     }
-    assert_eq!(sent(scheduler.schedule(START, &mut rare(501))), home);
+    assert_eq!(sent_to(scheduler.schedule(START, &mut rare(501))), replica);
 }
 
 #[test]
-fn a_heavy_prompt_uses_up_more_of_a_cold_servers_part_than_a_mean_one() {
-    let next = |tokens: f64| {
-        let mut scheduler = scheduler(deployment(), &fleet());
+fn long_prompt_uses_more_slow_start_budget() {
+    let pause_after = |tokens: f64| {
+        let mut scheduler = new_scheduler(deployment(), &two_cell_fleet());
         let mut now = START;
         for id in 0..200 {
-            now += 50 * MS;
+            now += 50 * MILLISECOND;
             let mut sequence = new_sequence(id, 0, now);
-            sent(scheduler.schedule(now, &mut sequence));
-            close(&mut scheduler, now, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
+            sent_to(scheduler.schedule(now, &mut sequence));
+            finish_last_attempt(&mut scheduler, now, &mut sequence, PREFILL_DONE);
         }
-        // One reader of two starts anew; how long after its first sequence it gets another.
+        // One prefill server of two restarts; how long after its first sequence it gets another.
         scheduler.update_endpoints(
             now,
             SnapshotKind::Delta,
-            &[Endpoint { started_at: now, ..entry(0, 0, 0) }],
+            &[Endpoint { started_at: now, ..ready_endpoint(0, 0, 0) }],
         );
         let mut first = None;
         for id in 1000.. {
-            now += 10 * MS;
+            now += 10 * MILLISECOND;
             let tokens = if first.is_none() { tokens } else { 1000.0 };
             let mut sequence = Sequence { prompt_tokens: tokens, ..new_sequence(id, 0, now) };
-            let reader = sent(scheduler.schedule(now, &mut sequence));
-            close(&mut scheduler, now, &mut sequence, Outcome::PrefillDone { cached_tokens: 0.0 });
+            let prefill_server = sent_to(scheduler.schedule(now, &mut sequence));
+            finish_last_attempt(&mut scheduler, now, &mut sequence, PREFILL_DONE);
             match first {
-                Some(first) if reader == ServerId(0) => return now - first,
-                None if reader == ServerId(0) => first = Some(now),
+                Some(first) if prefill_server == ServerId(0) => return now - first,
+                None if prefill_server == ServerId(0) => first = Some(now),
                 _ => {}
             }
         }
         unreachable!()
     };
-    let (mean, heavy) = (next(1000.0), next(6000.0));
-    assert!(heavy > 2 * mean, "{mean} after a mean one, {heavy} after a heavy one");
+    let (mean, long) = (pause_after(1000.0), pause_after(6000.0));
+    assert!(long > 2 * mean, "{mean} after a mean prompt, {long} after a long one");
 }
