--- a/gateway-core/src/cancellation_limits.rs
+++ b/gateway-core/src/cancellation_limits.rs
@@ -25,7 +25,7 @@
 /// Counts up to this are not worth tracking.
 const NEGLIGIBLE_COUNT: f64 = 0.5;
 
-/// Identifies a client: many may share an address, where known tenants are told apart.
+/// Identifies a client: many may share an address, and known tenants are distinguished there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId {
     /// Identifies the address that it connects from.
--- a/gateway-core/src/fingerprint.rs
+++ b/gateway-core/src/fingerprint.rs
@@ -41,7 +41,7 @@
     SessionId(hash_parts(&[tenant.as_bytes(), &[0], key.as_bytes()]))
 }
 
-/// Tells one request from another under the same idempotency key.
+/// Distinguishes requests under the same idempotency key.
 pub fn request_fingerprint(model: &str, prompt: &str, max_tokens: u32) -> u64 {
     hash_parts(&[model.as_bytes(), &max_tokens.to_le_bytes(), prompt.as_bytes()])
 }
--- a/gateway-core/src/idempotency.rs
+++ b/gateway-core/src/idempotency.rs
@@ -41,7 +41,7 @@
     TooLarge,
 }
 
-/// What is known of a key.
+/// What the store knows of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus<E> {
     /// Nothing; its request is in flight from now on.
--- a/gateway-core/src/token_estimate.rs
+++ b/gateway-core/src/token_estimate.rs
@@ -15,9 +15,9 @@
 
 /// One message of a conversation.
 pub struct Message<'a> {
-    /// Who speaks, in the API's word.
+    /// The role of its author, as the API names it.
     pub role: &'a str,
-    /// What is said.
+    /// Its text.
     pub text: &'a str,
 }
 
