--- a/prefix-index/benches/index.rs
+++ b/prefix-index/benches/index.rs
@@ -22,12 +22,12 @@
     let mut index = Index::new(200_000_000, 11);
     for number in 0..blocks / PROMPT as u64 {
         let server = ServerId(number % servers);
-        chain(number + 1).iter().for_each(|block| assert!(index.stored(server, *block)));
+        chain(number + 1).iter().for_each(|block| assert!(index.insert(server, *block)));
     }
     let hot = chain(0);
     for server in 0..servers {
         let depth = 1 + (server as usize * PROMPT) / servers as usize;
-        hot[..depth].iter().for_each(|block| assert!(index.stored(ServerId(server), *block)));
+        hot[..depth].iter().for_each(|block| assert!(index.insert(ServerId(server), *block)));
     }
     index
 }
@@ -37,14 +37,14 @@
     let mut index = filled(servers, blocks);
     eprintln!("{servers} servers: {:?}", index.size());
     let hot = chain(0);
-    bencher.bench_local(|| index.held(divan::black_box(&hot)).len());
+    bencher.bench_local(|| index.matches(divan::black_box(&hot)).len());
 }
 
 #[divan::bench(args = [1_000_000, 10_000_000, 100_000_000], sample_count = 20)]
 fn lookup_one_holder(bencher: Bencher, blocks: u64) {
     let mut index = filled(1_000, blocks);
     let own = chain(7);
-    bencher.bench_local(|| index.held(divan::black_box(&own)).len());
+    bencher.bench_local(|| index.matches(divan::black_box(&own)).len());
 }
 
 /// Blocks stored and removed again, each a new one.
@@ -53,7 +53,7 @@
     let mut index = filled(1_000, blocks);
     let own = chain(1 << 30);
     bencher.counter(ItemsCount::new(2 * PROMPT)).bench_local(|| {
-        own.iter().for_each(|block| assert!(index.stored(ServerId(3), *block)));
-        own.iter().rev().for_each(|block| index.removed(ServerId(3), *block));
+        own.iter().for_each(|block| assert!(index.insert(ServerId(3), *block)));
+        own.iter().rev().for_each(|block| index.remove(ServerId(3), *block));
     });
 }
--- a/prefix-index/src/lib.rs
+++ b/prefix-index/src/lib.rs
@@ -1,14 +1,15 @@
-//! Which model server still holds which prompt prefix, as the servers' own cache events tell.
+//! Which model server has which prompt prefix cached, as the servers' own cache events report.
 //!
-//! [`index`] holds it, block by block; [`feed`] puts one server's batches of events in order and says when what it
-//! tells can't be relied on; [`trust`] sets what was promised against what reads found. No I/O and no clock.
+//! [`index`] stores it block by block; [`event_feed`] puts one server's batches of events in order and says when its
+//! reports can't be relied on; [`trust`] compares what was promised with what prefills found. No I/O and no clock.
 //!
-//! A block is named by a hash that is chained over all before it, so that a name stands for a whole prefix.
+//! A block is identified by a hash that is chained over all blocks before it, so that it stands for a whole prefix.
 
-pub mod feed;
+pub mod event_feed;
 pub mod index;
+mod server_sets;
 pub mod trust;
 
-/// Names a block of a prompt and everything before it.
+/// Identifies a block of a prompt and everything before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BlockHash(pub u64);
--- a/prefix-index/src/trust.rs
+++ b/prefix-index/src/trust.rs
@@ -1,43 +1,46 @@
-//! What was promised against what was found: how far a server's word of what it holds can be relied on.
+//! How far a server's reports of its cache can be relied on: what was promised against what prefills found.
 //!
-//! A server that forgets without saying so would draw every turn of a session to it for nothing. So each read that
-//! went somewhere for what it should hold is a test of that server's word. A few lies cost it its credit; it comes
-//! back only by reads that find what was promised, to which it still gets by chance and by other reasons.
+//! A server that evicts blocks without reporting it would attract every turn of a session for nothing. So each prefill
+//! that was sent to a server for its cache tests that server's reports. A few false promises bring its score to zero; it
+//! recovers only by prefills that find what was promised, which it still gets by chance and for other reasons.
 
 use petrelshore::interface::ServerId;
 use std::collections::BTreeMap;
 
-/// How much one read that tests all of a promise moves the credit.
-const WEIGHT: f64 = 0.3;
-/// Promises below this many tokens test nothing: a block more or less is no lie.
-const LEAST: f64 = 64.0;
-/// Below this credit a server's word counts for nothing.
-const NONE_BELOW: f64 = 0.35;
+/// How much one prefill that tests all of a promise moves the score.
+const SMOOTHING: f64 = 0.3;
+/// Promises below this many tokens test nothing: a block more or less is no false promise.
+const MIN_TESTED_TOKENS: f64 = 64.0;
+/// Below this score a server's reports count for nothing.
+const MIN_SCORE: f64 = 0.35;
+/// The score of a server that was never tested.
+const INITIAL_SCORE: f64 = 1.0;
 
+/// A score for each server that was tested.
 #[derive(Debug, Default)]
 pub struct Trust {
-    credit: BTreeMap<ServerId, f64>,
+    scores: BTreeMap<ServerId, f64>,
 }
 
 impl Trust {
-    /// A read found so many kept tokens where so many were promised. More than promised is no lie.
-    pub fn found(&mut self, server: ServerId, promised: f64, kept: f64) {
-        if promised < LEAST {
+    /// A prefill found so many cached tokens where so many were promised. Finding more than promised is no fault.
+    pub fn record_prefill(&mut self, server: ServerId, promised_tokens: f64, cached_tokens: f64) {
+        if promised_tokens < MIN_TESTED_TOKENS {
             return;
         }
-        let share = (kept / promised).clamp(0.0, 1.0);
-        let credit = self.credit.entry(server).or_insert(1.0);
-        *credit += WEIGHT * (share - *credit);
+        let share = (cached_tokens / promised_tokens).clamp(0.0, 1.0);
+        let score = self.scores.entry(server).or_insert(INITIAL_SCORE);
+        *score += SMOOTHING * (share - *score);
     }
 
-    /// The part of a server's word that counts, from 0 to 1.
-    pub fn of(&self, server: ServerId) -> f64 {
-        let credit = self.credit.get(&server).copied().unwrap_or(1.0);
-        if credit < NONE_BELOW { 0.0 } else { credit }
+    /// The weight of a server's reports, from 0 to 1.
+    pub fn weight(&self, server: ServerId) -> f64 {
+        let score = self.scores.get(&server).copied().unwrap_or(INITIAL_SCORE);
+        if score < MIN_SCORE { 0.0 } else { score }
     }
 
-    /// A server started anew, or left: what it said before says nothing of it now.
-    pub fn forget(&mut self, server: ServerId) {
-        self.credit.remove(&server);
+    /// A server restarted, or left: what it reported before says nothing of it now.
+    pub fn reset(&mut self, server: ServerId) {
+        self.scores.remove(&server);
     }
 }
