--- a/chat-api/src/reply.rs
+++ b/chat-api/src/reply.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode, header};
 use petrelshore_chat_gateway::{FinalAnswer, Usage};
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
-use petrelshore_ingress::call::{Failed, Fault, Wrong};
+use petrelshore_ingress::error::{CallError, RequestError, RequestErrorKind};
 use serde_json::{Value, json};
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -84,15 +84,15 @@
     }
 }
 
-impl From<Wrong> for Error {
-    fn from(wrong: Wrong) -> Error {
-        let (status, code) = match wrong.what {
-            Fault::Unauthenticated => (401, Some("invalid_api_key")),
-            Fault::UnknownModel => (404, Some("model_not_found")),
-            Fault::Field | Fault::Malformed => (400, None),
-            Fault::Late => (408, None),
-            Fault::NoSuchPath => (404, None),
-            Fault::NoSuchMethod => (405, None),
+impl From<RequestError> for Error {
+    fn from(wrong: RequestError) -> Error {
+        let (status, code) = match wrong.kind {
+            RequestErrorKind::Unauthenticated => (401, Some("invalid_api_key")),
+            RequestErrorKind::UnknownModel => (404, Some("model_not_found")),
+            RequestErrorKind::InvalidField | RequestErrorKind::Malformed => (400, None),
+            RequestErrorKind::ReceiveTimeout => (408, None),
+            RequestErrorKind::UnknownPath => (404, None),
+            RequestErrorKind::UnknownMethod => (405, None),
         };
         let kind = if status == 401 { "authentication_error" } else { "invalid_request_error" };
         Error { status, kind, code, param: wrong.field, message: wrong.message, retry: Retry::Mended }
@@ -119,11 +119,11 @@
     }
 }
 
-impl From<Failed> for Error {
-    fn from(failed: Failed) -> Error {
+impl From<CallError> for Error {
+    fn from(failed: CallError) -> Error {
         match failed {
-            Failed::Wrong(wrong) => wrong.into(),
-            Failed::ErrorResponse(unanswered) => unanswered.into(),
+            CallError::InvalidRequest(wrong) => wrong.into(),
+            CallError::Unanswered(unanswered) => unanswered.into(),
         }
     }
 }
--- a/chat-api/src/request.rs
+++ b/chat-api/src/request.rs
@@ -2,7 +2,9 @@
 
 use petrelshore::interface::Nanos;
 use petrelshore_gateway_core::Relay;
-use petrelshore_ingress::call::{Call, Fault, Head, SAMPLING, Wrong, shortened};
+use petrelshore_ingress::call::{Call, ChatMessage, SAMPLING_FIELDS, truncated};
+use petrelshore_ingress::error::{RequestError, RequestErrorKind};
+use petrelshore_ingress::metadata::CallMetadata;
 use serde_json::{Map, Value};
 
 /// A body that is understood.
@@ -16,27 +18,31 @@
     ["tools", "tool_choice", "functions", "function_call", "logprobs", "top_logprobs", "audio", "modalities"];
 
 /// The client gives up after so many milliseconds: the head's own field for it.
-pub fn abandon_time<'a>(head: Head<'a>, told: Option<&str>) -> Result<Head<'a>, Wrong> {
+pub fn abandon_time<'a>(
+    head: CallMetadata<'a>,
+    told: Option<&str>,
+) -> Result<CallMetadata<'a>, RequestError> {
     match told.map(str::parse::<u64>) {
         None => Ok(head),
         Some(Ok(millis)) if millis > 0 => {
             let asked: Nanos = millis.saturating_mul(1_000_000);
-            Ok(Head { abandon_time: Some(asked), ..head })
+            Ok(CallMetadata { first_token_budget: Some(asked), ..head })
         }
-        Some(_) => Err(Wrong::field("x-abandon-ms", "must be a whole number of milliseconds")),
+        Some(_) => Err(RequestError::invalid_field("x-abandon-ms", "must be a whole number of milliseconds")),
     }
 }
 
-pub fn decode(body: &[u8]) -> Result<Chat, Wrong> {
-    let json: Value = serde_json::from_slice(body)
-        .map_err(|error| Wrong::new(Fault::Malformed, format!("the body is not JSON: {error}")))?;
+pub fn decode(body: &[u8]) -> Result<Chat, RequestError> {
+    let json: Value = serde_json::from_slice(body).map_err(|error| {
+        RequestError::new(RequestErrorKind::Malformed, format!("the body is not JSON: {error}"))
+    })?;
     let Value::Object(fields) = json else {
-        return Err(Wrong::new(Fault::Malformed, "the body is not a JSON object"));
+        return Err(RequestError::new(RequestErrorKind::Malformed, "the body is not a JSON object"));
     };
     let model = match fields.get("model") {
         Some(Value::String(model)) => model.clone(),
-        Some(_) => return Err(Wrong::field("model", "'model' must be a string")),
-        None => return Err(Wrong::field("model", "'model' is missing")),
+        Some(_) => return Err(RequestError::invalid_field("model", "'model' must be a string")),
+        None => return Err(RequestError::invalid_field("model", "'model' is missing")),
     };
     for name in UNMET {
         let asked = |value: &Value| match value {
@@ -46,15 +52,15 @@
             _ => true,
         };
         if fields.get(name).is_some_and(asked) {
-            return Err(Wrong::field(name, format!("'{name}' is not supported here")));
+            return Err(RequestError::invalid_field(name, format!("'{name}' is not supported here")));
         }
     }
     let text_only = |format: &Value| format.get("type").and_then(Value::as_str) == Some("text");
     if fields.get("response_format").is_some_and(|format| !format.is_null() && !text_only(format)) {
-        return Err(Wrong::field("response_format", "only the type 'text' is supported here"));
+        return Err(RequestError::invalid_field("response_format", "only the type 'text' is supported here"));
     }
     if whole(&fields, "n", 1, u64::MAX)?.is_some_and(|n| n != 1) {
-        return Err(Wrong::field("n", "only one choice is supported here: 'n' must be 1"));
+        return Err(RequestError::invalid_field("n", "only one choice is supported here: 'n' must be 1"));
     }
     let messages = messages(&fields)?;
     let asked = match whole(&fields, "max_completion_tokens", 1, u64::from(u32::MAX))? {
@@ -65,11 +71,17 @@
     let include_usage = match fields.get("stream_options") {
         None | Some(Value::Null) => false,
         Some(Value::Object(_)) if !stream => {
-            return Err(Wrong::field("stream_options", "'stream_options' needs 'stream' to be true"));
+            return Err(RequestError::invalid_field(
+                "stream_options",
+                "'stream_options' needs 'stream' to be true",
+            ));
+        }
+        Some(Value::Object(options)) => flag(options, "include_usage").map_err(|_| {
+            RequestError::invalid_field("stream_options.include_usage", "must be true or false")
+        })?,
+        Some(_) => {
+            return Err(RequestError::invalid_field("stream_options", "'stream_options' must be an object"));
         }
-        Some(Value::Object(options)) => flag(options, "include_usage")
-            .map_err(|_| Wrong::field("stream_options.include_usage", "must be true or false"))?,
-        Some(_) => return Err(Wrong::field("stream_options", "'stream_options' must be an object")),
     };
     let session = word(&fields, "prompt_cache_key")?.map(str::to_owned);
     let call = Call {
@@ -84,23 +96,24 @@
     Ok(Chat { call, include_usage })
 }
 
-fn messages(fields: &Map<String, Value>) -> Result<Vec<(String, String)>, Wrong> {
+fn messages(fields: &Map<String, Value>) -> Result<Vec<ChatMessage>, RequestError> {
     let messages = match fields.get("messages") {
         Some(Value::Array(messages)) if !messages.is_empty() => messages,
-        Some(Value::Array(_)) => return Err(Wrong::field("messages", "'messages' is empty")),
-        Some(_) => return Err(Wrong::field("messages", "'messages' must be an array")),
-        None => return Err(Wrong::field("messages", "'messages' is missing")),
+        Some(Value::Array(_)) => return Err(RequestError::invalid_field("messages", "'messages' is empty")),
+        Some(_) => return Err(RequestError::invalid_field("messages", "'messages' must be an array")),
+        None => return Err(RequestError::invalid_field("messages", "'messages' is missing")),
     };
     messages.iter().enumerate().map(|(index, message)| one_message(index, message)).collect()
 }
 
-fn one_message(index: usize, message: &Value) -> Result<(String, String), Wrong> {
+fn one_message(index: usize, message: &Value) -> Result<ChatMessage, RequestError> {
     let at = |field: &str| format!("messages[{index}].{field}");
     let role = message.get("role").and_then(Value::as_str);
-    let role = role.ok_or_else(|| Wrong::field(&at("role"), "'role' is missing or not a string"))?;
+    let role =
+        role.ok_or_else(|| RequestError::invalid_field(&at("role"), "'role' is missing or not a string"))?;
     if !matches!(role, "system" | "developer" | "user" | "assistant" | "tool") {
-        let message = format!("'{}' is not a role of this API", shortened(role));
-        return Err(Wrong::field(&at("role"), message));
+        let message = format!("'{}' is not a role of this API", truncated(role));
+        return Err(RequestError::invalid_field(&at("role"), message));
     }
     let text = match message.get("content") {
         Some(Value::String(text)) => text.clone(),
@@ -111,23 +124,31 @@
                 match (part.get("type").and_then(Value::as_str), part.get("text").and_then(Value::as_str)) {
                     (Some("text"), Some(words)) => text.push_str(words),
                     (Some("text"), None) => {
-                        return Err(Wrong::field(&place, "a text part needs 'text'"));
+                        return Err(RequestError::invalid_field(&place, "a text part needs 'text'"));
                     }
                     _ => {
-                        return Err(Wrong::field(&place, "only parts of the type 'text' are supported here"));
+                        return Err(RequestError::invalid_field(
+                            &place,
+                            "only parts of the type 'text' are supported here",
+                        ));
                     }
                 }
             }
             text
         }
         Some(Value::Null) if role == "assistant" => String::new(),
-        _ => return Err(Wrong::field(&at("content"), "'content' must be a string or an array of parts")),
+        _ => {
+            return Err(RequestError::invalid_field(
+                &at("content"),
+                "'content' must be a string or an array of parts",
+            ));
+        }
     };
-    Ok((role.to_owned(), text))
+    Ok(ChatMessage { role: role.to_owned(), text })
 }
 
-fn stops(fields: &Map<String, Value>) -> Result<Vec<String>, Wrong> {
-    let wrong = || Wrong::field("stop", "'stop' must be a string or up to four strings");
+fn stops(fields: &Map<String, Value>) -> Result<Vec<String>, RequestError> {
+    let wrong = || RequestError::invalid_field("stop", "'stop' must be a string or up to four strings");
     match fields.get("stop") {
         None | Some(Value::Null) => Ok(Vec::new()),
         Some(Value::String(stop)) => Ok(vec![stop.clone()]),
@@ -138,50 +159,56 @@
     }
 }
 
-fn sampling(fields: &Map<String, Value>) -> Result<Map<String, Value>, Wrong> {
+fn sampling(fields: &Map<String, Value>) -> Result<Map<String, Value>, RequestError> {
     let mut chosen = Map::new();
-    for (name, least, most) in SAMPLING {
-        match fields.get(name) {
+    for field in SAMPLING_FIELDS {
+        match fields.get(field.name) {
             None | Some(Value::Null) => {}
             Some(value) if value.is_number() => {
-                chosen.insert(name.to_owned(), value.clone());
-            }
-            Some(_) => {
-                return Err(Wrong::field(name, format!("'{name}' must be a number from {least} to {most}")));
+                chosen.insert(field.name.to_owned(), value.clone());
             }
+            Some(_) => return Err(field.error()),
         }
     }
     if let Some(seed) = fields.get("seed").filter(|seed| !seed.is_null()) {
         if !seed.is_i64() && !seed.is_u64() {
-            return Err(Wrong::field("seed", "'seed' must be a whole number"));
+            return Err(RequestError::invalid_field("seed", "'seed' must be a whole number"));
         }
         chosen.insert("seed".to_owned(), seed.clone());
     }
     Ok(chosen)
 }
 
-fn whole(fields: &Map<String, Value>, name: &str, least: u64, most: u64) -> Result<Option<u64>, Wrong> {
+fn whole(
+    fields: &Map<String, Value>,
+    name: &str,
+    least: u64,
+    most: u64,
+) -> Result<Option<u64>, RequestError> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(None),
         Some(value) => match value.as_u64().filter(|number| (least..=most).contains(number)) {
             Some(number) => Ok(Some(number)),
-            None => Err(Wrong::field(name, format!("'{name}' must be a whole number of {least} or more"))),
+            None => Err(RequestError::invalid_field(
+                name,
+                format!("'{name}' must be a whole number of {least} or more"),
+            )),
         },
     }
 }
 
-fn flag(fields: &Map<String, Value>, name: &str) -> Result<bool, Wrong> {
+fn flag(fields: &Map<String, Value>, name: &str) -> Result<bool, RequestError> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(value)) => Ok(*value),
-        Some(_) => Err(Wrong::field(name, format!("'{name}' must be true or false"))),
+        Some(_) => Err(RequestError::invalid_field(name, format!("'{name}' must be true or false"))),
     }
 }
 
-fn word<'a>(fields: &'a Map<String, Value>, name: &str) -> Result<Option<&'a str>, Wrong> {
+fn word<'a>(fields: &'a Map<String, Value>, name: &str) -> Result<Option<&'a str>, RequestError> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(None),
         Some(Value::String(word)) => Ok(Some(word)),
-        Some(_) => Err(Wrong::field(name, format!("'{name}' must be a string"))),
+        Some(_) => Err(RequestError::invalid_field(name, format!("'{name}' must be a string"))),
     }
 }
--- a/chat-api/src/serve.rs
+++ b/chat-api/src/serve.rs
@@ -16,8 +16,10 @@
 use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_gateway_core::{FailureReason, Relay};
-use petrelshore_ingress::call::{self, Failed, Fault, Head, Wrong};
+use petrelshore_ingress::call::{self, CallContext};
+use petrelshore_ingress::error::{CallError, RequestError, RequestErrorKind};
 use petrelshore_ingress::listener::{BodyReservation, ClientGuard, Ingress, Listener, stall_timeout};
+use petrelshore_ingress::metadata::{self, CallMetadata};
 use petrelshore_ingress::stall::StallGuard;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use std::convert::Infallible;
@@ -74,26 +76,26 @@
             models(request.headers(), &gateway, path.strip_prefix("/v1/models/"))
         }
         (_, "/v1/chat/completions" | "/v1/models") => {
-            wrong(Fault::NoSuchMethod, format!("{} is not allowed at {path}", request.method()))
+            wrong(RequestErrorKind::UnknownMethod, format!("{} is not allowed at {path}", request.method()))
         }
-        _ => wrong(Fault::NoSuchPath, format!("there is nothing at {}", call::shortened(&path))),
+        _ => wrong(RequestErrorKind::UnknownPath, format!("there is nothing at {}", call::truncated(&path))),
     }
 }
 
-fn wrong(what: Fault, message: impl Into<String>) -> Reply {
-    Error::from(Wrong::new(what, message)).reply()
+fn wrong(what: RequestErrorKind, message: impl Into<String>) -> Reply {
+    Error::from(RequestError::new(what, message)).reply()
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn head(headers: &HeaderMap) -> Head<'_> {
-    Head::of(|name| text(headers, name))
+fn head(headers: &HeaderMap) -> CallMetadata<'_> {
+    CallMetadata::from_fields(|name| text(headers, name))
 }
 
 fn models(headers: &HeaderMap, gateway: &Gateway, one: Option<&str>) -> Reply {
-    if let Err(wrong) = call::caller(gateway.settings(), &head(headers)) {
+    if let Err(wrong) = metadata::authenticate(gateway.settings(), &head(headers)) {
         return Error::from(wrong).reply();
     }
     let names = gateway.settings().traffic.iter().flat_map(|traffic| traffic.models.iter());
@@ -105,26 +107,32 @@
         }
         Some(one) => match names.into_iter().find(|name| name.as_str() == one) {
             Some(name) => reply::json_reply(200, &entry(name)),
-            None => wrong(Fault::NoSuchPath, "this model does not exist here"),
+            None => wrong(RequestErrorKind::UnknownPath, "this model does not exist here"),
         },
     }
 }
 
 /// The way of one chat request: its body whole, understood, taken, answered.
-async fn chat(request: Request<Incoming>, inside: &ClientGuard, gateway: Gateway) -> Result<Reply, Failed> {
+async fn chat(
+    request: Request<Incoming>,
+    inside: &ClientGuard,
+    gateway: Gateway,
+) -> Result<Reply, CallError> {
     let arrived = gateway.clock().now();
     let settings = gateway.settings();
     let headers = request.headers().clone();
     let head = request::abandon_time(head(&headers), text(&headers, "x-abandon-ms"))?;
-    let tenant = call::caller(settings, &head)?;
+    let tenant = metadata::authenticate(settings, &head)?;
     let (body, room) = body(request.into_body(), inside, settings.limits.body_time).await?;
     let Chat { call, include_usage } = request::decode(&body)?;
-    let ask = call::ask(settings, &head, tenant, inside.client, arrived, call)?;
+    let context =
+        CallContext { settings, metadata: &head, tenant, client: inside.client, arrived_at: arrived };
+    let ask = context.prepare(call)?;
     drop((body, room));
     let (model, streamed) = (ask.request.model.clone(), ask.request.relay == Relay::Streamed);
     let mut answer = gateway.accept(ask)?;
     let id = format!("chatcmpl-{:016x}", answer.id().0);
-    let created = call::seconds(arrived);
+    let created = call::unix_seconds(arrived);
     let mut reply = if streamed {
         // The status waits for the first token: a sequence that is rejected must not look begun.
         let first = answer.next().await;
@@ -191,14 +199,15 @@
     mut incoming: Incoming,
     inside: &ClientGuard,
     within: Nanos,
-) -> Result<(Vec<u8>, BodyReservation), Failed> {
+) -> Result<(Vec<u8>, BodyReservation), CallError> {
     let mut room = inside.reserve_body();
     let read = async {
         let told = usize::try_from(incoming.size_hint().lower()).unwrap_or(usize::MAX);
         room.grow_to(told)?;
         let mut whole = Vec::with_capacity(told);
         while let Some(frame) = incoming.frame().await {
-            let frame = frame.map_err(|_| Wrong::new(Fault::Malformed, "the body ended early"))?;
+            let frame =
+                frame.map_err(|_| RequestError::new(RequestErrorKind::Malformed, "the body ended early"))?;
             let bytes = frame.into_data().unwrap_or_default();
             room.grow_to(whole.len() + bytes.len())?;
             whole.extend_from_slice(&bytes);
@@ -207,7 +216,10 @@
     };
     let late = async {
         Timer::after(Duration::from_nanos(within)).await;
-        Err(Failed::from(Wrong::new(Fault::Late, "the body was not whole in time")))
+        Err(CallError::from(RequestError::new(
+            RequestErrorKind::ReceiveTimeout,
+            "the body was not whole in time",
+        )))
     };
     let whole = future::or(read, late).await?;
     Ok((whole, room))
--- a/grpc-api/src/exchange.rs
+++ b/grpc-api/src/exchange.rs
@@ -15,7 +15,9 @@
 use petrelshore_gateway_core::capacity::WHOLE_ANSWER;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
 use petrelshore_gateway_core::{FailureReason, Relay, timeouts};
-use petrelshore_ingress::call::{self, Fault, Wrong};
+use petrelshore_ingress::call::{self, CallContext};
+use petrelshore_ingress::error::{RequestError, RequestErrorKind};
+use petrelshore_ingress::metadata;
 use prost::Message;
 use std::task::{Context, Poll};
 use tonic::Status;
@@ -64,7 +66,11 @@
 }
 
 fn no_such(path: &str) -> Told {
-    Wrong::new(Fault::NoSuchMethod, format!("there is nothing at {}", call::shortened(path))).into()
+    RequestError::new(
+        RequestErrorKind::UnknownMethod,
+        format!("there is nothing at {}", call::truncated(path)),
+    )
+    .into()
 }
 
 async fn chat(
@@ -77,18 +83,20 @@
     let gateway = reply.place.line.gateway.clone();
     let settings = gateway.settings();
     let head = request::head(headers)?;
-    let tenant = call::caller(settings, &head)?;
-    reply.whole_by = head.whole_within.map(|whole| timeouts::first_token_deadline(arrived, whole));
+    let tenant = metadata::authenticate(settings, &head)?;
+    reply.whole_by = head.completion_budget.map(|whole| timeouts::first_token_deadline(arrived, whole));
     let asked: v1::ChatRequest = reply.one(&mut incoming).await?;
     let call = request::call(asked, relay)?;
-    let ask = call::ask(settings, &head, tenant, reply.place.line.inside.client, arrived, call)?;
+    let client = reply.place.line.inside.client;
+    let context = CallContext { settings, metadata: &head, tenant, client, arrived_at: arrived };
+    let ask = context.prepare(call)?;
     drop(incoming);
     // A reset that came with the request must find it before it makes any work.
     future::yield_now().await;
     reply.there()?;
     let model = ask.request.model.to_string();
     let answer = gateway.accept(ask)?;
-    let (id, created) = (format!("{:016x}", answer.id().0), call::seconds(arrived) as i64);
+    let (id, created) = (format!("{:016x}", answer.id().0), call::unix_seconds(arrived) as i64);
     match relay {
         Relay::Streamed | Relay::Passthrough => stream(reply, answer, v1::Begun { id, model, created }).await,
         Relay::Buffered => whole(reply, answer, v1::Begun { id, model, created }).await,
@@ -171,7 +179,7 @@
 
 async fn models(reply: &mut Reply, headers: &HeaderMap, mut incoming: Incoming) -> Result<(), Told> {
     let gateway = reply.place.line.gateway.clone();
-    call::caller(gateway.settings(), &request::head(headers)?)?;
+    metadata::authenticate(gateway.settings(), &request::head(headers)?)?;
     let v1::ListModelsRequest {} = reply.one(&mut incoming).await?;
     let models = gateway.settings().traffic.iter().flat_map(|traffic| traffic.models.iter().cloned());
     reply.only(&v1::ListModelsResponse { models: models.collect() }).await
@@ -228,10 +236,11 @@
         let until = clock.instant(self.whole_by.map_or(within, |by| by.min(within)));
         let late = async {
             Timer::at(until).await;
-            Err(Wrong::new(Fault::Late, "the request was not whole in time").into())
+            Err(RequestError::new(RequestErrorKind::ReceiveTimeout, "the request was not whole in time")
+                .into())
         };
         let asked = self.unless_gone(future::or(incoming.next(), late)).await??;
-        asked.ok_or_else(|| Wrong::new(Fault::Malformed, "the call has no message").into())
+        asked.ok_or_else(|| RequestError::new(RequestErrorKind::Malformed, "the call has no message").into())
     }
 
     fn poll_gone(&mut self, context: &mut Context<'_>) -> Poll<()> {
--- a/grpc-api/src/message.rs
+++ b/grpc-api/src/message.rs
@@ -3,7 +3,7 @@
 use crate::status::Told;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use h2::RecvStream;
-use petrelshore_ingress::call::{Failed, Fault, Wrong};
+use petrelshore_ingress::error::{CallError, RequestError, RequestErrorKind};
 use petrelshore_ingress::listener::BodyReservation;
 use prost::Message;
 use tonic::Status;
@@ -56,7 +56,7 @@
             return Err(Told::Status(Status::unimplemented("messages can't be compressed here")));
         }
         // Its length is judged before any of it is read.
-        self.room.grow_to(HEAD + length).map_err(Failed::from)?;
+        self.room.grow_to(HEAD + length).map_err(CallError::from)?;
         while self.part.len() < HEAD + length {
             if !self.more().await? {
                 return Err(malformed("the stream ended within a message").into());
@@ -70,7 +70,7 @@
     async fn more(&mut self) -> Result<bool, Told> {
         match self.stream.data().await {
             Some(Ok(bytes)) => {
-                self.room.grow_to(self.part.len() + bytes.len()).map_err(Failed::from)?;
+                self.room.grow_to(self.part.len() + bytes.len()).map_err(CallError::from)?;
                 self.part.extend_from_slice(&bytes);
                 // The client may send as much again: what it sends is bounded by the room, not by the window.
                 let _ = self.stream.flow_control().release_capacity(bytes.len());
@@ -82,6 +82,7 @@
     }
 }
 
-fn malformed(what: &str) -> Failed {
-    Wrong::new(Fault::Malformed, format!("the request message can't be read: {what}")).into()
+fn malformed(what: &str) -> CallError {
+    RequestError::new(RequestErrorKind::Malformed, format!("the request message can't be read: {what}"))
+        .into()
 }
--- a/grpc-api/src/request.rs
+++ b/grpc-api/src/request.rs
@@ -5,7 +5,9 @@
 use http::HeaderMap;
 use petrelshore::interface::Nanos;
 use petrelshore_gateway_core::Relay;
-use petrelshore_ingress::call::{Call, Head, Wrong};
+use petrelshore_ingress::call::{Call, ChatMessage};
+use petrelshore_ingress::error::RequestError;
+use petrelshore_ingress::metadata::CallMetadata;
 use serde_json::{Map, Value};
 use tonic::Status;
 
@@ -16,18 +18,23 @@
 }
 
 /// What a call's metadata tells. Its whole time is also how long it waits for a first token.
-pub fn head(headers: &HeaderMap) -> Result<Head<'_>, Told> {
-    let whole_within = text(headers, "grpc-timeout").map(timeout).transpose()?;
+pub fn head(headers: &HeaderMap) -> Result<CallMetadata<'_>, Told> {
+    let completion_budget = text(headers, "grpc-timeout").map(timeout).transpose()?;
     let packed = text(headers, "grpc-encoding").is_some_and(|encoding| encoding != "identity");
     if packed {
         return Err(Told::Status(Status::unimplemented("messages can't be compressed here")));
     }
-    Ok(Head { abandon_time: whole_within, whole_within, ..Head::of(|name| text(headers, name)) })
+    Ok(CallMetadata {
+        first_token_budget: completion_budget,
+        completion_budget,
+        ..CallMetadata::from_fields(|name| text(headers, name))
+    })
 }
 
 /// A time as the protocol gives it: up to eight digits and a unit.
-fn timeout(text: &str) -> Result<Nanos, Wrong> {
-    let wrong = || Wrong::field("grpc-timeout", "must be 1 to 8 digits and one of H, M, S, m, u, n");
+fn timeout(text: &str) -> Result<Nanos, RequestError> {
+    let wrong =
+        || RequestError::invalid_field("grpc-timeout", "must be 1 to 8 digits and one of H, M, S, m, u, n");
     let (digits, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or_else(wrong)?;
     let unit: Nanos = match unit {
         "H" => 3_600_000_000_000,
@@ -44,12 +51,15 @@
     digits.parse::<Nanos>().map(|number| number.saturating_mul(unit)).map_err(|_| wrong())
 }
 
-pub fn call(request: v1::ChatRequest, relay: Relay) -> Result<Call, Wrong> {
+pub fn call(request: v1::ChatRequest, relay: Relay) -> Result<Call, RequestError> {
     if request.model.is_empty() {
-        return Err(Wrong::field("model", "'model' is missing"));
+        return Err(RequestError::invalid_field("model", "'model' is missing"));
     }
     if request.max_tokens == Some(0) {
-        return Err(Wrong::field("max_tokens", "'max_tokens' must be a whole number of 1 or more"));
+        return Err(RequestError::invalid_field(
+            "max_tokens",
+            "'max_tokens' must be a whole number of 1 or more",
+        ));
     }
     let messages = request.messages.into_iter().enumerate().map(|(index, message)| {
         let role = match message.role() {
@@ -60,10 +70,10 @@
             v1::Role::Tool => "tool",
             v1::Role::Unspecified => {
                 let place = format!("messages[{index}].role");
-                return Err(Wrong::field(&place, "'role' is missing or unknown"));
+                return Err(RequestError::invalid_field(&place, "'role' is missing or unknown"));
             }
         };
-        Ok((role.to_owned(), message.text))
+        Ok(ChatMessage { role: role.to_owned(), text: message.text })
     });
     let mut sampling = Map::new();
     let numbers = [
@@ -75,7 +85,7 @@
     for (name, number) in numbers {
         let Some(number) = number else { continue };
         let value = serde_json::Number::from_f64(number)
-            .ok_or_else(|| Wrong::field(name, format!("'{name}' must be a number")))?;
+            .ok_or_else(|| RequestError::invalid_field(name, format!("'{name}' must be a number")))?;
         sampling.insert(name.to_owned(), Value::Number(value));
     }
     if let Some(seed) = request.seed {
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -6,7 +6,7 @@
 
 use petrelshore_gateway_core::FailureReason;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
-use petrelshore_ingress::call::{Failed, Fault, Wrong};
+use petrelshore_ingress::error::{CallError, RequestError, RequestErrorKind};
 use std::time::Duration;
 use tonic::metadata::{MetadataMap, MetadataValue};
 use tonic::{Code, Status};
@@ -17,35 +17,37 @@
 
 /// Why a call ends without an answer.
 pub enum Told {
-    Failed(Failed),
+    Failed(CallError),
     /// What only this protocol knows.
     Status(Status),
     /// Nobody is there to be told.
     Gone,
 }
 
-impl<F: Into<Failed>> From<F> for Told {
+impl<F: Into<CallError>> From<F> for Told {
     fn from(failed: F) -> Told {
         Told::Failed(failed.into())
     }
 }
 
-pub fn status_of(failed: &Failed) -> Status {
+pub fn status_of(failed: &CallError) -> Status {
     match failed {
-        Failed::Wrong(wrong) => of_wrong(wrong),
-        Failed::ErrorResponse(unanswered) => of_unanswered(unanswered),
+        CallError::InvalidRequest(wrong) => of_wrong(wrong),
+        CallError::Unanswered(unanswered) => of_unanswered(unanswered),
     }
 }
 
-fn of_wrong(wrong: &Wrong) -> Status {
-    let (code, reason) = match wrong.what {
-        Fault::Unauthenticated => (Code::Unauthenticated, "INVALID_API_KEY"),
-        Fault::UnknownModel => (Code::NotFound, "MODEL_NOT_FOUND"),
-        Fault::Field => (Code::InvalidArgument, "INVALID_FIELD"),
+fn of_wrong(wrong: &RequestError) -> Status {
+    let (code, reason) = match wrong.kind {
+        RequestErrorKind::Unauthenticated => (Code::Unauthenticated, "INVALID_API_KEY"),
+        RequestErrorKind::UnknownModel => (Code::NotFound, "MODEL_NOT_FOUND"),
+        RequestErrorKind::InvalidField => (Code::InvalidArgument, "INVALID_FIELD"),
         // As the protocol has it for messages that can't be parsed.
-        Fault::Malformed => (Code::Internal, "MALFORMED"),
-        Fault::Late => (Code::DeadlineExceeded, "REQUEST_LATE"),
-        Fault::NoSuchPath | Fault::NoSuchMethod => (Code::Unimplemented, "NO_SUCH_METHOD"),
+        RequestErrorKind::Malformed => (Code::Internal, "MALFORMED"),
+        RequestErrorKind::ReceiveTimeout => (Code::DeadlineExceeded, "REQUEST_LATE"),
+        RequestErrorKind::UnknownPath | RequestErrorKind::UnknownMethod => {
+            (Code::Unimplemented, "NO_SUCH_METHOD")
+        }
     };
     let mut details = ErrorDetails::with_error_info(reason, DOMAIN, []);
     if let Some(field) = &wrong.field {
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -1,229 +1,205 @@
-//! From a decoded call to what the gateway is asked. What is wrong is named by its field.
+//! From a decoded call to a request for the gateway. Errors name the field to blame.
 
-use petrelshore::interface::*;
+use crate::error::{RequestError, RequestErrorKind};
+use crate::metadata::CallMetadata;
+use petrelshore::interface::{Nanos, SessionId, TenantId, TrafficTypeId};
 use petrelshore_chat_gateway::{Ask, Request};
 use petrelshore_gateway_core::Relay;
-use petrelshore_gateway_core::error_response::ErrorResponse;
 use petrelshore_gateway_core::fingerprint;
 use petrelshore_gateway_core::token_estimate::{self, Message};
 use petrelshore_settings::Settings;
 use serde_json::{Map, Value};
 use std::rc::Rc;
 
-/// Sampling fields that are handed on to the model server, with the range that the chat API gives them.
-pub const SAMPLING: [(&str, f64, f64); 4] = [
-    ("temperature", 0.0, 2.0),
-    ("top_p", 0.0, 1.0),
-    ("presence_penalty", -2.0, 2.0),
-    ("frequency_penalty", -2.0, 2.0),
-];
-const MOST_MESSAGES: usize = 4096;
-const MOST_STOPS: usize = 4;
-const LONGEST_NAME: usize = 255;
-/// A client's own words in a message are cut to this, so that an answer is never larger than its question.
-const SHORT: usize = 64;
-
-/// What is wrong with a request, for its client.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
-    pub what: Fault,
-    /// The field to blame, as its protocol names it.
-    pub field: Option<String>,
-    pub message: String,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// No key, or one that is not known.
-    Unauthenticated,
-    UnknownModel,
-    /// A field is missing or out of its range.
-    Field,
-    /// The whole can't be read.
-    Malformed,
-    /// It was not whole in time.
-    Late,
-    NoSuchPath,
-    NoSuchMethod,
+/// A sampling parameter that is passed to the model server, with the range that the chat API gives it.
+#[derive(Clone, Copy, Debug)]
+pub struct SamplingField {
+    /// Its name in the chat API.
+    pub name: &'static str,
+    /// The lowest value allowed.
+    pub min: f64,
+    /// The highest value allowed.
+    pub max: f64,
 }
 
-impl Wrong {
-    pub fn new(what: Fault, message: impl Into<String>) -> Self {
-        Wrong { what, field: None, message: message.into() }
-    }
-
-    pub fn field(field: &str, message: impl Into<String>) -> Self {
-        Wrong { what: Fault::Field, field: Some(field.to_owned()), message: message.into() }
+impl SamplingField {
+    /// The error for a value that is no number or out of range.
+    pub fn error(&self) -> RequestError {
+        let SamplingField { name, min, max } = self;
+        RequestError::invalid_field(name, format!("'{name}' must be a number from {min} to {max}"))
     }
 }
 
-/// Why a call got no answer, whatever front it came by.
+/// Every sampling parameter that has a range.
+pub const SAMPLING_FIELDS: [SamplingField; 4] = [
+    SamplingField { name: "temperature", min: 0.0, max: 2.0 },
+    SamplingField { name: "top_p", min: 0.0, max: 1.0 },
+    SamplingField { name: "presence_penalty", min: -2.0, max: 2.0 },
+    SamplingField { name: "frequency_penalty", min: -2.0, max: 2.0 },
+];
+const MAX_MESSAGES: usize = 4096;
+const MAX_STOP_SEQUENCES: usize = 4;
+/// Bounds idempotency keys, session names and stop sequences.
+const MAX_IDENTIFIER_BYTES: usize = 255;
+/// A client's own text in an error message is cut to this, so that an answer is never larger than its request.
+const MAX_QUOTED_CHARS: usize = 64;
+/// What the markers of one message in a prompt take, about.
+const MESSAGE_MARKER_BYTES: usize = 24;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
+/// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failed {
-    Wrong(Wrong),
-    ErrorResponse(ErrorResponse),
-}
-
-impl From<Wrong> for Failed {
-    fn from(wrong: Wrong) -> Failed {
-        Failed::Wrong(wrong)
-    }
-}
-
-impl<U: Into<ErrorResponse>> From<U> for Failed {
-    fn from(unanswered: U) -> Failed {
-        Failed::ErrorResponse(unanswered.into())
-    }
-}
-
-/// What a call's head told, by the same names in every front.
-#[derive(Clone, Copy, Default)]
-pub struct Head<'a> {
-    pub authorization: Option<&'a str>,
-    pub idempotency_key: Option<&'a str>,
-    pub session: Option<&'a str>,
-    /// Names the traffic type, where one model serves several.
-    pub traffic: Option<&'a str>,
-    /// The client waits for a first token for so long; it may only shorten what the traffic type allows.
-    pub abandon_time: Option<Nanos>,
-    /// It waits for the whole answer for so long.
-    pub whole_within: Option<Nanos>,
+pub struct ChatMessage {
+    /// Who wrote it, by the chat API's names of roles.
+    pub role: String,
+    /// Its content.
+    pub text: String,
 }
 
-impl<'a> Head<'a> {
-    /// From a lookup of header or metadata fields; times are each front's own.
-    pub fn of(field: impl Fn(&str) -> Option<&'a str>) -> Self {
-        Head {
-            authorization: field("authorization"),
-            idempotency_key: field("idempotency-key"),
-            session: field("x-session-id"),
-            traffic: field("x-traffic-type"),
-            abandon_time: None,
-            whole_within: None,
-        }
-    }
-}
-
-/// A chat call, as its front decoded it.
+/// A chat call, as its API decoded it.
 pub struct Call {
+    /// The model that is asked for.
     pub model: String,
-    /// Roles and texts.
-    pub messages: Vec<(String, String)>,
+    /// The conversation, oldest message first.
+    pub messages: Vec<ChatMessage>,
+    /// The longest answer asked for; the traffic type bounds it.
     pub max_tokens: Option<u64>,
+    /// The answer ends before the first of these.
     pub stop: Vec<String>,
-    /// By the names of the chat API.
+    /// Sampling parameters by their names in the chat API.
     pub sampling: Map<String, Value>,
-    /// Comes before what the head tells.
+    /// Names a session; takes precedence over the one in the metadata.
     pub session: Option<String>,
+    /// How the answer is relayed to the client.
     pub relay: Relay,
 }
 
-/// Who calls: a tenant, or nobody in particular where the settings are open.
-pub fn caller(settings: &Settings, head: &Head) -> Result<Option<TenantId>, Wrong> {
-    let key = head.authorization.and_then(|value| value.strip_prefix("Bearer ")).map(str::trim);
-    match key.and_then(|key| settings.tenant(key)) {
-        Some(tenant) => Ok(Some(tenant)),
-        None if settings.open => Ok(None),
-        None => Err(Wrong::new(
-            Fault::Unauthenticated,
-            match key {
-                Some(_) => "this API key is not known here",
-                None => "an API key is needed: Authorization: Bearer KEY",
-            },
-        )),
-    }
+/// Where a call comes from, and the settings that it is validated against.
+pub struct CallContext<'a> {
+    /// The gateway's settings.
+    pub settings: &'a Settings,
+    /// The call's header or metadata fields.
+    pub metadata: &'a CallMetadata<'a>,
+    /// The authenticated tenant, if any.
+    pub tenant: Option<TenantId>,
+    /// Identifies the client's address.
+    pub client: u64,
+    /// When the call arrived.
+    pub arrived_at: Nanos,
 }
 
-/// Checks a call and makes it ready for the gateway.
-pub fn ask(
-    settings: &Settings,
-    head: &Head,
-    tenant: Option<TenantId>,
-    client: u64,
-    arrived: Nanos,
-    call: Call,
-) -> Result<Ask, Wrong> {
-    let by_model = settings.model(&call.model).ok_or_else(|| Wrong {
-        what: Fault::UnknownModel,
-        field: Some("model".to_owned()),
-        message: format!("the model '{}' does not exist here", shortened(&call.model)),
-    })?;
-    let traffic = match head.traffic {
-        None => by_model,
-        Some(name) => settings.traffic_type(name).ok_or_else(|| {
-            Wrong::field("x-traffic-type", format!("'{}' is no traffic type here", shortened(name)))
-        })?,
-    };
-    check(&call)?;
-    let idempotency_key = match head.idempotency_key {
-        Some(key) if key.is_empty() || key.len() > LONGEST_NAME => {
-            return Err(Wrong::field("Idempotency-Key", "must have 1 to 255 characters"));
+impl CallContext<'_> {
+    /// Validates a call and makes it ready for the gateway.
+    pub fn prepare(&self, call: Call) -> Result<Ask, RequestError> {
+        let traffic = self.traffic_type(&call.model)?;
+        validate(&call)?;
+        let idempotency_key = self.idempotency_key()?;
+        let kind = &self.settings.traffic[traffic.0];
+        let max_tokens = u64::from(kind.max_tokens);
+        let first_token_budget = self.metadata.first_token_budget;
+        let request = Request {
+            traffic,
+            tenant: self.tenant,
+            session: self.session(&call),
+            estimate: estimated_tokens(&call.messages),
+            model: Rc::from(call.model.as_str()),
+            prompt: Rc::from(rendered(&call.messages)),
+            max_tokens: call.max_tokens.unwrap_or(max_tokens).min(max_tokens) as u32,
+            idempotency_key,
+            relay: call.relay,
+            client: self.client,
+            first_token_budget: first_token_budget
+                .map_or(kind.abandon_time, |asked| asked.min(kind.abandon_time)),
+            completion_budget: self.metadata.completion_budget,
+            arrived_at: self.arrived_at,
+        };
+        Ok(Ask { request, stop: call.stop.into(), sampling: Rc::new(call.sampling) })
+    }
+
+    /// The traffic type that the metadata names, or else the model's own. The model must exist either way.
+    fn traffic_type(&self, model: &str) -> Result<TrafficTypeId, RequestError> {
+        let by_model = self.settings.model(model).ok_or_else(|| RequestError {
+            kind: RequestErrorKind::UnknownModel,
+            field: Some("model".to_owned()),
+            message: format!("the model '{}' does not exist here", truncated(model)),
+        })?;
+        let Some(name) = self.metadata.traffic_type else { return Ok(by_model) };
+        self.settings.traffic_type(name).ok_or_else(|| {
+            let message = format!("'{}' is no traffic type here", truncated(name));
+            RequestError::invalid_field("x-traffic-type", message)
+        })
+    }
+
+    fn idempotency_key(&self) -> Result<Option<Rc<str>>, RequestError> {
+        match self.metadata.idempotency_key {
+            Some(key) if !is_valid_identifier(key) => {
+                Err(RequestError::invalid_field("Idempotency-Key", "must have 1 to 255 characters"))
+            }
+            key => Ok(key.map(Rc::from)),
         }
-        key => key.map(Rc::from),
-    };
-    let tenant_name = tenant.map_or("", |TenantId(tenant)| &settings.tenants[tenant]);
-    let named = call.session.as_deref().or(head.session);
-    let session = named.filter(|key| !key.is_empty() && key.len() <= LONGEST_NAME);
-    let kind = &settings.traffic[traffic.0];
-    let most = u64::from(kind.max_tokens);
-    let estimate: Vec<Message> = call.messages.iter().map(|(role, text)| Message { role, text }).collect();
-    let request = Request {
-        traffic,
-        tenant,
-        session: session.map(|key| fingerprint::session_id(tenant_name, key)),
-        estimate: token_estimate::estimate_prompt(&estimate),
-        model: Rc::from(call.model.as_str()),
-        prompt: Rc::from(rendered(&call.messages)),
-        max_tokens: call.max_tokens.unwrap_or(most).min(most) as u32,
-        idempotency_key,
-        relay: call.relay,
-        client,
-        first_token_budget: head.abandon_time.map_or(kind.abandon_time, |asked| asked.min(kind.abandon_time)),
-        completion_budget: head.whole_within,
-        arrived_at: arrived,
-    };
-    Ok(Ask { request, stop: call.stop.into(), sampling: Rc::new(call.sampling) })
+    }
+
+    /// The session that a call names, apart for each tenant. A name that can't be one is ignored.
+    fn session(&self, call: &Call) -> Option<SessionId> {
+        let name = call.session.as_deref().or(self.metadata.session);
+        let name = name.filter(|name| is_valid_identifier(name))?;
+        let tenant = self.tenant.map_or("", |TenantId(tenant)| &self.settings.tenants[tenant]);
+        Some(fingerprint::session_id(tenant, name))
+    }
 }
 
-fn check(call: &Call) -> Result<(), Wrong> {
+fn is_valid_identifier(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_IDENTIFIER_BYTES
+}
+
+fn validate(call: &Call) -> Result<(), RequestError> {
     if call.messages.is_empty() {
-        return Err(Wrong::field("messages", "'messages' is empty"));
+        return Err(RequestError::invalid_field("messages", "'messages' is empty"));
     }
-    if call.messages.len() > MOST_MESSAGES {
-        return Err(Wrong::field("messages", format!("more than {MOST_MESSAGES} messages")));
+    if call.messages.len() > MAX_MESSAGES {
+        let message = format!("more than {MAX_MESSAGES} messages");
+        return Err(RequestError::invalid_field("messages", message));
     }
-    if call.stop.len() > MOST_STOPS
-        || call.stop.iter().any(|stop| stop.is_empty() || stop.len() > LONGEST_NAME)
-    {
-        return Err(Wrong::field("stop", "'stop' must be up to four strings of 1 to 255 characters"));
+    if call.stop.len() > MAX_STOP_SEQUENCES || !call.stop.iter().all(|stop| is_valid_identifier(stop)) {
+        let message = "'stop' must be up to four strings of 1 to 255 characters";
+        return Err(RequestError::invalid_field("stop", message));
     }
-    for (name, least, most) in SAMPLING {
-        if call.sampling.get(name).and_then(Value::as_f64).is_some_and(|n| !(least..=most).contains(&n)) {
-            return Err(Wrong::field(name, format!("'{name}' must be a number from {least} to {most}")));
+    for field in SAMPLING_FIELDS {
+        let value = call.sampling.get(field.name).and_then(Value::as_f64);
+        if value.is_some_and(|value| !(field.min..=field.max).contains(&value)) {
+            return Err(field.error());
         }
     }
     Ok(())
 }
 
+fn estimated_tokens(messages: &[ChatMessage]) -> token_estimate::PromptEstimate {
+    let messages: Vec<Message> =
+        messages.iter().map(|message| Message { role: &message.role, text: &message.text }).collect();
+    token_estimate::estimate_prompt(&messages)
+}
+
 /// The conversation as one prompt. Earlier turns come first, so that a longer history begins with a shorter one.
-fn rendered(messages: &[(String, String)]) -> String {
-    let mut prompt = String::with_capacity(messages.iter().map(|(_, text)| text.len() + 24).sum());
-    for (role, text) in messages {
+fn rendered(messages: &[ChatMessage]) -> String {
+    let bytes = messages.iter().map(|message| message.text.len() + MESSAGE_MARKER_BYTES).sum();
+    let mut prompt = String::with_capacity(bytes);
+    for message in messages {
         prompt.push_str("<|");
-        prompt.push_str(role);
+        prompt.push_str(&message.role);
         prompt.push_str("|>\n");
-        prompt.push_str(text);
+        prompt.push_str(&message.text);
         prompt.push('\n');
     }
     prompt.push_str("<|assistant|>\n");
     prompt
 }
 
-pub fn shortened(text: &str) -> String {
-    text.chars().take(SHORT).collect()
+/// A client's text, cut so that an error message may quote it.
+pub fn truncated(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-/// Seconds of the Unix epoch, as protocols give them.
-pub fn seconds(at: Nanos) -> u64 {
-    at / 1_000_000_000
+/// Full seconds since the Unix epoch, as protocols give times.
+pub fn unix_seconds(at: Nanos) -> u64 {
+    at / NANOS_PER_SECOND
 }
--- a/ingress/src/lib.rs
+++ b/ingress/src/lib.rs
@@ -1,9 +1,12 @@
-//! What every front shares, whatever its protocol.
+//! What every client-facing API of the gateway shares, whatever its protocol.
 //!
-//! [`listener`] takes connections and bounds what they bring; [`call`] turns a decoded call into an
-//! [`Ask`](petrelshore_chat_gateway::Ask) or says which field is wrong; [`stall`] guards sockets of clients that stop
-//! reading. A front decodes its own protocol into a [`call::Call`] and words the answer; it decides nothing.
+//! [`listener`] accepts connections and limits what they send before it is understood; [`metadata`] reads a call's
+//! header fields and authenticates it; [`call`] validates a decoded call and turns it into an
+//! [`Ask`](petrelshore_chat_gateway::Ask); [`error`] says why a call failed; [`stall`] guards sockets of clients that
+//! stop reading. An API decodes its own protocol into a [`call::Call`] and encodes the answer; it decides nothing.
 
 pub mod call;
+pub mod error;
 pub mod listener;
+pub mod metadata;
 pub mod stall;
--- a/ingress/src/stall.rs
+++ b/ingress/src/stall.rs
@@ -1,4 +1,4 @@
-//! A socket that breaks when its peer takes nothing for too long.
+//! A socket that fails when its peer reads nothing for too long.
 
 use async_io::Timer;
 use async_net::TcpStream;
@@ -12,21 +12,23 @@
 /// Guards against clients that stop reading: what is written for them would stay in memory for ever.
 pub struct StallGuard {
     stream: Persistent<TcpStream>,
-    within: Duration,
-    waiting: Option<Timer>,
+    timeout: Duration,
+    /// Runs while a write or flush is pending.
+    timer: Option<Timer>,
 }
 
 impl StallGuard {
-    pub fn new(stream: TcpStream, within: Duration) -> Self {
-        StallGuard { stream: Persistent::new(stream), within, waiting: None }
+    /// Guards a socket: a write or flush that makes no progress for `timeout` fails with [`ErrorKind::TimedOut`].
+    pub fn new(stream: TcpStream, timeout: Duration) -> Self {
+        StallGuard { stream: Persistent::new(stream), timeout, timer: None }
     }
 
-    fn guard<T>(&mut self, context: &mut Context<'_>, wrote: Poll<Result<T>>) -> Poll<Result<T>> {
-        if wrote.is_ready() {
-            self.waiting = None;
-            return wrote;
+    fn guard<T>(&mut self, context: &mut Context<'_>, progress: Poll<Result<T>>) -> Poll<Result<T>> {
+        if progress.is_ready() {
+            self.timer = None;
+            return progress;
         }
-        let timer = self.waiting.get_or_insert_with(|| Timer::after(self.within));
+        let timer = self.timer.get_or_insert_with(|| Timer::after(self.timeout));
         match timer.poll(context) {
             Poll::Ready(_) => Poll::Ready(Err(Error::from(ErrorKind::TimedOut))),
             Poll::Pending => Poll::Pending,
@@ -42,8 +44,8 @@
 
 impl AsyncWrite for StallGuard {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
-        let wrote = Pin::new(&mut self.stream).poll_write(context, buf);
-        self.guard(context, wrote)
+        let written = Pin::new(&mut self.stream).poll_write(context, buf);
+        self.guard(context, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
