--- a/chat-api/tests/requests.rs
+++ b/chat-api/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests good and bad over sockets: the API's error shape, the right status and field, and nothing taken.
+//! Valid and invalid requests over sockets: the error object, status and field to blame, and that nothing is admitted.
 
 use async_executor::LocalExecutor;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -11,21 +11,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-struct Front {
+struct Api {
     gateway: Gateway,
     address: SocketAddr,
 }
 
-/// A front over a gateway whose one server is not there: whatever is taken would be seen in its counts.
-fn with_front<F: Future<Output = ()>>(name: &str, test: impl FnOnce(Front) -> F) {
+/// Runs a test against a gateway whose one server is unreachable: whatever is admitted shows in its counts.
+fn with_api<F: Future<Output = ()>>(name: &str, test: impl FnOnce(Api) -> F) {
     let folder: PathBuf =
         std::env::temp_dir().join(format!("petrelshore-chat-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let list = "name,kind,address,zone\nw,mixed,127.0.0.1:1,here\n";
-    std::fs::write(folder.join("boxes.csv"), list).unwrap();
+    std::fs::write(folder.join("servers.csv"), list).unwrap();
     let text = r#"{
-      name = "front", zone = "here", listen.chat = "127.0.0.1:0",
-      inventory = { file = "boxes.csv", kept = "last.json" },
+      name = "gateway", zone = "here", listen.chat = "127.0.0.1:0",
+      inventory = { file = "servers.csv", kept = "last.json" },
       kinds.mixed = { role = 'mixed, memory_tokens = 1000 },
       traffic.ask = { models = ["ask"], utility = 1, latency_slo = "100ms", abandon_time = "400ms" },
       tenants.riders = { keys = ["k1"], per_second = 5 },
@@ -38,13 +38,13 @@
         let address = listener.address;
         let gateway = Gateway::start(settings, Spawner::new(&executor)).unwrap();
         executor.spawn(chat::serve(listener, chat::Ingress::new(gateway.clone()))).detach();
-        test(Front { gateway, address }).await;
+        test(Api { gateway, address }).await;
     };
     future::block_on(executor.run(run));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-impl Front {
+impl Api {
     /// Sends raw bytes and returns status, head and body.
     async fn raw(&self, parts: &[&[u8]], pause: Duration) -> (u16, String, String) {
         let mut stream = async_net::TcpStream::connect(self.address).await.unwrap();
@@ -54,9 +54,9 @@
             }
             async_io::Timer::after(pause).await;
         }
-        let mut heard = Vec::new();
-        let _ = stream.read_to_end(&mut heard).await;
-        let text = String::from_utf8_lossy(&heard).into_owned();
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received).await;
+        let text = String::from_utf8_lossy(&received).into_owned();
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let status = head.split_whitespace().nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
         (status, head.to_ascii_lowercase(), body.to_owned())
@@ -72,16 +72,16 @@
     }
 }
 
-const KEY: &str = "authorization: Bearer k1\r\n";
+const AUTHORIZATION: &str = "authorization: Bearer k1\r\n";
 
-fn good() -> Value {
+fn valid_request() -> Value {
     json!({ "model": "ask", "messages": [{ "role": "user", "content": "why" }] })
 }
 
 #[test]
-fn a_wrong_request_is_refused_with_its_field_and_nothing_is_taken() {
+fn invalid_request_is_rejected_with_its_field_and_not_admitted() {
     let with = |name: &str, value: Value| {
-        let mut body = good();
+        let mut body = valid_request();
         body[name] = value;
         body.to_string()
     };
@@ -115,18 +115,19 @@
         (with("prompt_cache_key", json!(1)), 400, json!("prompt_cache_key")),
         (with("seed", json!(1.5)), 400, json!("seed")),
     ];
-    with_front("wrong", |front| async move {
+    with_api("wrong", |api| async move {
         for (body, status, param) in rows {
-            let (got, head, answer) = front.post(KEY, body.as_bytes()).await;
+            let (got, head, answer) = api.post(AUTHORIZATION, body.as_bytes()).await;
             assert_eq!((got, &answer["error"]["param"]), (status, &param), "{answer} to {:.80}", body);
             assert!(answer["error"]["message"].is_string() && answer["error"]["type"].is_string());
             assert!(head.contains("x-should-retry: false"), "{head}");
         }
-        let (status, ..) = front.post(KEY, b"{\"model\":\"ask\",\"messages\":\"\xff\xfe\"}").await;
+        let (status, ..) = api.post(AUTHORIZATION, b"{\"model\":\"ask\",\"messages\":\"\xff\xfe\"}").await;
         assert_eq!(status, 400);
-        let (status, _, answer) = front.post("", good().to_string().as_bytes()).await;
+        let (status, _, answer) = api.post("", valid_request().to_string().as_bytes()).await;
         assert_eq!((status, &answer["error"]["code"]), (401, &json!("invalid_api_key")));
-        let (status, ..) = front.post("authorization: Bearer other\r\n", good().to_string().as_bytes()).await;
+        let (status, ..) =
+            api.post("authorization: Bearer other\r\n", valid_request().to_string().as_bytes()).await;
         assert_eq!(status, 401);
         for header in [
             "x-traffic-type: nope\r\n",
@@ -134,72 +135,74 @@
             "x-abandon-ms: soon\r\n",
             "x-abandon-ms: 0\r\n",
         ] {
-            let (status, ..) = front.post(&format!("{KEY}{header}"), good().to_string().as_bytes()).await;
+            let (status, ..) =
+                api.post(&format!("{AUTHORIZATION}{header}"), valid_request().to_string().as_bytes()).await;
             assert_eq!(status, 400, "{header}");
         }
-        assert_eq!((front.gateway.counts().accepted, front.gateway.tracked()), (0, 0));
+        assert_eq!((api.gateway.counts().accepted, api.gateway.tracked()), (0, 0));
     });
 }
 
 #[test]
-fn oversized_slow_half_and_flooding_requests_are_ended_with_nothing_taken() {
-    with_front("sizes", |front| async move {
+fn oversized_slow_and_partial_requests_are_rejected_and_not_admitted() {
+    with_api("sizes", |api| async move {
         let head = |length: usize| {
             format!(
-                "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{KEY}content-length: {length}\r\n\r\n"
+                "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{AUTHORIZATION}content-length: {length}\r\n\r\n"
             )
         };
-        let (status, ..) = front.raw(&[head(100_000_000).as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[head(100_000_000).as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 413);
         let chunked = head(0).replace("content-length: 0", "transfer-encoding: chunked");
         let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
-        let (status, ..) = front.raw(&[chunked.as_bytes(), chunk.as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[chunked.as_bytes(), chunk.as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 413);
-        let (status, ..) = front.raw(&[head(50).as_bytes(), b"{"], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[head(50).as_bytes(), b"{"], Duration::ZERO).await;
         assert_eq!(status, 408);
         let flood: String = (0..200).map(|n| format!("x-{n}: y\r\n")).collect();
-        let (status, ..) = front.raw(&[head(2).replace(KEY, &flood).as_bytes(), b"{}"], Duration::ZERO).await;
+        let (status, ..) =
+            api.raw(&[head(2).replace(AUTHORIZATION, &flood).as_bytes(), b"{}"], Duration::ZERO).await;
         assert_eq!(status, 431);
-        let (status, ..) = front.raw(&[b"\x16\x03\x01nonsense\r\n\r\n"], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[b"\x16\x03\x01nonsense\r\n\r\n"], Duration::ZERO).await;
         assert!(status == 400 || status == 0, "{status}");
-        let body = good().to_string();
-        let whole = format!("{}{body}", head(body.len()));
-        let bytes: Vec<&[u8]> = whole.as_bytes().chunks(1).collect();
-        let (status, ..) = front.raw(&bytes, Duration::ZERO).await;
+        let body = valid_request().to_string();
+        let request = format!("{}{body}", head(body.len()));
+        let bytes: Vec<&[u8]> = request.as_bytes().chunks(1).collect();
+        let (status, ..) = api.raw(&bytes, Duration::ZERO).await;
         assert_eq!(status, 503, "a byte at a time is a request like any other");
         let (status, ..) =
-            front.raw(&[b"GET /nothing HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO).await;
+            api.raw(&[b"GET /nothing HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO).await;
         assert_eq!(status, 404);
-        let (status, ..) = front
+        let (status, ..) = api
             .raw(&[b"GET /v1/chat/completions HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO)
             .await;
         assert_eq!(status, 405);
-        assert_eq!((front.gateway.counts().accepted, front.gateway.tracked()), (1, 0));
+        assert_eq!((api.gateway.counts().accepted, api.gateway.tracked()), (1, 0));
     });
 }
 
 #[test]
-fn what_no_server_can_take_is_rejected_with_a_time_to_come_back() {
-    with_front("rejected", |front| async move {
-        let (status, head, answer) = front.post(KEY, good().to_string().as_bytes()).await;
+fn request_without_available_server_is_rejected_with_retry_after() {
+    with_api("rejected", |api| async move {
+        let (status, head, answer) = api.post(AUTHORIZATION, valid_request().to_string().as_bytes()).await;
         assert_eq!((status, &answer["error"]["code"]), (503, &json!("rejected")), "{answer}");
         assert!(head.contains("retry-after: ") && head.contains("retry-after-ms: "), "{head}");
-        assert_eq!((front.gateway.counts().rejected, front.gateway.tracked()), (1, 0));
+        assert_eq!((api.gateway.counts().rejected, api.gateway.tracked()), (1, 0));
     });
 }
 
 #[test]
-fn models_are_listed_for_callers_alone() {
-    with_front("models", |front| async move {
+fn models_are_listed_only_for_authenticated_clients() {
+    with_api("models", |api| async move {
         let get = |path: &str, key: &str| format!("GET {path} HTTP/1.1\r\nconnection: close\r\n{key}\r\n");
-        let (status, _, body) = front.raw(&[get("/v1/models", KEY).as_bytes()], Duration::ZERO).await;
+        let (status, _, body) = api.raw(&[get("/v1/models", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
         let json: Value = serde_json::from_str(&body).unwrap();
         assert_eq!((status, &json["data"][0]["id"]), (200, &json!("ask")));
-        let (status, ..) = front.raw(&[get("/v1/models/ask", KEY).as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[get("/v1/models/ask", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 200);
-        let (status, ..) = front.raw(&[get("/v1/models/nope", KEY).as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[get("/v1/models/nope", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 404);
-        let (status, ..) = front.raw(&[get("/v1/models", "").as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.raw(&[get("/v1/models", "").as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 401);
     });
 }
