--- a/grpc-api/src/connection.rs
+++ b/grpc-api/src/connection.rs
@@ -1,8 +1,8 @@
 //! One client's connection: its calls taken, its manners held to, its end made known.
 
 use crate::exchange;
+use crate::frame_observer::{Known, Watch};
 use crate::reflection::Described;
-use crate::watch::{Known, Watch};
 use async_io::Timer;
 use async_net::TcpStream;
 use bytes::Bytes;
--- a/grpc-api/src/lib.rs
+++ b/grpc-api/src/lib.rs
@@ -1,6 +1,6 @@
 //! The gRPC chat service over the gateway, with the published health and reflection services beside it.
 //!
-//! [`serve`] takes connections, and holds each to its manners (`connection`, told by `watch` what came). A call's way
+//! [`serve`] takes connections, and holds each to its manners (`connection`, told by `frame_observer` what came). A call's way
 //! is in `exchange`: its message whole (`message`), understood (`request`), taken, answered, worded (`status`).
 //! Everything that is decided stands in `petrelshore_gateway_core`; what is checked of a call, in `petrelshore_ingress`.
 //!
@@ -9,12 +9,12 @@
 
 mod connection;
 mod exchange;
+mod frame_observer;
 mod health;
 mod message;
 mod reflection;
 mod request;
 mod status;
-mod watch;
 
 /// The messages of the chat service, version 1.
 #[allow(clippy::all)]
