--- a/grpc-api/src/connection.rs
+++ b/grpc-api/src/connection.rs
@@ -1,24 +1,20 @@
-//! One client's connection: its calls taken, its manners held to, its end made known.
+//! One client's HTTP/2 connection: calls accepted, abuse and idleness acted on, shut down gracefully.
 
-use crate::exchange;
-use crate::frame_observer::{Known, Watch};
-use crate::reflection::Described;
+use crate::dispatch;
+use crate::frame_observer::{FrameObserver, PeerState};
+use crate::reflection::DescriptorIndex;
+use crate::stream::{ConnectionContext, StreamGuard};
 use async_io::Timer;
 use async_net::TcpStream;
 use bytes::Bytes;
-use event_listener::Event;
 use futures_lite::{AsyncWriteExt, future};
 use h2::server::{Builder, Connection, SendResponse};
 use h2::{Ping, PingPong, Reason, RecvStream};
 use http::Request;
-use petrelshore::interface::Nanos;
 use petrelshore_chat_gateway::Gateway;
-use petrelshore_gateway_core::flow_control::StreamId;
-use petrelshore_gateway_core::http2_abuse::{Abuse, AbuseDetector, KeepaliveAction};
+use petrelshore_gateway_core::http2_abuse::{Abuse, KeepaliveAction};
 use petrelshore_ingress::listener::{ClientGuard, Ingress, Listener, stall_timeout};
 use petrelshore_ingress::stall::StallGuard;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::pin::pin;
 use std::rc::Rc;
 use std::task::Poll;
@@ -26,25 +22,26 @@
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 use tracing::debug;
 
-/// Most of a request's head.
-const HEAD: u32 = 32 << 10;
-/// What a connection may have on its way to here before it is read, over all its calls.
-const UPWARD: u32 = 1 << 20;
-/// What is kept of one call for a socket that takes nothing.
-const KEPT: usize = 16 << 10;
-/// A farewell must be written within this.
-const FAREWELL: Duration = Duration::from_secs(2);
+const MAX_HEADER_LIST_BYTES: u32 = 32 << 10;
+/// What a client may send on a connection before it is read, over all its calls.
+const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
+/// What is buffered of one call for a client that does not read.
+const MAX_SEND_BUFFER_BYTES: usize = 16 << 10;
+/// The last frames of a connection must be written within this.
+const GOAWAY_TIMEOUT: Duration = Duration::from_secs(2);
 
-type Socket = Compat<Watch<StallGuard>>;
+type Socket = Compat<FrameObserver<StallGuard>>;
+type Http2Connection = Connection<Socket, Bytes>;
 
-/// Serves clients for as long as it is polled. Connections run where the gateway's tasks run.
+/// Serves clients for as long as it is polled. Connections run on the gateway's executor.
 pub async fn serve(listener: Listener, ingress: Ingress) {
-    let (gateway, described) = (ingress.gateway.clone(), Rc::new(Described::new()));
-    let connected = move |stream, inside| connection(stream, inside, gateway.clone(), described.clone());
+    let (gateway, descriptors) = (ingress.gateway.clone(), Rc::new(DescriptorIndex::new()));
+    let connected =
+        move |stream, client| serve_connection(stream, client, gateway.clone(), descriptors.clone());
     ingress.serve(listener, connected, reject).await;
 }
 
-/// More clients than the gateway may hold are told so: a GOAWAY before any call, so that none was taken.
+/// Rejects a connection over the limit: a GOAWAY before any call, so that the client knows that none was processed.
 async fn reject(mut stream: TcpStream) {
     const SETTINGS: [u8; 9] = [0, 0, 0, 4, 0, 0, 0, 0, 0];
     const ENHANCE_YOUR_CALM: u8 = 11;
@@ -53,189 +50,138 @@
     let _ = stream.close().await;
 }
 
-/// What the calls of a connection share.
-pub struct Line {
-    pub gateway: Gateway,
-    pub inside: ClientGuard,
-    pub known: Rc<Known>,
-    pub described: Rc<Described>,
-    calls: RefCell<BTreeMap<StreamId, Rc<Cut>>>,
-}
-
-/// By this a call is told to end, so that the others on its connection go on.
-#[derive(Default)]
-pub struct Cut {
-    told: Cell<bool>,
-    event: Event,
-}
-
-impl Cut {
-    pub async fn told(&self) {
-        let event = self.event.listen();
-        if !self.told.get() {
-            event.await;
-        }
-    }
-}
-
-/// A call's place on its connection; dropping it is its end.
-pub struct Place {
-    pub line: Rc<Line>,
-    pub id: StreamId,
-    pub cut: Rc<Cut>,
-}
-
-impl Place {
-    fn new(line: Rc<Line>, id: StreamId) -> Self {
-        let cut = Rc::new(Cut::default());
-        line.known.abuse.borrow_mut().call_started();
-        line.known.windows.borrow_mut().stream_opened(id);
-        line.calls.borrow_mut().insert(id, cut.clone());
-        Place { line, id, cut }
-    }
+async fn serve_connection(
+    stream: TcpStream,
+    client: ClientGuard,
+    gateway: Gateway,
+    descriptors: Rc<DescriptorIndex>,
+) {
+    let limits = gateway.settings().limits;
+    let peer_state = Rc::new(PeerState::new(gateway.clock(), limits.streams as usize));
+    let socket = FrameObserver::new(StallGuard::new(stream, stall_timeout()), peer_state.clone()).compat();
+    let handshake_timeout = Duration::from_nanos(limits.body_time);
+    let Some(http2) = handshake(socket, limits.streams, handshake_timeout).await else { return };
+    let context = Rc::new(ConnectionContext::new(gateway, client, peer_state, descriptors));
+    run(http2, context).await;
 }
 
-impl Drop for Place {
-    fn drop(&mut self) {
-        let known = &self.line.known;
-        known.abuse.borrow_mut().call_ended(known.clock.now());
-        known.windows.borrow_mut().stream_closed(self.id);
-        self.line.calls.borrow_mut().remove(&self.id);
-    }
+async fn handshake(socket: Socket, max_streams: u32, timeout: Duration) -> Option<Http2Connection> {
+    let mut builder = Builder::new();
+    builder
+        .max_concurrent_streams(max_streams)
+        .max_header_list_size(MAX_HEADER_LIST_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+        .max_send_buffer_size(MAX_SEND_BUFFER_BYTES);
+    let expired = async {
+        Timer::after(timeout).await;
+        None
+    };
+    let handshake = async { builder.handshake::<_, Bytes>(socket).await.ok() };
+    future::or(handshake, expired).await
 }
 
 /// What happens next on a connection.
-enum Next {
+enum ConnectionEvent {
     Call(Box<Request<RecvStream>>, SendResponse<Bytes>),
-    Draining,
-    Misbehaves(Abuse),
-    KeepaliveAction,
-    Over(Option<h2::Error>),
+    DrainingStarted,
+    AbuseDetected(Abuse),
+    Timeout,
+    Closed(Option<h2::Error>),
 }
 
-async fn connection(stream: TcpStream, inside: ClientGuard, gateway: Gateway, described: Rc<Described>) {
-    let limits = gateway.settings().limits;
-    let clock = gateway.clock();
-    let abuse = AbuseDetector::new(clock.now(), limits.streams as usize);
-    let known = Rc::new(Known {
-        clock,
-        abuse: RefCell::new(abuse),
-        windows: RefCell::default(),
-        given: Event::new(),
-    });
-    let socket = Watch::new(StallGuard::new(stream, stall_timeout()), known.clone()).compat();
-    let mut builder = Builder::new();
-    builder
-        .max_concurrent_streams(limits.streams)
-        .max_header_list_size(HEAD)
-        .initial_connection_window_size(UPWARD)
-        .max_send_buffer_size(KEPT);
-    let late = async {
-        Timer::after(Duration::from_nanos(limits.body_time)).await;
-        None
-    };
-    let hands = async { builder.handshake::<_, Bytes>(socket).await.ok() };
-    let Some(mut h2) = future::or(hands, late).await else { return };
-    let line = Rc::new(Line { gateway, inside, known, described, calls: RefCell::default() });
-    let peer = line.inside.peer;
-    let mut pings = h2.ping_pong();
+async fn run(mut http2: Http2Connection, context: Rc<ConnectionContext>) {
+    let peer = context.client.peer;
+    let mut pings = http2.ping_pong();
     let mut draining = false;
-    let mut stopping = pin!(line.gateway.until_draining());
+    let mut until_draining = pin!(context.gateway.until_draining());
     loop {
-        let stop = async {
+        let draining_started = async {
             match draining {
                 true => future::pending().await,
-                false => stopping.as_mut().await,
+                false => until_draining.as_mut().await,
             }
-            Next::Draining
+            ConnectionEvent::DrainingStarted
         };
-        match future::or(stop, line.next(&mut h2, &mut pings)).await {
-            Next::Call(request, respond) => {
-                let place = Place::new(line.clone(), respond.stream_id().as_u32());
-                line.gateway.spawner().run(exchange::run(place, *request, respond));
+        let event = next_event(&context, &mut http2, &mut pings);
+        match future::or(draining_started, event).await {
+            ConnectionEvent::Call(request, respond) => {
+                let stream = StreamGuard::new(context.clone(), respond.stream_id().as_u32());
+                context.gateway.spawner().run(dispatch::handle(stream, *request, respond));
             }
-            Next::Draining => {
-                // Running calls end whole; new ones are told to go elsewhere.
+            ConnectionEvent::DrainingStarted => {
+                // Calls in flight are completed; a GOAWAY sends new ones to another gateway.
                 draining = true;
-                h2.graceful_shutdown();
+                http2.graceful_shutdown();
             }
-            Next::Misbehaves(bad) => {
-                debug!(?bad, %peer, "connection ended for its manners");
-                return farewell(h2, Reason::ENHANCE_YOUR_CALM).await;
+            ConnectionEvent::AbuseDetected(abuse) => {
+                debug!(?abuse, %peer, "connection closed for abuse");
+                return close(http2, Reason::ENHANCE_YOUR_CALM).await;
             }
-            Next::KeepaliveAction => match line.due(&mut pings) {
-                Some(KeepaliveAction::CloseIdle) => return farewell(h2, Reason::NO_ERROR).await,
-                Some(KeepaliveAction::PeerGone) => return debug!(%peer, "connection's client is gone"),
+            ConnectionEvent::Timeout => match on_timeout(&context, &mut pings) {
+                Some(KeepaliveAction::CloseIdle) => return close(http2, Reason::NO_ERROR).await,
+                Some(KeepaliveAction::PeerGone) => return debug!(%peer, "keepalive timed out"),
                 Some(KeepaliveAction::Ping) | None => {}
             },
-            Next::Over(error) => return debug!(?error, %peer, "client connection ended"),
+            ConnectionEvent::Closed(error) => return debug!(?error, %peer, "client connection closed"),
         }
     }
 }
 
-async fn farewell(mut h2: Connection<Socket, Bytes>, reason: Reason) {
-    h2.abrupt_shutdown(reason);
-    let written = async {
-        let _ = std::future::poll_fn(|context| h2.poll_closed(context)).await;
-    };
-    let late = async {
-        Timer::after(FAREWELL).await;
-    };
-    future::or(written, late).await;
-}
-
-impl Line {
-    /// Moves the connection on until something is to be done.
-    async fn next(&self, h2: &mut Connection<Socket, Bytes>, pings: &mut Option<PingPong>) -> Next {
-        let mut at = self.next_due();
-        let mut timer = Timer::at(self.known.clock.instant(at));
-        std::future::poll_fn(|context| {
-            if let Some(pings) = pings {
-                // That the peer answered is noted where its frames are.
-                let _ = pings.poll_pong(context);
-            }
-            let accepted = h2.poll_accept(context);
-            if let Some(bad) = self.known.abuse.borrow().detected() {
-                return Poll::Ready(Next::Misbehaves(bad));
-            }
-            match accepted {
-                Poll::Ready(Some(Ok((request, respond)))) => {
-                    return Poll::Ready(Next::Call(Box::new(request), respond));
-                }
-                Poll::Ready(Some(Err(error))) => return Poll::Ready(Next::Over(Some(error))),
-                Poll::Ready(None) => return Poll::Ready(Next::Over(None)),
-                Poll::Pending => {}
-            }
-            if self.next_due() < at {
-                at = self.next_due();
-                timer.set_at(self.known.clock.instant(at));
+/// Drives the connection until something has to be done.
+async fn next_event(
+    context: &ConnectionContext,
+    http2: &mut Http2Connection,
+    pings: &mut Option<PingPong>,
+) -> ConnectionEvent {
+    let clock = context.peer_state.clock;
+    let mut deadline = context.next_timeout();
+    let mut timer = Timer::at(clock.instant(deadline));
+    std::future::poll_fn(|task| {
+        if let Some(pings) = pings {
+            // The frame observer notes that the peer answered.
+            let _ = pings.poll_pong(task);
+        }
+        let accepted = http2.poll_accept(task);
+        if let Some(abuse) = context.peer_state.abuse.borrow().detected() {
+            return Poll::Ready(ConnectionEvent::AbuseDetected(abuse));
+        }
+        match accepted {
+            Poll::Ready(Some(Ok((request, respond)))) => {
+                return Poll::Ready(ConnectionEvent::Call(Box::new(request), respond));
             }
-            pin!(&mut timer).poll(context).map(|_| Next::KeepaliveAction)
-        })
-        .await
-    }
-
-    fn next_due(&self) -> Nanos {
-        let windows = self.known.windows.borrow().next_timeout().unwrap_or(Nanos::MAX);
-        self.known.abuse.borrow().next_timeout().min(windows)
-    }
-
-    fn due(&self, pings: &mut Option<PingPong>) -> Option<KeepaliveAction> {
-        let now = self.known.clock.now();
-        if let Some(id) = self.known.windows.borrow_mut().stream_to_reset(now)
-            && let Some(cut) = self.calls.borrow().get(&id)
-        {
-            debug!(stream = id, peer = %self.inside.peer, "ended so that its connection goes on");
-            cut.told.set(true);
-            cut.event.notify(usize::MAX);
+            Poll::Ready(Some(Err(error))) => return Poll::Ready(ConnectionEvent::Closed(Some(error))),
+            Poll::Ready(None) => return Poll::Ready(ConnectionEvent::Closed(None)),
+            Poll::Pending => {}
         }
-        let due = self.known.abuse.borrow_mut().on_timeout(now);
-        if due == Some(KeepaliveAction::Ping)
-            && let Some(pings) = pings
-        {
-            // One that is still out asks as well as a new one.
-            let _ = pings.send_ping(Ping::opaque());
+        if context.next_timeout() < deadline {
+            deadline = context.next_timeout();
+            timer.set_at(clock.instant(deadline));
         }
-        due
+        pin!(&mut timer).poll(task).map(|_| ConnectionEvent::Timeout)
+    })
+    .await
+}
+
+fn on_timeout(context: &ConnectionContext, pings: &mut Option<PingPong>) -> Option<KeepaliveAction> {
+    let now = context.peer_state.clock.now();
+    context.reset_blocking_stream(now);
+    let action = context.peer_state.abuse.borrow_mut().on_timeout(now);
+    if action == Some(KeepaliveAction::Ping)
+        && let Some(pings) = pings
+    {
+        // This fails while an earlier ping is unanswered, which serves as well as a new one.
+        let _ = pings.send_ping(Ping::opaque());
     }
+    action
+}
+
+async fn close(mut http2: Http2Connection, reason: Reason) {
+    http2.abrupt_shutdown(reason);
+    let written = async {
+        let _ = std::future::poll_fn(|task| http2.poll_closed(task)).await;
+    };
+    let timeout = async {
+        Timer::after(GOAWAY_TIMEOUT).await;
+    };
+    future::or(written, timeout).await;
 }
--- a/grpc-api/src/frame_observer.rs
+++ b/grpc-api/src/frame_observer.rs
@@ -1,7 +1,7 @@
-//! A socket that notes which frames come over it, for those who judge manners and windows.
+//! A socket that observes which HTTP/2 frames the peer sends, for abuse detection and flow control.
 //!
-//! The HTTP/2 library answers pings and settings by itself and tells nobody. Only frame heads are read here, and the
-//! few bytes of window updates; the library reads everything again and judges it.
+//! The HTTP/2 library answers pings and settings by itself and reports none of it. Only frame headers are parsed here,
+//! and the few bytes of window updates; the library parses everything again and validates it.
 
 use event_listener::Event;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -15,48 +15,97 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A client's first bytes, before any frame.
-const PREFACE: usize = 24;
-const HEAD: usize = 9;
+/// The connection preface: a client's first bytes, before any frame.
+const PREFACE_BYTES: usize = 24;
+const FRAME_HEADER_BYTES: usize = 9;
+const WINDOW_INCREMENT_BYTES: usize = 4;
+/// Stream ids and window increments have 31 bits; the highest is reserved.
+const RESERVED_BIT_MASK: u32 = 0x7fff_ffff;
 
-/// What is known of one connection.
-pub struct Known {
+const DATA: u8 = 0;
+const HEADERS: u8 = 1;
+const RST_STREAM: u8 = 3;
+const SETTINGS: u8 = 4;
+const PING: u8 = 6;
+const WINDOW_UPDATE: u8 = 8;
+const ACK: u8 = 1;
+
+/// What is known of one connection's peer.
+pub struct PeerState {
+    /// Tells the time of each frame.
     pub clock: Clock,
+    /// Judges which frames the peer sends, and how often.
     pub abuse: RefCell<AbuseDetector>,
-    pub windows: RefCell<FlowControl>,
-    /// Told when the peer gave back of a stream.
-    pub given: Event,
+    /// How the connection's window is shared among its streams.
+    pub flow_control: RefCell<FlowControl>,
+    /// Notified when the peer has sent a window update.
+    pub window_updated: Event,
+}
+
+impl PeerState {
+    /// The state of a new connection that may have so many streams.
+    pub fn new(clock: Clock, max_streams: usize) -> Self {
+        PeerState {
+            clock,
+            abuse: RefCell::new(AbuseDetector::new(clock.now(), max_streams)),
+            flow_control: RefCell::default(),
+            window_updated: Event::new(),
+        }
+    }
+
+    fn frame_received(&self, now: Nanos, frame: &Frame) {
+        self.abuse.borrow_mut().frame_received(now, classify(frame));
+        if let (WINDOW_UPDATE, Some(increment)) = (frame.kind, frame.increment) {
+            self.flow_control.borrow_mut().window_update(now, frame.stream, increment);
+            self.window_updated.notify(usize::MAX);
+        }
+    }
 }
 
-pub struct Watch<S> {
+fn classify(frame: &Frame) -> PeerFrame {
+    match (frame.kind, frame.flags & ACK) {
+        (DATA, _) if frame.length > 0 => PeerFrame::Call,
+        (HEADERS, _) => PeerFrame::Call,
+        (RST_STREAM, _) => PeerFrame::Reset,
+        // Acknowledging our own frames is no abuse.
+        (SETTINGS | PING, ACK) => PeerFrame::Call,
+        (SETTINGS, _) => PeerFrame::Settings,
+        (PING, _) => PeerFrame::Ping,
+        _ => PeerFrame::Small,
+    }
+}
+
+/// A socket that updates a connection's [`PeerState`] by the frames read from it.
+pub struct FrameObserver<S> {
     stream: S,
-    known: Rc<Known>,
-    frames: Frames,
+    peer_state: Rc<PeerState>,
+    parser: FrameParser,
 }
 
-impl<S> Watch<S> {
-    pub fn new(stream: S, known: Rc<Known>) -> Self {
-        Watch { stream, known, frames: Frames { skip: PREFACE, ..Frames::default() } }
+impl<S> FrameObserver<S> {
+    /// Observes a socket from which nothing has been read.
+    pub fn new(stream: S, peer_state: Rc<PeerState>) -> Self {
+        FrameObserver { stream, peer_state, parser: FrameParser::new() }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watch<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for FrameObserver<S> {
     fn poll_read(mut self: Pin<&mut Self>, context: &mut Context<'_>, buf: &mut [u8]) -> Poll<Result<usize>> {
-        let known = self.known.clone();
-        if known.abuse.borrow().detected().is_some() {
-            // Nothing more is read of it: its connection's task is about to end it.
+        let peer_state = self.peer_state.clone();
+        if peer_state.abuse.borrow().detected().is_some() {
+            // Nothing more is read: the connection's task is about to close it.
             return Poll::Pending;
         }
         let read = Pin::new(&mut self.stream).poll_read(context, buf);
         if let Poll::Ready(Ok(count)) = &read {
-            let now = known.clock.now();
-            self.frames.pass(&buf[..*count], |frame| note(&known, now, frame));
+            let now = peer_state.clock.now();
+            self.parser.parse(&buf[..*count], |frame| peer_state.frame_received(now, frame));
         }
         read
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watch<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for FrameObserver<S> {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         Pin::new(&mut self.stream).poll_write(context, buf)
     }
@@ -70,26 +119,7 @@
     }
 }
 
-fn note(known: &Known, now: Nanos, frame: &Frame) {
-    const ACK: u8 = 1;
-    let heard = match (frame.kind, frame.flags & ACK) {
-        (0, _) if frame.length > 0 => PeerFrame::Call,
-        (1, _) => PeerFrame::Call,
-        (3, _) => PeerFrame::Reset,
-        // What the peer answers to ours is no fault of its own.
-        (4 | 6, ACK) => PeerFrame::Call,
-        (4, _) => PeerFrame::Settings,
-        (6, _) => PeerFrame::Ping,
-        _ => PeerFrame::Small,
-    };
-    known.abuse.borrow_mut().frame_received(now, heard);
-    if let (8, Some(increment)) = (frame.kind, frame.increment) {
-        known.windows.borrow_mut().window_update(now, frame.stream, increment);
-        known.given.notify(usize::MAX);
-    }
-}
-
-/// A frame's head, and a window update's one field.
+/// A frame's header, and the increment of a window update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Frame {
     length: usize,
@@ -99,45 +129,72 @@
     increment: Option<u32>,
 }
 
-/// Finds frames in bytes that come in any pieces.
-#[derive(Default)]
-struct Frames {
-    /// Bytes to pass by before the next head.
+/// Finds frames in bytes that arrive in pieces of any size.
+struct FrameParser {
+    /// Bytes to skip before the next frame header.
     skip: usize,
-    head: [u8; HEAD + 4],
-    have: usize,
+    buffer: [u8; FRAME_HEADER_BYTES + WINDOW_INCREMENT_BYTES],
+    buffered: usize,
 }
 
-impl Frames {
-    fn pass(&mut self, mut bytes: &[u8], mut found: impl FnMut(&Frame)) {
+impl FrameParser {
+    fn new() -> Self {
+        FrameParser {
+            skip: PREFACE_BYTES,
+            buffer: [0; FRAME_HEADER_BYTES + WINDOW_INCREMENT_BYTES],
+            buffered: 0,
+        }
+    }
+
+    fn parse(&mut self, mut bytes: &[u8], mut found: impl FnMut(&Frame)) {
         while !bytes.is_empty() {
             if self.skip > 0 {
-                let by = self.skip.min(bytes.len());
-                (self.skip, bytes) = (self.skip - by, &bytes[by..]);
+                let skipped = self.skip.min(bytes.len());
+                self.skip -= skipped;
+                bytes = &bytes[skipped..];
                 continue;
             }
-            let wanted = if self.have >= HEAD { HEAD + 4 } else { HEAD };
-            let take = (wanted - self.have).min(bytes.len());
-            self.head[self.have..self.have + take].copy_from_slice(&bytes[..take]);
-            (self.have, bytes) = (self.have + take, &bytes[take..]);
-            let head = &self.head;
-            let length = usize::from(head[0]) << 16 | usize::from(head[1]) << 8 | usize::from(head[2]);
-            let update = head[3] == 8 && length == 4;
-            if self.have < HEAD || (update && self.have < HEAD + 4) {
-                continue;
+            bytes = self.fill(bytes);
+            if let Some(frame) = self.frame() {
+                found(&frame);
+                self.skip = if frame.increment.is_some() { 0 } else { frame.length };
+                self.buffered = 0;
             }
-            let number = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-            found(&Frame {
-                length,
-                kind: head[3],
-                flags: head[4],
-                stream: number(5) & 0x7fff_ffff,
-                increment: update.then(|| number(HEAD) & 0x7fff_ffff),
-            });
-            self.skip = if update { 0 } else { length };
-            self.have = 0;
         }
     }
+
+    /// Takes what is missing of a frame header, or of the increment after it; returns the rest.
+    fn fill<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let wanted = if self.buffered < FRAME_HEADER_BYTES { FRAME_HEADER_BYTES } else { self.buffer.len() };
+        let (taken, rest) = bytes.split_at((wanted - self.buffered).min(bytes.len()));
+        self.buffer[self.buffered..self.buffered + taken.len()].copy_from_slice(taken);
+        self.buffered += taken.len();
+        rest
+    }
+
+    /// The frame in the buffer, once as much of it is there as is needed.
+    fn frame(&self) -> Option<Frame> {
+        let buffer = &self.buffer;
+        let length = usize::from(buffer[0]) << 16 | usize::from(buffer[1]) << 8 | usize::from(buffer[2]);
+        let kind = buffer[3];
+        let is_window_update = kind == WINDOW_UPDATE && length == WINDOW_INCREMENT_BYTES;
+        let needed = if is_window_update { buffer.len() } else { FRAME_HEADER_BYTES };
+        if self.buffered < FRAME_HEADER_BYTES || self.buffered < needed {
+            return None;
+        }
+        Some(Frame {
+            length,
+            kind,
+            flags: buffer[4],
+            stream: self.number_at(5),
+            increment: is_window_update.then(|| self.number_at(FRAME_HEADER_BYTES)),
+        })
+    }
+
+    fn number_at(&self, at: usize) -> u32 {
+        let bytes = [self.buffer[at], self.buffer[at + 1], self.buffer[at + 2], self.buffer[at + 3]];
+        u32::from_be_bytes(bytes) & RESERVED_BIT_MASK
+    }
 }
 
 #[cfg(test)]
--- a/grpc-api/src/health.rs
+++ b/grpc-api/src/health.rs
@@ -1,4 +1,4 @@
-//! The published health service: whether this gateway takes calls.
+//! The published health service: whether this gateway accepts calls.
 
 use crate::SERVICE;
 use async_io::Timer;
@@ -9,11 +9,11 @@
 use tonic_health::pb::HealthCheckResponse;
 use tonic_health::pb::health_check_response::ServingStatus;
 
-/// Changes that nobody tells of, as of the list of servers, are looked for this often.
-const LOOK: Duration = Duration::from_secs(1);
+/// Changes without a notification, as of the list of servers, are polled for this often.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The state of a service: of the gateway as a whole, with the empty name, or of the chat service.
-pub fn state(gateway: &Gateway, service: &str) -> Option<ServingStatus> {
+/// The status of a service: of the gateway itself, by the empty name, or of the chat service.
+fn serving_status(gateway: &Gateway, service: &str) -> Option<ServingStatus> {
     match service {
         "" | SERVICE if gateway.is_draining() || gateway.servers() == 0 => Some(ServingStatus::NotServing),
         "" | SERVICE => Some(ServingStatus::Serving),
@@ -21,22 +21,27 @@
     }
 }
 
+/// The status of a service now.
 pub fn check(gateway: &Gateway, service: &str) -> Result<HealthCheckResponse, Status> {
-    let state = state(gateway, service).ok_or_else(|| Status::not_found("there is no such service here"))?;
-    Ok(HealthCheckResponse { status: state.into() })
+    let status =
+        serving_status(gateway, service).ok_or_else(|| Status::not_found("there is no such service here"))?;
+    Ok(HealthCheckResponse { status: status.into() })
 }
 
-/// Returns once the state is another than `last`.
-pub async fn changed(gateway: &Gateway, service: &str, last: Option<ServingStatus>) -> ServingStatus {
+/// Returns once the status of a service differs from `last`.
+pub async fn next_change(gateway: &Gateway, service: &str, last: Option<ServingStatus>) -> ServingStatus {
     loop {
-        let now = state(gateway, service).unwrap_or(ServingStatus::ServiceUnknown);
-        if Some(now) != last {
-            return now;
+        let status = serving_status(gateway, service).unwrap_or(ServingStatus::ServiceUnknown);
+        if Some(status) != last {
+            return status;
         }
-        let look = async {
-            Timer::after(LOOK).await;
+        let poll_timer = async {
+            Timer::after(STATUS_POLL_INTERVAL).await;
         };
-        // A gateway that drains already tells nothing new.
-        if gateway.is_draining() { look.await } else { future::or(gateway.until_draining(), look).await }
+        // Once the gateway is draining, waiting for that returns at once.
+        match gateway.is_draining() {
+            true => poll_timer.await,
+            false => future::or(gateway.until_draining(), poll_timer).await,
+        }
     }
 }
--- a/grpc-api/src/message.rs
+++ b/grpc-api/src/message.rs
@@ -1,6 +1,6 @@
-//! Messages on a stream: a mark for compression, a length, the message.
+//! Messages on a stream, each with a prefix: a compression flag and its length.
 
-use crate::status::Told;
+use crate::error::RpcError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use h2::RecvStream;
 use petrelshore_ingress::error::{CallError, RequestError, RequestErrorKind};
@@ -8,81 +8,85 @@
 use prost::Message;
 use tonic::Status;
 
-const HEAD: usize = 5;
+const PREFIX_BYTES: usize = 5;
+const NOT_COMPRESSED: u8 = 0;
 
 /// A message ready to be sent.
 pub fn encode(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
-    let mut bytes = BytesMut::with_capacity(HEAD + length);
-    put(&mut bytes, message);
+    let mut bytes = BytesMut::with_capacity(PREFIX_BYTES + length);
+    append(&mut bytes, message);
     bytes.freeze()
 }
 
-/// Adds a message to others that go out together.
-pub fn put(bytes: &mut BytesMut, message: &impl Message) {
+/// Adds a message to others that are sent together.
+pub fn append(bytes: &mut BytesMut, message: &impl Message) {
     let length = message.encoded_len();
-    bytes.reserve(HEAD + length);
-    bytes.put_u8(0);
+    bytes.reserve(PREFIX_BYTES + length);
+    bytes.put_u8(NOT_COMPRESSED);
     bytes.put_u32(length as u32);
-    // Room for it was just made.
+    // This can't fail: the capacity was just reserved.
     let _ = message.encode(bytes);
 }
 
-/// The messages that a client sends on one stream, within their size and what there is room for.
-pub struct Incoming {
+/// The messages that a client sends on one stream, within their size limit and the memory that is available.
+pub struct RequestStream {
     stream: RecvStream,
-    part: BytesMut,
-    room: BodyReservation,
+    buffer: BytesMut,
+    reservation: BodyReservation,
 }
 
-impl Incoming {
-    pub fn new(stream: RecvStream, room: BodyReservation) -> Self {
-        Incoming { stream, part: BytesMut::new(), room }
+impl RequestStream {
+    /// The messages of a stream, their memory reserved by `reservation`.
+    pub fn new(stream: RecvStream, reservation: BodyReservation) -> Self {
+        RequestStream { stream, buffer: BytesMut::new(), reservation }
     }
 
     /// The next message; none where the client has ended its side before one began.
-    pub async fn next<M: Message + Default>(&mut self) -> Result<Option<M>, Told> {
-        while self.part.len() < HEAD {
-            if !self.more().await? {
-                return match self.part.len() {
-                    0 => Ok(None),
-                    _ => Err(malformed("the stream ended within a message").into()),
-                };
+    pub async fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, RpcError> {
+        while self.buffer.len() < PREFIX_BYTES {
+            if self.read_more().await? {
+                continue;
             }
+            return match self.buffer.is_empty() {
+                true => Ok(None),
+                false => Err(malformed("the stream ended within a message").into()),
+            };
         }
-        let packed = self.part[0] != 0;
-        let length = (&self.part[1..HEAD]).get_u32() as usize;
-        if packed {
-            return Err(Told::Status(Status::unimplemented("messages can't be compressed here")));
+        let compressed = self.buffer[0] != NOT_COMPRESSED;
+        let length = (&self.buffer[1..PREFIX_BYTES]).get_u32() as usize;
+        if compressed {
+            return Err(RpcError::Status(Status::unimplemented("messages can't be compressed here")));
         }
-        // Its length is judged before any of it is read.
-        self.room.grow_to(HEAD + length).map_err(CallError::from)?;
-        while self.part.len() < HEAD + length {
-            if !self.more().await? {
+        // The length is checked before any of the message is read.
+        self.reservation.grow_to(PREFIX_BYTES + length).map_err(CallError::from)?;
+        while self.buffer.len() < PREFIX_BYTES + length {
+            if !self.read_more().await? {
                 return Err(malformed("the stream ended within a message").into());
             }
         }
-        self.part.advance(HEAD);
-        let message = self.part.split_to(length);
+        self.buffer.advance(PREFIX_BYTES);
+        let message = self.buffer.split_to(length);
         M::decode(message.freeze()).map(Some).map_err(|error| malformed(&error.to_string()).into())
     }
 
-    async fn more(&mut self) -> Result<bool, Told> {
+    /// Reads what comes next; false at the end of the stream.
+    async fn read_more(&mut self) -> Result<bool, RpcError> {
         match self.stream.data().await {
             Some(Ok(bytes)) => {
-                self.room.grow_to(self.part.len() + bytes.len()).map_err(CallError::from)?;
-                self.part.extend_from_slice(&bytes);
-                // The client may send as much again: what it sends is bounded by the room, not by the window.
+                self.reservation.grow_to(self.buffer.len() + bytes.len()).map_err(CallError::from)?;
+                self.buffer.extend_from_slice(&bytes);
+                // The client may send as much again: the reservation limits what it sends, not the window.
                 let _ = self.stream.flow_control().release_capacity(bytes.len());
                 Ok(true)
             }
-            Some(Err(_)) => Err(Told::Gone),
+            Some(Err(_)) => Err(RpcError::ClientDisconnected),
             None => Ok(false),
         }
     }
 }
 
-fn malformed(what: &str) -> CallError {
-    RequestError::new(RequestErrorKind::Malformed, format!("the request message can't be read: {what}"))
-        .into()
+fn malformed(message: &str) -> CallError {
+    let message = format!("the request message can't be read: {message}");
+    RequestError::new(RequestErrorKind::Malformed, message).into()
 }
--- a/grpc-api/src/reflection.rs
+++ b/grpc-api/src/reflection.rs
@@ -1,4 +1,4 @@
-//! The published reflection service: what is served here, for clients that explore.
+//! The published reflection service: describes what is served, for clients that explore.
 
 use prost::Message;
 use prost_types::{DescriptorProto, FileDescriptorProto, FileDescriptorSet};
@@ -11,84 +11,98 @@
     ServerReflectionResponse, ServiceResponse,
 };
 
-const CHAT: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/chat.bin"));
+const CHAT_DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/chat.bin"));
 
-/// Everything that is served, by file and by symbol.
-pub struct Described {
+/// Descriptors of everything that is served, by file and by symbol.
+#[derive(Default)]
+pub struct DescriptorIndex {
+    /// Encoded files by their names.
     files: BTreeMap<String, Vec<u8>>,
+    /// The file that defines each symbol.
     symbols: BTreeMap<String, String>,
     services: Vec<String>,
 }
 
-impl Described {
+impl DescriptorIndex {
+    /// Indexes the chat service and the services beside it.
     pub fn new() -> Self {
-        let mut all = Described { files: BTreeMap::new(), symbols: BTreeMap::new(), services: Vec::new() };
+        let mut index = DescriptorIndex::default();
         let sets = [
-            CHAT,
+            CHAT_DESCRIPTOR_SET,
             tonic_health::pb::FILE_DESCRIPTOR_SET,
             tonic_reflection::pb::v1::FILE_DESCRIPTOR_SET,
             tonic_reflection::pb::v1alpha::FILE_DESCRIPTOR_SET,
         ];
-        // Built in, and read in the tests of this module.
+        // All are built in; the tests of this module decode them.
         let sets = sets.into_iter().filter_map(|set| FileDescriptorSet::decode(set).ok());
-        sets.flat_map(|set| set.file).for_each(|file| all.add(file));
-        all
+        sets.flat_map(|set| set.file).for_each(|file| index.add_file(file));
+        index
     }
 
-    fn add(&mut self, file: FileDescriptorProto) {
+    fn add_file(&mut self, file: FileDescriptorProto) {
         let (name, package) = (file.name().to_owned(), file.package().to_owned());
         for service in &file.service {
-            let full = format!("{package}.{}", service.name());
+            let full_name = format!("{package}.{}", service.name());
             for method in &service.method {
-                self.symbols.insert(format!("{full}.{}", method.name()), name.clone());
+                self.symbols.insert(format!("{full_name}.{}", method.name()), name.clone());
             }
-            self.symbols.insert(full.clone(), name.clone());
-            self.services.push(full);
+            self.symbols.insert(full_name.clone(), name.clone());
+            self.services.push(full_name);
         }
-        file.message_type.iter().for_each(|message| self.message(&package, &name, message));
-        for each in &file.enum_type {
-            self.symbols.insert(format!("{package}.{}", each.name()), name.clone());
+        for message in &file.message_type {
+            self.add_message(&package, &name, message);
+        }
+        for enumeration in &file.enum_type {
+            self.symbols.insert(format!("{package}.{}", enumeration.name()), name.clone());
         }
         self.files.insert(name, file.encode_to_vec());
     }
 
-    fn message(&mut self, within: &str, file: &str, message: &DescriptorProto) {
-        let full = format!("{within}.{}", message.name());
-        self.symbols.insert(full.clone(), file.to_owned());
-        message.nested_type.iter().for_each(|nested| self.message(&full, file, nested));
-        for each in &message.enum_type {
-            self.symbols.insert(format!("{full}.{}", each.name()), file.to_owned());
+    fn add_message(&mut self, scope: &str, file: &str, message: &DescriptorProto) {
+        let full_name = format!("{scope}.{}", message.name());
+        self.symbols.insert(full_name.clone(), file.to_owned());
+        for nested in &message.nested_type {
+            self.add_message(&full_name, file, nested);
+        }
+        for enumeration in &message.enum_type {
+            self.symbols.insert(format!("{full_name}.{}", enumeration.name()), file.to_owned());
         }
     }
 
-    pub fn answer(&self, asked: ServerReflectionRequest) -> ServerReflectionResponse {
-        let file = |name: Option<&String>| match name.and_then(|name| self.files.get(name)) {
-            Some(file) => MessageResponse::FileDescriptorResponse(FileDescriptorResponse {
-                file_descriptor_proto: vec![file.clone()],
-            }),
-            None => refused(Code::NotFound, "nothing of this name is served here"),
-        };
-        let answer = match &asked.message_request {
-            Some(MessageRequest::ListServices(_)) => {
-                let service = self.services.iter().map(|name| ServiceResponse { name: name.clone() });
-                MessageResponse::ListServicesResponse(ListServiceResponse { service: service.collect() })
-            }
-            Some(MessageRequest::FileByFilename(name)) => file(Some(name)),
+    /// Answers one request of the reflection service.
+    pub fn respond(&self, request: ServerReflectionRequest) -> ServerReflectionResponse {
+        let response = match &request.message_request {
+            Some(MessageRequest::ListServices(_)) => self.list_services(),
+            Some(MessageRequest::FileByFilename(name)) => self.file_response(Some(name)),
             Some(MessageRequest::FileContainingSymbol(symbol)) => {
-                file(self.symbols.get(symbol.trim_start_matches('.')))
+                self.file_response(self.symbols.get(symbol.trim_start_matches('.')))
             }
-            Some(_) => refused(Code::NotFound, "there are no extensions here"),
-            None => refused(Code::InvalidArgument, "nothing was asked"),
+            Some(_) => error_response(Code::NotFound, "there are no extensions here"),
+            None => error_response(Code::InvalidArgument, "nothing was asked"),
         };
         ServerReflectionResponse {
-            valid_host: asked.host.clone(),
-            original_request: Some(asked),
-            message_response: Some(answer),
+            valid_host: request.host.clone(),
+            original_request: Some(request),
+            message_response: Some(response),
+        }
+    }
+
+    fn list_services(&self) -> MessageResponse {
+        let services = self.services.iter().map(|name| ServiceResponse { name: name.clone() });
+        MessageResponse::ListServicesResponse(ListServiceResponse { service: services.collect() })
+    }
+
+    fn file_response(&self, name: Option<&String>) -> MessageResponse {
+        match name.and_then(|name| self.files.get(name)) {
+            Some(file) => MessageResponse::FileDescriptorResponse(FileDescriptorResponse {
+                file_descriptor_proto: vec![file.clone()],
+            }),
+            None => error_response(Code::NotFound, "nothing of this name is served here"),
         }
     }
 }
 
-fn refused(code: Code, message: &str) -> MessageResponse {
+fn error_response(code: Code, message: &str) -> MessageResponse {
     MessageResponse::ErrorResponse(ErrorResponse {
         error_code: code.into(),
         error_message: message.to_owned(),
--- a/grpc-api/src/reflection/tests.rs
+++ b/grpc-api/src/reflection/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-fn ask(asked: MessageRequest) -> MessageResponse {
-    let request = ServerReflectionRequest { host: String::new(), message_request: Some(asked) };
-    Described::new().answer(request).message_response.unwrap()
+fn respond(message_request: MessageRequest) -> MessageResponse {
+    let request = ServerReflectionRequest { host: String::new(), message_request: Some(message_request) };
+    DescriptorIndex::new().respond(request).message_response.unwrap()
 }
 
 #[test]
-fn every_service_is_listed_and_found_with_the_file_that_defines_it() {
-    let MessageResponse::ListServicesResponse(list) = ask(MessageRequest::ListServices(String::new())) else {
+fn every_service_is_listed_and_resolves_to_its_defining_file() {
+    let MessageResponse::ListServicesResponse(list) = respond(MessageRequest::ListServices(String::new()))
+    else {
         panic!("no list");
     };
     let names: Vec<&str> = list.service.iter().map(|service| service.name.as_str()).collect();
@@ -21,14 +22,14 @@
         ]
     );
     for name in names.into_iter().chain(["petrelshore.chat.v1.ChatEvent", "petrelshore.chat.v1.Role"]) {
-        let found = ask(MessageRequest::FileContainingSymbol(name.to_owned()));
+        let found = respond(MessageRequest::FileContainingSymbol(name.to_owned()));
         let MessageResponse::FileDescriptorResponse(found) = found else { panic!("{name} is not found") };
         let file = FileDescriptorProto::decode(&found.file_descriptor_proto[0][..]).unwrap();
         assert!(name.starts_with(file.package()), "{name} in {}", file.name());
         assert!(file.dependency.is_empty(), "{} needs files that are not sent", file.name());
     }
-    let lost = ask(MessageRequest::FileContainingSymbol("petrelshore.chat.v2.ChatService".to_owned()));
+    let unknown = respond(MessageRequest::FileContainingSymbol("petrelshore.chat.v2.ChatService".to_owned()));
     assert!(
-        matches!(lost, MessageResponse::ErrorResponse(error) if error.error_code == Code::NotFound as i32)
+        matches!(unknown, MessageResponse::ErrorResponse(error) if error.error_code == Code::NotFound as i32)
     );
 }
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -1,8 +1,8 @@
-//! Words for what was not answered: status codes and details. The table in `docs/grpc-api.md` says the same.
+//! Status codes and details of failed calls. `docs/grpc-api.md` has the same table.
 //!
-//! Clients of this protocol send again by themselves after the codes that their service configuration names, most
-//! often UNAVAILABLE and RESOURCE_EXHAUSTED. Those two are given with RetryInfo only where nothing ran; everything
-//! else carries a pushback that forbids a retry, which clients obey whatever the code.
+//! Clients of this protocol retry by themselves after the codes that their service configuration names, most often
+//! UNAVAILABLE and RESOURCE_EXHAUSTED. Those two are given with RetryInfo only where nothing ran; everything else
+//! carries a pushback that forbids a retry, which clients obey whatever the code.
 
 use petrelshore_gateway_core::FailureReason;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
@@ -10,35 +10,24 @@
 use std::time::Duration;
 use tonic::metadata::{MetadataMap, MetadataValue};
 use tonic::{Code, Status};
-use tonic_types::{ErrorDetails, StatusExt};
+use tonic_types::{ErrorDetails, FieldViolation, StatusExt};
 
-const DOMAIN: &str = "petrelshore";
-const PUSHBACK: &str = "grpc-retry-pushback-ms";
+const ERROR_DOMAIN: &str = "petrelshore";
+const RETRY_PUSHBACK: &str = "grpc-retry-pushback-ms";
+/// A pushback below zero forbids a retry.
+const NO_RETRY: i64 = -1;
+const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// Why a call ends without an answer.
-pub enum Told {
-    Failed(CallError),
-    /// What only this protocol knows.
-    Status(Status),
-    /// Nobody is there to be told.
-    Gone,
-}
-
-impl<F: Into<CallError>> From<F> for Told {
-    fn from(failed: F) -> Told {
-        Told::Failed(failed.into())
-    }
-}
-
-pub fn status_of(failed: &CallError) -> Status {
-    match failed {
-        CallError::InvalidRequest(wrong) => of_wrong(wrong),
-        CallError::Unanswered(unanswered) => of_unanswered(unanswered),
+/// The status of a failed call.
+pub fn from_call_error(error: &CallError) -> Status {
+    match error {
+        CallError::InvalidRequest(error) => from_request_error(error),
+        CallError::Unanswered(response) => from_error_response(response),
     }
 }
 
-fn of_wrong(wrong: &RequestError) -> Status {
-    let (code, reason) = match wrong.kind {
+fn from_request_error(error: &RequestError) -> Status {
+    let (code, reason) = match error.kind {
         RequestErrorKind::Unauthenticated => (Code::Unauthenticated, "INVALID_API_KEY"),
         RequestErrorKind::UnknownModel => (Code::NotFound, "MODEL_NOT_FOUND"),
         RequestErrorKind::InvalidField => (Code::InvalidArgument, "INVALID_FIELD"),
@@ -49,15 +38,29 @@
             (Code::Unimplemented, "NO_SUCH_METHOD")
         }
     };
-    let mut details = ErrorDetails::with_error_info(reason, DOMAIN, []);
-    if let Some(field) = &wrong.field {
-        details.set_bad_request(vec![tonic_types::FieldViolation::new(field, &wrong.message)]);
+    let mut details = ErrorDetails::with_error_info(reason, ERROR_DOMAIN, []);
+    if let Some(field) = &error.field {
+        details.set_bad_request(vec![FieldViolation::new(field, &error.message)]);
     }
-    Status::with_error_details_and_metadata(code, &wrong.message, details, pushback(Retry::Mended))
+    Status::with_error_details_and_metadata(code, &error.message, details, pushback(Retry::Mended))
 }
 
-fn of_unanswered(unanswered: &ErrorResponse) -> Status {
-    let code = match unanswered.cause {
+fn from_error_response(response: &ErrorResponse) -> Status {
+    let message = response.to_string();
+    let reason = response.cause.code().to_uppercase();
+    let mut details = ErrorDetails::with_error_info(reason, ERROR_DOMAIN, []);
+    if let Retry::After(delay) = response.retry {
+        details.set_retry_info(Some(Duration::from_nanos(delay)));
+    }
+    if let Some(field) = response.cause.field() {
+        details.set_bad_request(vec![FieldViolation::new(field, &message)]);
+    }
+    let metadata = pushback(response.retry);
+    Status::with_error_details_and_metadata(code_of(response.cause), message, details, metadata)
+}
+
+fn code_of(cause: ErrorCause) -> Code {
+    match cause {
         ErrorCause::Rejected(_)
         | ErrorCause::GatewayAtCapacity
         | ErrorCause::IngressAtCapacity
@@ -70,30 +73,20 @@
             Code::DeadlineExceeded
         }
         ErrorCause::Aborted(FailureReason::AlreadyRan) => Code::AlreadyExists,
-        // Not ABORTED: that code tells callers to try again.
+        // Not ABORTED: that code tells callers to retry.
         ErrorCause::Aborted(_) => Code::Internal,
         ErrorCause::KeyReused => Code::InvalidArgument,
-    };
-    let message = unanswered.to_string();
-    let reason = unanswered.cause.code().to_uppercase();
-    let mut details = ErrorDetails::with_error_info(reason, DOMAIN, []);
-    if let Retry::After(wait) = unanswered.retry {
-        details.set_retry_info(Some(Duration::from_nanos(wait)));
-    }
-    if let Some(field) = unanswered.cause.field() {
-        details.set_bad_request(vec![tonic_types::FieldViolation::new(field, &message)]);
     }
-    Status::with_error_details_and_metadata(code, message, details, pushback(unanswered.retry))
 }
 
-/// When a client may send again by itself; below zero it may not.
+/// After how many milliseconds a client may retry by itself.
 fn pushback(retry: Retry) -> MetadataMap {
     let millis = match retry {
-        Retry::After(wait) => i64::try_from(wait.div_ceil(1_000_000)).unwrap_or(i64::MAX),
-        Retry::Mended | Retry::Never => -1,
+        Retry::After(delay) => i64::try_from(delay.div_ceil(NANOS_PER_MILLISECOND)).unwrap_or(i64::MAX),
+        Retry::Mended | Retry::Never => NO_RETRY,
     };
     let mut metadata = MetadataMap::new();
-    metadata.insert(PUSHBACK, MetadataValue::from(millis));
+    metadata.insert(RETRY_PUSHBACK, MetadataValue::from(millis));
     metadata
 }
 
--- a/grpc-api/src/status/tests.rs
+++ b/grpc-api/src/status/tests.rs
@@ -2,7 +2,7 @@
 use petrelshore_chat_gateway::Rejection;
 
 #[test]
-fn only_what_provably_did_not_run_may_be_sent_again() {
+fn only_calls_that_provably_did_not_run_may_be_retried() {
     use FailureReason::*;
     let reasons = [
         AtCapacity,
@@ -20,16 +20,16 @@
             ErrorResponse { cause: ErrorCause::Aborted(*reason), retry: Retry::Never },
         ]
     });
-    for unanswered in all.chain([Rejection::DeadlineTooShort.into(), Rejection::KeyReused.into()]) {
-        let status = of_unanswered(&unanswered);
-        let harmless = matches!(unanswered.retry, Retry::After(_));
+    for response in all.chain([Rejection::DeadlineTooShort.into(), Rejection::KeyReused.into()]) {
+        let status = from_error_response(&response);
+        let retry_allowed = matches!(response.retry, Retry::After(_));
         let retried = matches!(status.code(), Code::Unavailable | Code::ResourceExhausted | Code::Aborted);
-        let pushback = status.metadata().get(PUSHBACK).and_then(|value| value.to_str().ok()).unwrap();
+        let pushback = status.metadata().get(RETRY_PUSHBACK).and_then(|value| value.to_str().ok()).unwrap();
         assert_eq!(
             (retried, status.get_details_retry_info().is_some()),
-            (harmless, harmless),
-            "{unanswered:?}"
+            (retry_allowed, retry_allowed),
+            "{response:?}"
         );
-        assert_eq!(pushback, if harmless { "6" } else { "-1" }, "{unanswered:?}");
+        assert_eq!(pushback, if retry_allowed { "6" } else { "-1" }, "{response:?}");
     }
 }
