--- a/inventory/src/csv_entries.rs
+++ b/inventory/src/csv_entries.rs
@@ -32,7 +32,7 @@
     Ok(entries)
 }
 
-/// For each column the field that it holds, if any.
+/// For each column its field, if any.
 fn columns(headers: &csv::StringRecord) -> Vec<Option<&'static str>> {
     headers.iter().map(|name| FIELDS.iter().copied().find(|field| *field == name)).collect()
 }
--- a/inventory/src/membership.rs
+++ b/inventory/src/membership.rs
@@ -85,7 +85,7 @@
     }
 
     /// An answer reported when its server started, on that server's clock. That clock may be wrong, and may be stepped: a
-    /// restart came after the last answer that reported the start before, and is taken to be just now where the server's
+    /// restart came after the last answer that reported the start before, and counts as just now where the server's
     /// clock says otherwise.
     pub fn start_reported(&mut self, now: Nanos, id: ServerId, start: Nanos) -> Option<Change> {
         let before = self.reported_starts.insert(id, ReportedStart { start, reported_at: now })?;
@@ -136,7 +136,7 @@
     }
 }
 
-/// Names keep their numbers over all lists.
+/// The index of a name, the same in all lists.
 fn name_index(names: &mut Vec<String>, name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
--- a/platform-protocol/src/error.rs
+++ b/platform-protocol/src/error.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// A client's own words in a message are cut to so many characters.
+/// What a message quotes of a client's value is cut to so many characters.
 const MAX_QUOTED_CHARS: usize = 40;
 
 /// What was wrong with the head of a client's request.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,12 +6,12 @@
 mod decode;
 mod evaluation;
 mod problem;
-mod reader;
 mod records;
 mod rules;
 mod settings;
+mod settings_file;
 
 pub use evaluation::evaluate;
 pub use problem::Problem;
-pub use reader::{read, read_text};
 pub use settings::{Limits, Settings, Traffic};
+pub use settings_file::{read, read_text};
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The whole file.
+/// The full file.
 #[derive(Deserialize)]
 pub(crate) struct GatewayRecord {
     pub(crate) name: String,
--- a/settings/tests/files.rs
+++ b/settings/tests/files.rs
@@ -1,6 +1,6 @@
 //! Good and bad settings files: each bad one is rejected with its place and its field.
 
-use petrelshore::interface::{Idempotency, TenantId, TrafficTypeId};
+use petrelshore::interface::{Idempotency, Role, TenantId, TrafficTypeId};
 use petrelshore_settings::{Settings, read, read_text};
 use std::path::Path;
 
@@ -69,3 +69,40 @@
     let problems = read(Path::new("/nowhere/gw.ncl")).unwrap_err();
     assert!(problems[0].to_string().contains("/nowhere/gw.ncl: can't be read"));
 }
+
+#[test]
+fn too_long_times_are_reported_one_by_one_with_their_fields() {
+    let more = r#"cold = { lasts = "99999999h", window = "99999998h" }, limits.body_time = "99999997h",
+        drain_time = "99999996h", zone = ""#;
+    let expected: String = [
+        ("cold.lasts", "99999999h"),
+        ("cold.window", "99999998h"),
+        ("limits.body_time", "99999997h"),
+        ("drain_time", "99999996h"),
+    ]
+    .map(|(field, time)| format!("gw.ncl: field {field}: '{time}' is not a time that can be told\n"))
+    .concat();
+    assert_eq!(rejected(&GOOD.replace("zone = \"", more)), expected);
+}
+
+#[test]
+fn settings_keys_fill_the_deployment() {
+    let more = r#"writers_read = true, over_share_utility = 0.7, gateways = 9, attempts = 5, open = true,
+        longest_retry_after = "33s", release_within = "300ms",
+        cold = { lasts = "3s", window = "4s", from = 0.5, multiple = 3 }, zone = ""#;
+    let settings = read_text(Path::new("gw.ncl"), &GOOD.replace("zone = \"", more)).unwrap();
+    let deployment = &settings.deployment;
+    assert!(settings.allow_anonymous && deployment.decode_servers_prefill);
+    assert_eq!((deployment.over_quota_factor, deployment.gateways, deployment.max_attempts), (0.7, 9, 5));
+    assert_eq!(deployment.max_retry_after, Some(33_000_000_000));
+    assert_eq!(deployment.release_timeout, 300_000_000);
+    assert_eq!(
+        (deployment.slow_start_duration, deployment.slow_start_window),
+        (3_000_000_000, 4_000_000_000)
+    );
+    assert_eq!((deployment.slow_start_initial_share, deployment.slow_start_overload_factor), (0.5, 3.0));
+    assert_eq!(
+        deployment.kinds.iter().map(|kind| kind.role).collect::<Vec<_>>(),
+        [Role::Prefill, Role::Decode]
+    );
+}
