--- a/http1/src/connecting.rs
+++ b/http1/src/connect.rs
@@ -1,6 +1,6 @@
 //! Making connections on a machine that may be short of descriptors, ports or a way to the network for a moment.
 
-use crate::system_calls::{Failure, RETRY_PAUSE, failure};
+use crate::io_retry::{Failure, RETRY_PAUSE, failure};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::cell::Cell;
--- a/http1/src/wire.rs
+++ b/http1/src/connection.rs
@@ -1,10 +1,10 @@
 //! A socket with what has come on it and was not used yet.
 
 use crate::Unreadable;
-use crate::arrivals::Arrivals;
-use crate::connecting::{Unconnected, connect};
+use crate::connect::{Unconnected, connect};
 use crate::head::{self, AnswerHead, RequestHead};
-use crate::system_calls::{Failure, RETRY_PAUSE, failure, uninterrupted};
+use crate::io_retry::{Failure, RETRY_PAUSE, failure, uninterrupted};
+use crate::receive_times::Arrivals;
 use async_io::{Async, Timer};
 use bytes::BytesMut;
 use futures_lite::future;
--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -3,16 +3,16 @@
 //! hyper hides what those pages ask about: a `Content-Length` beside `Transfer-Encoding` is dropped before a service
 //! sees it (`tests/hyper.rs` shows that), sizes of chunks are not told, nor whether the last byte of a request was
 //! written, nor what a peer sent unasked. So [`head`] reads heads with httparse, [`body`] decodes bodies, both
-//! without I/O, and [`wire`] is the socket round them. [`arrivals`]
-//! knows when what is in its buffer came, [`system_calls`] which failures pass by themselves;
-//! [`connecting`] waits for those of a new connection.
+//! without I/O, and [`connection`] is the socket round them. [`receive_times`]
+//! knows when what is in its buffer came, [`io_retry`] which failures pass by themselves;
+//! [`connect`] waits for those of a new connection.
 
-pub mod arrivals;
 pub mod body;
-pub mod connecting;
+pub mod connect;
+pub mod connection;
 pub mod head;
-pub mod system_calls;
-pub mod wire;
+pub mod io_retry;
+pub mod receive_times;
 
 /// What can't be read as HTTP/1.1, or is larger than it may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/http1/tests/wire.rs
+++ b/http1/tests/connection.rs
@@ -2,7 +2,7 @@
 
 use async_io::{Async, Timer, block_on};
 use futures_lite::future;
-use petrelshore_http1::wire::Wire;
+use petrelshore_http1::connection::Wire;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
--- a/http1/tests/arrivals.rs
+++ b/http1/tests/receive_times.rs
@@ -1,6 +1,6 @@
 //! When the bytes of a buffer came.
 
-use petrelshore_http1::arrivals::Arrivals;
+use petrelshore_http1::receive_times::Arrivals;
 use std::time::{Duration, Instant};
 
 #[test]
--- a/ingress/src/listener.rs
+++ b/ingress/src/listener.rs
@@ -6,7 +6,7 @@
 use petrelshore_chat_gateway::Gateway;
 use petrelshore_gateway_core::ingress_limits::{IngressError, IngressLimits};
 use petrelshore_gateway_core::{fingerprint, timeouts};
-use petrelshore_http1::system_calls::{Failure, accept_failure, listen_failure};
+use petrelshore_http1::io_retry::{Failure, accept_failure, listen_failure};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
--- a/ingress/src/stall.rs
+++ b/ingress/src/stall.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncRead, AsyncWrite, future::FutureExt};
-use petrelshore_http1::system_calls::Persistent;
+use petrelshore_http1::io_retry::Persistent;
 use std::io::{Error, ErrorKind, Result};
 use std::pin::Pin;
 use std::task::{Context, Poll};
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -6,7 +6,7 @@
 use futures_lite::future;
 use petrelshore::interface::Nanos;
 use petrelshore_http1::body::Body;
-use petrelshore_http1::wire::{Broken, Wire};
+use petrelshore_http1::connection::{Broken, Wire};
 use petrelshore_platform_protocol::Malformed;
 use petrelshore_platform_protocol::list::{Listed, listed};
 use std::future::Future;
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use petrelshore_gateway_core::client_connections::{ConnectionId, ConnectionTable, Entry, FULL_LEAST};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
-use petrelshore_http1::wire::{Peer, Wire};
+use petrelshore_http1::connection::{Peer, Wire};
 use petrelshore_ingress::listener::{AcceptedClient, BodyReservation, Listener};
 use petrelshore_platform_gateway::Service;
 use std::cell::{Cell, RefCell};
