--- a/engine-client/src/pool.rs
+++ b/engine-client/src/pool.rs
@@ -7,8 +7,8 @@
 use petrelshore::interface::Nanos;
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::connection_pool::ConnectionPool;
-use petrelshore_http1::connect::{Unconnected, connect};
-use petrelshore_http1::io_retry::Persistent;
+use petrelshore_http1::connect::{ConnectError, connect};
+use petrelshore_http1::io_retry::RetryingStream;
 use petrelshore_runtime::Spawner;
 use smol_hyper::rt::FuturesIo;
 use std::cell::RefCell;
@@ -53,14 +53,15 @@
     /// A new connection, or none within the time.
     pub async fn connect(&self, to: SocketAddr, within: Duration) -> Result<Sender, AttemptEnd> {
         let stream = connect(to, within).await.map_err(|why| match why {
-            Unconnected::Scarce => AttemptEnd::NotSent,
-            Unconnected::Peer => AttemptEnd::NotConnected,
+            ConnectError::LocalResources => AttemptEnd::NotSent,
+            ConnectError::Unreachable => AttemptEnd::NotConnected,
         })?;
         let stream = TcpStream::from(stream);
         // Tokens are small and must not wait for each other.
         let _ = stream.set_nodelay(true);
         let mut builder = http1::Builder::new();
-        let handshake = builder.max_buf_size(HEAD).handshake(FuturesIo::new(Persistent::new(stream))).await;
+        let handshake =
+            builder.max_buf_size(HEAD).handshake(FuturesIo::new(RetryingStream::new(stream))).await;
         let (sender, connection) = handshake.map_err(|_| AttemptEnd::NotConnected)?;
         let driven = async move {
             // Its end shows at the exchange that runs on it.
--- a/http1/src/body.rs
+++ b/http1/src/body.rs
@@ -1,119 +1,123 @@
-//! Bodies: where they end, and what of the bytes is data.
+//! Decoding of message bodies: where they end, and which of the bytes are data.
 
-use crate::Unreadable;
+use crate::ParseError;
 use bytes::{Buf, BytesMut};
 
-/// How a body is told from what follows it.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// It has this many bytes (`Content-Length`).
     Length(u64),
+    /// `Transfer-Encoding: chunked`.
     Chunked,
     /// It ends with its connection.
-    ToEnd,
+    UntilClose,
 }
 
-/// Most bytes of a chunk's size line, with what may be written behind the size.
-const SIZE_LINE: usize = 128;
-/// Most bytes of the fields behind the last chunk.
-const TRAILER: usize = 4 << 10;
+/// Bound of a chunk's size line, with its extensions.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 128;
+/// Bound of the trailer section.
+const MAX_TRAILER_BYTES: usize = 4 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Length(u64),
-    ToEnd,
-    Size,
-    Data(u64),
-    DataEnd,
+    UntilClose,
+    ChunkSize,
+    ChunkData(u64),
+    ChunkDataEnd,
     Trailer { seen: usize },
-    Over,
+    Complete,
 }
 
-/// One body that is coming in.
+/// The decoder of one body.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
-    largest_chunk: u64,
+    max_chunk_bytes: u64,
 }
 
-impl Body {
-    /// A chunk that says it is larger than `largest_chunk` is refused before any of it is taken.
-    pub fn new(framing: Framing, largest_chunk: u64) -> Self {
+impl BodyDecoder {
+    /// A decoder for a body of this framing. A chunk whose announced size exceeds `max_chunk_bytes` is an error before
+    /// any of it is decoded.
+    pub fn new(framing: Framing, max_chunk_bytes: u64) -> Self {
         let state = match framing {
-            Framing::Length(0) => State::Over,
+            Framing::Length(0) => State::Complete,
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Size,
-            Framing::ToEnd => State::ToEnd,
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
-        Body { state, largest_chunk }
+        BodyDecoder { state, max_chunk_bytes }
     }
 
-    /// Moves what has come of the body from `buffer` to `data`. True once it is over: what `buffer` then holds is
-    /// not of it.
-    pub fn decode(&mut self, buffer: &mut BytesMut, data: &mut BytesMut) -> Result<bool, Unreadable> {
+    /// Moves the received part of the body from `buffer` to `data`. Returns true once the body is complete: what
+    /// `buffer` then holds does not belong to it.
+    pub fn decode(&mut self, buffer: &mut BytesMut, data: &mut BytesMut) -> Result<bool, ParseError> {
         loop {
             self.state = match self.state {
-                State::Over => return Ok(true),
+                State::Complete => return Ok(true),
                 _ if buffer.is_empty() => return Ok(false),
-                State::ToEnd => {
+                State::UntilClose => {
                     data.unsplit(buffer.split());
-                    State::ToEnd
+                    State::UntilClose
                 }
-                State::Length(left) => match take(buffer, data, left) {
-                    0 => State::Over,
+                State::Length(left) => match move_data(buffer, data, left) {
+                    0 => State::Complete,
                     left => State::Length(left),
                 },
-                State::Data(left) => match take(buffer, data, left) {
-                    0 => State::DataEnd,
-                    left => State::Data(left),
+                State::ChunkData(left) => match move_data(buffer, data, left) {
+                    0 => State::ChunkDataEnd,
+                    left => State::ChunkData(left),
                 },
-                State::DataEnd => match &buffer[..] {
+                State::ChunkDataEnd => match &buffer[..] {
                     [b'\r', b'\n', ..] => {
                         buffer.advance(2);
-                        State::Size
+                        State::ChunkSize
                     }
                     [b'\r'] => return Ok(false),
-                    _ => return Err(Unreadable::Chunk),
+                    _ => return Err(ParseError::InvalidChunk),
                 },
-                State::Size => {
-                    let Some(line) = line(buffer, SIZE_LINE)? else { return Ok(false) };
-                    match size(&line).ok_or(Unreadable::Chunk)? {
+                State::ChunkSize => {
+                    let Some(line) = split_line(buffer, MAX_CHUNK_SIZE_LINE_BYTES)? else { return Ok(false) };
+                    match chunk_size(&line).ok_or(ParseError::InvalidChunk)? {
                         0 => State::Trailer { seen: 0 },
-                        size if size > self.largest_chunk => return Err(Unreadable::Chunk),
-                        size => State::Data(size),
+                        size if size > self.max_chunk_bytes => return Err(ParseError::InvalidChunk),
+                        size => State::ChunkData(size),
                     }
                 }
                 State::Trailer { seen } => {
-                    let Some(line) = line(buffer, TRAILER - seen)? else { return Ok(false) };
-                    if line.len() <= 2 { State::Over } else { State::Trailer { seen: seen + line.len() } }
+                    let Some(line) = split_line(buffer, MAX_TRAILER_BYTES - seen)? else { return Ok(false) };
+                    if line.len() <= 2 { State::Complete } else { State::Trailer { seen: seen + line.len() } }
                 }
             };
         }
     }
 
-    /// Whether a body is whole that ends with its connection now.
-    pub fn may_end(&self) -> bool {
-        matches!(self.state, State::Over | State::ToEnd)
+    /// Whether the body is complete if its connection closes now.
+    pub fn may_end_at_close(&self) -> bool {
+        matches!(self.state, State::Complete | State::UntilClose)
     }
 }
 
-/// Moves up to `left` bytes, and returns how many are still to come.
-fn take(buffer: &mut BytesMut, data: &mut BytesMut, left: u64) -> u64 {
-    let here = usize::try_from(left).map_or(buffer.len(), |left| left.min(buffer.len()));
-    data.unsplit(buffer.split_to(here));
-    left - here as u64
+/// Moves up to `left` bytes, and returns how many are still missing.
+fn move_data(buffer: &mut BytesMut, data: &mut BytesMut, left: u64) -> u64 {
+    let available = usize::try_from(left).map_or(buffer.len(), |left| left.min(buffer.len()));
+    data.unsplit(buffer.split_to(available));
+    left - available as u64
 }
 
-/// The next line with its end, which must come within `most` bytes.
-fn line(buffer: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, Unreadable> {
-    match buffer.iter().take(most).position(|byte| *byte == b'\n') {
+/// Splits off the next line with its CRLF, which must come within `max_bytes`.
+fn split_line(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<BytesMut>, ParseError> {
+    match buffer.iter().take(max_bytes).position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && buffer[end - 1] == b'\r' => Ok(Some(buffer.split_to(end + 1))),
-        Some(_) => Err(Unreadable::Chunk),
-        None if buffer.len() >= most => Err(Unreadable::Chunk),
+        Some(_) => Err(ParseError::InvalidChunk),
+        None if buffer.len() >= max_bytes => Err(ParseError::InvalidChunk),
         None => Ok(None),
     }
 }
 
-fn size(line: &[u8]) -> Option<u64> {
+/// The size at the start of a chunk's size line.
+fn chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let rest = line[digits..].trim_ascii();
     let text = std::str::from_utf8(&line[..digits]).ok().filter(|_| rest.is_empty() || rest[0] == b';')?;
--- a/http1/src/connect.rs
+++ b/http1/src/connect.rs
@@ -1,48 +1,61 @@
-//! Making connections on a machine that may be short of descriptors, ports or a way to the network for a moment.
+//! Opening connections on a machine that may briefly lack descriptors, ports or a route to the network.
 
-use crate::io_retry::{Failure, RETRY_PAUSE, failure};
+use crate::io_retry::{FailureClass, classify, retry_delay};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Where there is no way to the network, connecting is tried again for so long: it may be back in a moment, and a peer
-/// that is cut off must not take up the time of the next one.
-const NETWORK_BACK: Duration = Duration::from_millis(150);
+/// How long connecting is retried while there is no route to the peer: the route may come back shortly, and an
+/// unreachable peer must not use up the time of the next one.
+const NO_ROUTE_RETRY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Why a connection was not made.
+/// Why a connection was not established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unconnected {
-    /// This machine had no descriptor, port or memory for it: that says nothing of the peer.
-    Scarce,
-    /// The peer refused, did not answer in time, or can't be reached.
-    Peer,
+pub enum ConnectError {
+    /// This machine had no descriptor, port or memory for it, which says nothing about the peer.
+    LocalResources,
+    /// The peer refused the connection, did not answer in time, or can't be reached.
+    Unreachable,
 }
 
-/// A new connection within the time. What fails for a moment on this machine is tried again until then.
-pub async fn connect(to: SocketAddr, within: Duration) -> Result<Async<TcpStream>, Unconnected> {
-    let began = Instant::now();
-    let scarce = Cell::new(false);
+impl std::fmt::Display for ConnectError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            ConnectError::LocalResources => "no descriptor, port or memory for a connection",
+            ConnectError::Unreachable => "the peer can't be reached",
+        })
+    }
+}
+
+impl std::error::Error for ConnectError {}
+
+/// Opens a connection to `address` within `timeout`. Transient failures of this machine are retried until then.
+pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Async<TcpStream>, ConnectError> {
+    let started = Instant::now();
+    let short_of_resources = Cell::new(false);
     let connected = async {
         loop {
-            let error = match Async::<TcpStream>::connect(to).await {
+            let error = match Async::<TcpStream>::connect(address).await {
                 Ok(stream) => return Ok(stream),
                 Err(error) => error,
             };
-            let failure = failure(&error);
-            scarce.set(failure == Failure::Scarce);
-            match failure {
-                Failure::Again => future::yield_now().await,
-                Failure::Network if began.elapsed() >= NETWORK_BACK => return Err(Unconnected::Peer),
-                Failure::Scarce | Failure::Network => drop(Timer::after(RETRY_PAUSE).await),
-                Failure::Lasting => return Err(Unconnected::Peer),
+            let class = classify(&error);
+            short_of_resources.set(class == FailureClass::ResourceShortage);
+            match class {
+                FailureClass::Immediate => future::yield_now().await,
+                FailureClass::NoRoute if started.elapsed() >= NO_ROUTE_RETRY_TIMEOUT => {
+                    return Err(ConnectError::Unreachable);
+                }
+                FailureClass::ResourceShortage | FailureClass::NoRoute => retry_delay().await,
+                FailureClass::Permanent => return Err(ConnectError::Unreachable),
             }
         }
     };
-    let late = async {
-        Timer::after(within).await;
-        Err(if scarce.get() { Unconnected::Scarce } else { Unconnected::Peer })
+    let timed_out = async {
+        Timer::after(timeout).await;
+        Err(if short_of_resources.get() { ConnectError::LocalResources } else { ConnectError::Unreachable })
     };
-    future::or(connected, late).await
+    future::or(connected, timed_out).await
 }
--- a/http1/src/connection.rs
+++ b/http1/src/connection.rs
@@ -1,10 +1,10 @@
-//! A socket with what has come on it and was not used yet.
+//! A connection: its socket, and the received bytes that are not parsed yet.
 
-use crate::Unreadable;
-use crate::connect::{Unconnected, connect};
-use crate::head::{self, AnswerHead, RequestHead};
-use crate::io_retry::{Failure, RETRY_PAUSE, failure, uninterrupted};
-use crate::receive_times::Arrivals;
+use crate::ParseError;
+use crate::connect::{ConnectError, connect};
+use crate::head::{self, RequestHead, ResponseHead};
+use crate::io_retry::{FailureClass, classify, retry_delay, retry_interrupted};
+use crate::receive_times::ReceiveTimes;
 use async_io::{Async, Timer};
 use bytes::BytesMut;
 use futures_lite::future;
@@ -14,204 +14,220 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes taken from a socket at a time.
-const PIECE: usize = 8 << 10;
+/// Bytes read from a socket at a time.
+const READ_BYTES: usize = 8 << 10;
 
-/// How often a peer is looked at that has sent more than is taken from it.
-const LOOK: Duration = Duration::from_millis(25);
-/// After the last byte for a peer its own are taken and dropped for so long, and so many of them.
-const LINGER: Duration = Duration::from_millis(500);
-const LINGER_BYTES: usize = 1 << 20;
-/// Most answers of status 1xx before the one that counts.
-const INTERIM: usize = 1000;
+/// How often a peer that has sent more than may be buffered is checked for its close.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// How long a lingering close reads and discards what the peer still sends.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How much a lingering close discards at the most.
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Interim (1xx) responses accepted before the final one.
+const MAX_INTERIM_RESPONSES: usize = 1000;
 
-/// Why nothing more can be had from a peer.
+/// Why nothing more can be read from a peer.
 #[derive(Debug)]
-pub enum Broken {
-    Unreadable(Unreadable),
-    /// It closed its connection, or the connection broke.
+pub enum ConnectionError {
+    /// What it sent is not HTTP/1.1, or exceeds a bound.
+    Malformed(ParseError),
+    /// It closed the connection, or the connection failed.
     Closed,
 }
 
-impl From<Unreadable> for Broken {
-    fn from(unreadable: Unreadable) -> Self {
-        Broken::Unreadable(unreadable)
+impl std::fmt::Display for ConnectionError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            ConnectionError::Malformed(error) => error.fmt(f),
+            ConnectionError::Closed => f.write_str("the connection broke"),
+        }
+    }
+}
+
+impl std::error::Error for ConnectionError {}
+
+impl From<ParseError> for ConnectionError {
+    fn from(error: ParseError) -> Self {
+        ConnectionError::Malformed(error)
     }
 }
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for ConnectionError {
     fn from(_: io::Error) -> Self {
-        Broken::Closed
+        ConnectionError::Closed
     }
 }
 
-pub struct Wire {
+/// One HTTP/1.1 connection, from either end.
+pub struct HttpConnection {
     stream: Arc<Async<TcpStream>>,
+    /// Bytes that were received and are not parsed yet.
     pub buffer: BytesMut,
-    arrivals: Arrivals,
+    receive_times: ReceiveTimes,
 }
 
-impl Wire {
+impl HttpConnection {
+    /// Wraps a connected socket, with `TCP_NODELAY` set.
     pub fn new(stream: impl Into<Arc<Async<TcpStream>>>) -> Self {
         let stream = stream.into();
         // Tokens are small and must not wait for each other.
         let _ = stream.get_ref().set_nodelay(true);
-        Wire { stream, buffer: BytesMut::new(), arrivals: Arrivals::default() }
+        HttpConnection { stream, buffer: BytesMut::new(), receive_times: ReceiveTimes::default() }
     }
 
-    /// A new connection within the time.
-    pub async fn connect(to: SocketAddr, within: Duration) -> Result<Self, Unconnected> {
-        connect(to, within).await.map(Wire::new)
+    /// Opens a connection to `address`, within `timeout`.
+    pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
+        connect(address, timeout).await.map(HttpConnection::new)
     }
 
-    /// Takes what comes next into the buffer; nothing came where the peer has closed.
-    pub async fn fill(&mut self) -> io::Result<usize> {
+    /// Reads the bytes that come next into the buffer, and returns their count: zero once the peer has closed.
+    pub async fn fill_buffer(&mut self) -> io::Result<usize> {
         let count = loop {
-            match self.take().await {
-                Err(error) if failure(&error) == Failure::Scarce => drop(Timer::after(RETRY_PAUSE).await),
-                taken => break taken?,
+            match self.read_available().await {
+                Err(error) if classify(&error) == FailureClass::ResourceShortage => retry_delay().await,
+                result => break result?,
             }
         };
-        if count == PIECE {
+        if count == READ_BYTES {
             // Guards against a peer that sends without end: others get their turn.
             future::yield_now().await;
         }
         Ok(count)
     }
 
-    async fn take(&mut self) -> io::Result<usize> {
-        let Wire { stream, buffer, arrivals } = self;
-        let taken = stream.read_with(|mut socket| {
-            let mut piece = [0; PIECE];
-            let count = uninterrupted(|| socket.read(&mut piece))?;
-            arrivals.came(Instant::now(), count, buffer.len());
-            buffer.extend_from_slice(&piece[..count]);
+    async fn read_available(&mut self) -> io::Result<usize> {
+        let HttpConnection { stream, buffer, receive_times } = self;
+        let read = stream.read_with(|mut socket| {
+            let mut bytes = [0; READ_BYTES];
+            let count = retry_interrupted(|| socket.read(&mut bytes))?;
+            receive_times.record(Instant::now(), count, buffer.len());
+            buffer.extend_from_slice(&bytes[..count]);
             Ok(count)
         });
-        taken.await
+        read.await
     }
 
-    /// When the first byte of what is in the buffer came: also of a request that waited behind another one.
-    pub fn first_came(&mut self) -> Option<Instant> {
-        self.arrivals.first_of(self.buffer.len())
+    /// When the first byte in the buffer was received, also that of a request pipelined behind another one.
+    pub fn first_byte_received_at(&mut self) -> Option<Instant> {
+        self.receive_times.first_unread(self.buffer.len())
     }
 
-    /// Writes all of it. After an error its last byte has not been written.
-    pub async fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        let mut left = bytes;
-        while !left.is_empty() {
-            match self.stream.write_with(|mut socket| uninterrupted(|| socket.write(left))).await {
+    /// Writes all the bytes. After an error the last one has not been written.
+    pub async fn write_all(&self, bytes: &[u8]) -> io::Result<()> {
+        let mut unwritten = bytes;
+        while !unwritten.is_empty() {
+            match self.stream.write_with(|mut socket| retry_interrupted(|| socket.write(unwritten))).await {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => left = &left[count..],
-                Err(error) if failure(&error) == Failure::Scarce => drop(Timer::after(RETRY_PAUSE).await),
+                Ok(count) => unwritten = &unwritten[count..],
+                Err(error) if classify(&error) == FailureClass::ResourceShortage => retry_delay().await,
                 Err(error) => return Err(error),
             }
         }
         Ok(())
     }
 
-    /// The next request's head.
-    pub async fn request(&mut self) -> Result<RequestHead, Broken> {
+    /// Reads the head of the next request.
+    pub async fn read_request_head(&mut self) -> Result<RequestHead, ConnectionError> {
         loop {
-            if let Some(head) = head::request(&mut self.buffer)? {
+            if let Some(head) = head::parse_request(&mut self.buffer)? {
                 return Ok(head);
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    /// The next answer's head, behind interim ones. There are only so many of those: an endless row of them is none.
-    pub async fn answer(&mut self) -> Result<AnswerHead, Broken> {
+    /// Reads the head of the next final response. Interim responses before it are skipped, in a bounded number.
+    pub async fn read_response_head(&mut self) -> Result<ResponseHead, ConnectionError> {
         let mut interim = 0;
         loop {
-            match head::answer(&mut self.buffer)? {
+            match head::parse_response(&mut self.buffer)? {
                 Some(head) if !(100..200).contains(&head.status) => return Ok(head),
-                Some(head) if head.status == 101 || interim == INTERIM => {
-                    return Err(Broken::Unreadable(Unreadable::Head));
+                Some(head) if head.status == 101 || interim == MAX_INTERIM_RESPONSES => {
+                    return Err(ConnectionError::Malformed(ParseError::InvalidHead));
                 }
                 Some(_) => interim += 1,
-                None => self.more().await?,
+                None => self.read_more().await?,
             }
         }
     }
 
-    pub async fn more(&mut self) -> Result<(), Broken> {
-        if self.fill().await? == 0 { Err(Broken::Closed) } else { Ok(()) }
+    /// Reads at least one more byte into the buffer.
+    pub async fn read_more(&mut self) -> Result<(), ConnectionError> {
+        if self.fill_buffer().await? == 0 { Err(ConnectionError::Closed) } else { Ok(()) }
     }
 
-    /// Returns when the peer has closed. What it sends meanwhile is kept up to `most` bytes; past that it stays with
-    /// the system, and the peer is looked at now and then.
-    pub async fn closed(&mut self, most: usize) {
-        while self.buffer.len() < most {
-            if !self.fill().await.is_ok_and(|count| count > 0) {
+    /// Returns once the peer has closed. What it sends meanwhile is buffered up to `max_buffered` bytes; beyond that it
+    /// stays in the socket, and the peer is checked at intervals.
+    pub async fn wait_closed(&mut self, max_buffered: usize) {
+        while self.buffer.len() < max_buffered {
+            if !self.fill_buffer().await.is_ok_and(|count| count > 0) {
                 return;
             }
         }
-        while !self.peer().has_left() {
-            Timer::after(LOOK).await;
+        while !self.peer().has_closed() {
+            Timer::after(CLOSE_POLL_INTERVAL).await;
         }
     }
 
-    /// The other end, to be looked at while this is in use.
+    /// A handle on the other end, which can be checked while this connection is in use.
     pub fn peer(&self) -> Peer {
         Peer(self.stream.clone())
     }
 
-    /// Ends the connection, in one order for all: sending is ended, what still comes is dropped, then it is closed. So
-    /// the last bytes written arrive (closed over unread bytes it would be reset, and what the peer has not taken yet be
-    /// gone), and whatever comes from here on is used by nobody.
-    pub async fn finish(&mut self) {
+    /// Closes the connection so that the last bytes written arrive: ends sending, then reads and discards what still
+    /// comes, for a bounded time. A socket closed with unread bytes is reset, and what the peer has not read yet is lost.
+    pub async fn lingering_close(&mut self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let drained = async {
-            let mut taken = 0;
-            while taken < LINGER_BYTES {
+        let discard_input = async {
+            let mut discarded = 0;
+            while discarded < MAX_LINGER_BYTES {
                 self.buffer.clear();
-                match self.fill().await {
-                    Ok(count) if count > 0 => taken += count,
+                match self.fill_buffer().await {
+                    Ok(count) if count > 0 => discarded += count,
                     _ => return,
                 }
             }
         };
-        let late = async {
-            Timer::after(LINGER).await;
+        let timeout = async {
+            Timer::after(LINGER_TIMEOUT).await;
         };
-        future::or(drained, late).await;
+        future::or(discard_input, timeout).await;
     }
 
-    /// Open, and nothing has come on it unasked.
-    pub fn quiet(&self) -> bool {
-        self.buffer.is_empty() && self.peer().looked().is_none()
+    /// Whether the connection is open and the peer has sent nothing unsolicited: another exchange may use it.
+    pub fn is_reusable(&self) -> bool {
+        self.buffer.is_empty() && self.peer().peek().is_none()
     }
 }
 
-/// The other end of a connection.
+/// A handle on the other end of a connection.
 #[derive(Clone)]
 pub struct Peer(Arc<Async<TcpStream>>);
 
 impl Peer {
-    /// Whether it has closed, or ended its sending, also behind bytes that nobody has taken yet. Asks the system now:
-    /// a loop that is busy may not have got to it.
-    pub fn has_left(&self) -> bool {
+    /// Whether it has closed or shut down its sending side, also behind bytes that are not read yet. Asks the operating
+    /// system at once, since a busy event loop may not have seen the event yet.
+    pub fn has_closed(&self) -> bool {
         let mut sockets = [PollFd::new(&self.0, PollFlags::RDHUP)];
-        let looked = uninterrupted(|| Ok(poll(&mut sockets, Some(&Timespec::default()))?));
+        let polled = retry_interrupted(|| Ok(poll(&mut sockets, Some(&Timespec::default()))?));
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let hung_up = looked.is_ok() && sockets[0].revents().intersects(ended);
-        hung_up || self.looked().is_some_and(|looked| looked == 0)
+        let hung_up = polled.is_ok() && sockets[0].revents().intersects(ended);
+        hung_up || self.peek().is_some_and(|count| count == 0)
     }
 
-    /// Whether bytes have come that nobody has taken.
-    pub fn waits(&self) -> bool {
-        self.looked().is_some_and(|looked| looked > 0)
+    /// Whether bytes were received that are not read yet.
+    pub fn has_unread_bytes(&self) -> bool {
+        self.peek().is_some_and(|count| count > 0)
     }
 
-    /// Bytes that lie there, at most one, zero at the end; none while nothing has come.
-    fn looked(&self) -> Option<usize> {
-        match uninterrupted(|| self.0.get_ref().peek(&mut [0])) {
+    /// The count of unread bytes, at most one, and zero at the end of the stream; none while nothing was received.
+    fn peek(&self) -> Option<usize> {
+        match retry_interrupted(|| self.0.get_ref().peek(&mut [0])) {
             Ok(count) => Some(count),
             Err(error) if error.kind() == ErrorKind::WouldBlock => None,
-            Err(error) if failure(&error) == Failure::Scarce => None,
+            Err(error) if classify(&error) == FailureClass::ResourceShortage => None,
             Err(_) => Some(0),
         }
     }
--- a/http1/src/head.rs
+++ b/http1/src/head.rs
@@ -1,16 +1,16 @@
-//! Heads of requests and answers.
+//! Parsing of request and response heads.
 
-use crate::Unreadable;
+use crate::ParseError;
 use crate::body::Framing;
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of a head, and most fields in it.
-pub const LONGEST: usize = 16 << 10;
-const FIELDS: usize = 64;
+/// Bound of a head.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Bound of the fields in a head.
+const MAX_HEADER_FIELDS: usize = 64;
 
-/// Fields that speak of one connection or of how one message is framed on it. They end with it; all others go with the
-/// request to whom it is passed on.
-const OWN: [&str; 10] = [
+/// Fields that concern one connection, or the framing of a message on it. They are not forwarded.
+const CONNECTION_FIELDS: [&str; 10] = [
     "connection",
     "content-length",
     "expect",
@@ -23,14 +23,14 @@
     "upgrade",
 ];
 
-/// Header fields in the order they came.
+/// Header fields in the order in which they were received.
 #[derive(Clone, Debug, Default)]
-pub struct Fields(Vec<(Bytes, Bytes)>);
+pub struct HeaderFields(Vec<(Bytes, Bytes)>);
 
-impl Fields {
-    fn of(head: &Bytes, parsed: &[httparse::Header]) -> Self {
+impl HeaderFields {
+    fn from_parsed(head: &Bytes, parsed: &[httparse::Header]) -> Self {
         let field = |h: &httparse::Header| (head.slice_ref(h.name.as_bytes()), head.slice_ref(h.value));
-        Fields(parsed.iter().map(field).collect())
+        HeaderFields(parsed.iter().map(field).collect())
     }
 
     fn all<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a [u8]> {
@@ -38,27 +38,27 @@
         named.map(|(_, value)| value.as_ref())
     }
 
-    /// The value of a field that came once; none where it came twice, so that no two readers differ on it.
-    pub fn only(&self, name: &str) -> Option<&str> {
+    /// The value of a field that occurs once; none if it occurs twice, so that no two recipients differ on it.
+    pub fn single(&self, name: &str) -> Option<&str> {
         let mut all = self.all(name);
         let value = all.next().and_then(|value| std::str::from_utf8(value).ok());
         value.filter(|_| all.next().is_none()).map(str::trim)
     }
 
-    /// Whether a field holds a word in its list.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    /// Whether a comma-separated field contains a token, in any case.
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
         let values = self.all(name).filter_map(|value| std::str::from_utf8(value).ok());
-        values.flat_map(|value| value.split(',')).any(|listed| listed.trim().eq_ignore_ascii_case(word))
+        values.flat_map(|value| value.split(',')).any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// The fields that go with a request to whom it is passed on, as lines and as they came, without those that whoever
-    /// passes it on sets anew.
-    pub fn passed_on(&self, set_anew: &[&str]) -> Bytes {
+    /// The lines of the fields that are forwarded with a request, unchanged: without those that concern its connection,
+    /// and without those that the forwarding client sets itself (`overridden`).
+    pub fn forwarded(&self, overridden: &[&str]) -> Bytes {
         let mut lines = BytesMut::new();
         for (name, value) in &self.0 {
             let text = std::str::from_utf8(name).unwrap_or_default();
             let named = |names: &[&str]| names.iter().any(|own| own.eq_ignore_ascii_case(text));
-            if !named(&OWN) && !named(set_anew) && !self.lists("connection", text) {
+            if !named(&CONNECTION_FIELDS) && !named(overridden) && !self.contains_token("connection", text) {
                 [&name[..], b": ", &value[..], b"\r\n"]
                     .into_iter()
                     .for_each(|part| lines.extend_from_slice(part));
@@ -67,96 +67,107 @@
         lines.freeze()
     }
 
-    /// How the body is framed, where a field says so.
-    fn framing(&self) -> Result<Option<Framing>, Unreadable> {
+    /// The framing that the fields declare, if they do.
+    fn framing(&self) -> Result<Option<Framing>, ParseError> {
         let (lengths, codings) = (self.all("content-length").count(), self.all("transfer-encoding").count());
         match (lengths, codings) {
             (0, 0) => Ok(None),
             (1, 0) => {
-                let told = self.only("content-length").filter(|told| !told.is_empty());
-                let digits = told.filter(|told| told.bytes().all(|byte| byte.is_ascii_digit()));
-                let length = digits.and_then(|told| told.parse().ok());
-                length.map(|length| Some(Framing::Length(length))).ok_or(Unreadable::Length)
+                let value = self.single("content-length").filter(|value| !value.is_empty());
+                let digits = value.filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()));
+                let length = digits.and_then(|digits| digits.parse().ok());
+                length.map(|length| Some(Framing::Length(length))).ok_or(ParseError::InvalidContentLength)
             }
-            (0, 1) if self.only("transfer-encoding").is_some_and(|c| c.eq_ignore_ascii_case("chunked")) => {
+            (0, 1) if self.single("transfer-encoding").is_some_and(|c| c.eq_ignore_ascii_case("chunked")) => {
                 Ok(Some(Framing::Chunked))
             }
-            (0, _) => Err(Unreadable::Coding),
-            (_, 0) => Err(Unreadable::Length),
-            (_, _) => Err(Unreadable::TwoFramings),
+            (0, _) => Err(ParseError::UnsupportedTransferCoding),
+            (_, 0) => Err(ParseError::InvalidContentLength),
+            (_, _) => Err(ParseError::ConflictingFraming),
         }
     }
 }
 
-/// The head of a client's request.
+/// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
+    /// The method, as it was received.
     pub method: Bytes,
+    /// The request target, as it was received.
     pub target: Bytes,
-    pub fields: Fields,
+    /// The header fields.
+    pub fields: HeaderFields,
+    /// How the end of the body is found.
     pub framing: Framing,
-    /// Its client waits for another request on this connection.
-    pub keeps: bool,
+    /// Whether the client keeps the connection open for another request.
+    pub keep_alive: bool,
 }
 
-/// The head of a server's answer.
+/// The head of a response.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
-    pub fields: Fields,
+    /// The header fields.
+    pub fields: HeaderFields,
+    /// How the end of the body is found.
     pub framing: Framing,
-    pub keeps: bool,
+    /// Whether the server keeps the connection open for another request.
+    pub keep_alive: bool,
 }
 
-/// Takes the next request's head off a buffer; none while it is not whole.
-pub fn request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, Unreadable> {
-    let Some(head) = cut(buffer, |bytes, fields| httparse::Request::new(fields).parse(bytes))? else {
+/// Splits the head of the next request off a buffer; none while it is incomplete.
+pub fn parse_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, ParseError> {
+    let Some(head) = split_head(buffer, |bytes, fields| httparse::Request::new(fields).parse(bytes))? else {
         return Ok(None);
     };
-    let mut space = [httparse::EMPTY_HEADER; FIELDS];
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut space);
-    parsed.parse(&head).map_err(|_| Unreadable::Head)?;
-    let (Some(method), Some(target)) = (parsed.method, parsed.path) else { return Err(Unreadable::Head) };
+    parsed.parse(&head).map_err(|_| ParseError::InvalidHead)?;
+    let (Some(method), Some(target)) = (parsed.method, parsed.path) else {
+        return Err(ParseError::InvalidHead);
+    };
     let (method, target) = (head.slice_ref(method.as_bytes()), head.slice_ref(target.as_bytes()));
-    let fields = Fields::of(&head, parsed.headers);
+    let fields = HeaderFields::from_parsed(&head, parsed.headers);
     let framing = fields.framing()?.unwrap_or(Framing::Length(0));
-    let keeps = keeps(parsed.version, &fields);
-    Ok(Some(RequestHead { method, target, fields, framing, keeps }))
+    let keep_alive = persists(parsed.version, &fields);
+    Ok(Some(RequestHead { method, target, fields, framing, keep_alive }))
 }
 
-/// Takes an answer's head off a buffer; none while it is not whole.
-pub fn answer(buffer: &mut BytesMut) -> Result<Option<AnswerHead>, Unreadable> {
-    let Some(head) = cut(buffer, |bytes, fields| httparse::Response::new(fields).parse(bytes))? else {
+/// Splits the head of the next response off a buffer; none while it is incomplete.
+pub fn parse_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, ParseError> {
+    let Some(head) = split_head(buffer, |bytes, fields| httparse::Response::new(fields).parse(bytes))? else {
         return Ok(None);
     };
-    let mut space = [httparse::EMPTY_HEADER; FIELDS];
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Response::new(&mut space);
-    parsed.parse(&head).map_err(|_| Unreadable::Head)?;
-    let status = parsed.code.ok_or(Unreadable::Head)?;
-    let fields = Fields::of(&head, parsed.headers);
+    parsed.parse(&head).map_err(|_| ParseError::InvalidHead)?;
+    let status = parsed.code.ok_or(ParseError::InvalidHead)?;
+    let fields = HeaderFields::from_parsed(&head, parsed.headers);
     let framing = match status {
         100..200 | 204 | 304 => Framing::Length(0),
-        _ => fields.framing()?.unwrap_or(Framing::ToEnd),
+        _ => fields.framing()?.unwrap_or(Framing::UntilClose),
     };
-    let keeps = keeps(parsed.version, &fields) && framing != Framing::ToEnd;
-    Ok(Some(AnswerHead { status, fields, framing, keeps }))
+    let keep_alive = persists(parsed.version, &fields) && framing != Framing::UntilClose;
+    Ok(Some(ResponseHead { status, fields, framing, keep_alive }))
 }
 
-fn keeps(version: Option<u8>, fields: &Fields) -> bool {
-    version == Some(1) && !fields.lists("connection", "close")
+/// Whether a connection persists after a message of this version with these fields.
+fn persists(version: Option<u8>, fields: &HeaderFields) -> bool {
+    version == Some(1) && !fields.contains_token("connection", "close")
 }
 
-/// Cuts a whole head off a buffer, if one is there.
-fn cut<'b>(
+/// Splits a complete head off a buffer, if one is there.
+fn split_head<'b>(
     buffer: &'b mut BytesMut,
     parse: impl for<'a> Fn(&'a [u8], &mut [httparse::Header<'a>]) -> httparse::Result<usize>,
-) -> Result<Option<Bytes>, Unreadable> {
-    let mut space = [httparse::EMPTY_HEADER; FIELDS];
-    let end = match parse(&buffer[..buffer.len().min(LONGEST)], &mut space) {
+) -> Result<Option<Bytes>, ParseError> {
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let end = match parse(&buffer[..buffer.len().min(MAX_HEAD_BYTES)], &mut space) {
         Ok(httparse::Status::Complete(end)) => end,
-        Ok(httparse::Status::Partial) if buffer.len() < LONGEST => return Ok(None),
-        Ok(httparse::Status::Partial) => return Err(Unreadable::HeadTooLong),
-        Err(_) => return Err(Unreadable::Head),
+        Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(httparse::Status::Partial) => return Err(ParseError::HeadTooLong),
+        Err(_) => return Err(ParseError::InvalidHead),
     };
     Ok(Some(buffer.split_to(end).freeze()))
 }
--- a/http1/src/io_retry.rs
+++ b/http1/src/io_retry.rs
@@ -1,4 +1,4 @@
-//! Which failures of system calls pass by themselves, and what is done until they have.
+//! Which failures of system calls are transient, and how the calls are retried.
 
 use async_io::Timer;
 use futures_lite::future::FutureExt;
@@ -9,26 +9,31 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Before a call that failed for want of memory, descriptors or ports is made again.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// The delay before a call that failed for want of memory, descriptors or ports is retried.
+pub const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What a failed call says of whether it is worth repeating.
+/// Waits for [`RESOURCE_RETRY_DELAY`].
+pub(crate) async fn retry_delay() {
+    Timer::after(RESOURCE_RETRY_DELAY).await;
+}
+
+/// Whether and when a failed call is worth retrying.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// The call was interrupted, or the error belongs to a connection that is gone already: repeat it at once.
-    Again,
-    /// This machine is short of memory, buffers, descriptors or ports for now: repeat it after a pause.
-    Scarce,
-    /// There is no way to the network: it may be back in a moment, or the peer may be cut off.
-    Network,
-    /// Repeating the call won't help.
-    Lasting,
+pub enum FailureClass {
+    /// The call was interrupted, or the error belongs to a connection that is gone already: retry it at once.
+    Immediate,
+    /// This machine is short of memory, buffers, descriptors or ports: retry it after [`RESOURCE_RETRY_DELAY`].
+    ResourceShortage,
+    /// There is no route to the peer: it may come back shortly, or the peer may be unreachable for good.
+    NoRoute,
+    /// Retrying the call won't help.
+    Permanent,
 }
 
-/// What an error of `recv`, `send`, `socket` or `connect` says.
-pub fn failure(error: &io::Error) -> Failure {
+/// Classifies an error of `recv`, `send`, `socket` or `connect`.
+pub fn classify(error: &io::Error) -> FailureClass {
     match Errno::from_io_error(error) {
-        Some(Errno::INTR) => Failure::Again,
+        Some(Errno::INTR) => FailureClass::Immediate,
         Some(
             Errno::NOBUFS
             | Errno::NOMEM
@@ -36,23 +41,23 @@
             | Errno::MFILE
             | Errno::ADDRNOTAVAIL
             | Errno::ADDRINUSE,
-        ) => Failure::Scarce,
-        Some(Errno::NETUNREACH | Errno::NETDOWN | Errno::AGAIN | Errno::CONNABORTED) => Failure::Network,
-        _ => Failure::Lasting,
+        ) => FailureClass::ResourceShortage,
+        Some(Errno::NETUNREACH | Errno::NETDOWN | Errno::AGAIN | Errno::CONNABORTED) => FailureClass::NoRoute,
+        _ => FailureClass::Permanent,
     }
 }
 
-/// What an error of listening says: an address that is taken, or not of this machine, stays so.
-pub fn listen_failure(error: &io::Error) -> Failure {
+/// Classifies an error of `bind` or `listen`: an address that is taken, or not of this machine, stays so.
+pub fn classify_listen(error: &io::Error) -> FailureClass {
     match Errno::from_io_error(error) {
-        Some(Errno::ADDRINUSE | Errno::ADDRNOTAVAIL) => Failure::Lasting,
-        _ => failure(error),
+        Some(Errno::ADDRINUSE | Errno::ADDRNOTAVAIL) => FailureClass::Permanent,
+        _ => classify(error),
     }
 }
 
-/// What an error of `accept` says. Linux hands on errors of the connection that would have been accepted; the next one
-/// is not touched by them.
-pub fn accept_failure(error: &io::Error) -> Failure {
+/// Classifies an error of `accept`. Linux passes on pending errors of the connection that would have been accepted;
+/// they do not concern the next one.
+pub fn classify_accept(error: &io::Error) -> FailureClass {
     match Errno::from_io_error(error) {
         Some(
             Errno::INTR
@@ -67,78 +72,79 @@
             | Errno::OPNOTSUPP
             | Errno::TIMEDOUT
             | Errno::CONNRESET,
-        ) => Failure::Again,
-        _ => Failure::Scarce,
+        ) => FailureClass::Immediate,
+        _ => FailureClass::ResourceShortage,
     }
 }
 
-/// Makes a call until it is not interrupted.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Retries a call for as long as it is interrupted (`EINTR`).
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// A stream for those who take any error for its end: interrupted calls are made again, and calls that failed for want
-/// of memory after a pause.
-pub struct Persistent<T> {
+/// A stream for users that treat any error as its end: interrupted calls are retried at once, and calls that failed
+/// for want of resources after [`RESOURCE_RETRY_DELAY`].
+pub struct RetryingStream<T> {
     stream: T,
-    pause: Option<Timer>,
+    retry_delay: Option<Timer>,
 }
 
-impl<T> Persistent<T> {
+impl<T> RetryingStream<T> {
+    /// Wraps a stream.
     pub fn new(stream: T) -> Self {
-        Persistent { stream, pause: None }
+        RetryingStream { stream, retry_delay: None }
     }
 
-    fn persist<R>(
+    fn poll_with_retries<R>(
         &mut self,
         context: &mut Context<'_>,
         mut call: impl FnMut(&mut T, &mut Context<'_>) -> Poll<io::Result<R>>,
     ) -> Poll<io::Result<R>> {
         loop {
-            if let Some(pause) = &mut self.pause {
-                ready!(pause.poll(context));
-                self.pause = None;
+            if let Some(delay) = &mut self.retry_delay {
+                ready!(delay.poll(context));
+                self.retry_delay = None;
             }
             match call(&mut self.stream, context) {
-                Poll::Ready(Err(error)) if failure(&error) == Failure::Again => {}
-                Poll::Ready(Err(error)) if failure(&error) == Failure::Scarce => {
-                    self.pause = Some(Timer::after(RETRY_PAUSE));
+                Poll::Ready(Err(error)) if classify(&error) == FailureClass::Immediate => {}
+                Poll::Ready(Err(error)) if classify(&error) == FailureClass::ResourceShortage => {
+                    self.retry_delay = Some(Timer::after(RESOURCE_RETRY_DELAY));
                 }
-                done => return done,
+                result => return result,
             }
         }
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Persistent<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for RetryingStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        self.persist(context, |stream, context| Pin::new(stream).poll_read(context, buffer))
+        self.poll_with_retries(context, |stream, context| Pin::new(stream).poll_read(context, buffer))
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Persistent<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for RetryingStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.persist(context, |stream, context| Pin::new(stream).poll_write(context, buffer))
+        self.poll_with_retries(context, |stream, context| Pin::new(stream).poll_write(context, buffer))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.persist(context, |stream, context| Pin::new(stream).poll_flush(context))
+        self.poll_with_retries(context, |stream, context| Pin::new(stream).poll_flush(context))
     }
 
     fn poll_close(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.persist(context, |stream, context| Pin::new(stream).poll_close(context))
+        self.poll_with_retries(context, |stream, context| Pin::new(stream).poll_close(context))
     }
 }
--- a/http1/src/receive_times.rs
+++ b/http1/src/receive_times.rs
@@ -1,48 +1,50 @@
-//! When the bytes of a connection's buffer came.
+//! When the bytes in a connection's buffer were received.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bytes that come within this time of each other count as one piece, with the time of the first. Bounds the table for
-/// a peer that sends byte by byte.
-const SAME_PIECE: Duration = Duration::from_millis(20);
+/// Bytes received within this time of each other form one segment, with the time of its first byte. Bounds the number
+/// of segments for a peer that sends byte by byte.
+const COALESCE_WINDOW: Duration = Duration::from_millis(20);
 
-struct Piece {
-    /// Bytes that had come on the connection by the end of this piece.
+struct Segment {
+    /// Bytes received on the connection up to the end of this segment.
     end: u64,
-    came: Instant,
+    received_at: Instant,
 }
 
-/// The times of the pieces that are not used up yet.
+/// The receive times of the bytes that are not consumed yet.
 #[derive(Default)]
-pub struct Arrivals {
-    bytes: u64,
-    pieces: VecDeque<Piece>,
+pub struct ReceiveTimes {
+    total_bytes: u64,
+    segments: VecDeque<Segment>,
 }
 
-impl Arrivals {
-    /// So many bytes have come, behind `unused` that were not used yet: times of the others are dropped, also on a
-    /// connection whose times nobody asks for.
-    pub fn came(&mut self, now: Instant, count: usize, unused: usize) {
-        self.first_of(unused);
-        self.bytes += count as u64;
-        match self.pieces.back_mut() {
-            Some(last) if now.saturating_duration_since(last.came) < SAME_PIECE => last.end = self.bytes,
-            _ => self.pieces.push_back(Piece { end: self.bytes, came: now }),
+impl ReceiveTimes {
+    /// Records that `count` bytes were received behind `unread` ones. Times of consumed bytes are dropped here, so that
+    /// a connection whose times are never queried keeps none of them.
+    pub fn record(&mut self, now: Instant, count: usize, unread: usize) {
+        self.first_unread(unread);
+        self.total_bytes += count as u64;
+        match self.segments.back_mut() {
+            Some(last) if now.saturating_duration_since(last.received_at) < COALESCE_WINDOW => {
+                last.end = self.total_bytes
+            }
+            _ => self.segments.push_back(Segment { end: self.total_bytes, received_at: now }),
         }
     }
 
-    /// Pieces whose times are kept.
-    pub fn pieces(&self) -> usize {
-        self.pieces.len()
+    /// The number of segments that are kept.
+    pub fn segments(&self) -> usize {
+        self.segments.len()
     }
 
-    /// When the first of the bytes came that are still to be used, `unused` in number; none where there are none.
-    pub fn first_of(&mut self, unused: usize) -> Option<Instant> {
-        let used = self.bytes.saturating_sub(unused as u64);
-        while self.pieces.front().is_some_and(|piece| piece.end <= used) {
-            self.pieces.pop_front();
+    /// When the first of the last `unread` bytes was received; none if `unread` is zero.
+    pub fn first_unread(&mut self, unread: usize) -> Option<Instant> {
+        let consumed = self.total_bytes.saturating_sub(unread as u64);
+        while self.segments.front().is_some_and(|segment| segment.end <= consumed) {
+            self.segments.pop_front();
         }
-        self.pieces.front().map(|piece| piece.came)
+        self.segments.front().map(|segment| segment.received_at)
     }
 }
--- a/http1/tests/connection.rs
+++ b/http1/tests/connection.rs
@@ -1,20 +1,20 @@
-//! The socket's own ends, on loopback.
+//! How connections end, on loopback.
 
 use async_io::{Async, Timer, block_on};
 use futures_lite::future;
-use petrelshore_http1::connection::Wire;
+use petrelshore_http1::connection::HttpConnection;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// One end as the gateway has it, the other as its peer.
-fn pair() -> (Wire, TcpStream) {
+/// A connection, and the socket of its peer.
+fn pair() -> (HttpConnection, TcpStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (Wire::new(Async::new(listener.accept().unwrap().0).unwrap()), peer)
+    (HttpConnection::new(Async::new(listener.accept().unwrap().0).unwrap()), peer)
 }
 
-fn soon(holds: impl Fn() -> bool) -> bool {
+fn eventually(holds: impl Fn() -> bool) -> bool {
     let until = Instant::now() + Duration::from_secs(10);
     while !holds() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(1));
@@ -23,72 +23,73 @@
 }
 
 #[test]
-fn a_peer_has_left_once_it_closes_ends_its_sending_or_resets_also_behind_bytes_nobody_took() {
+fn close_shutdown_and_reset_are_seen_behind_unread_bytes() {
     for bytes in [0, 1, 50_000] {
-        let (wire, mut peer) = pair();
+        let (connection, mut peer) = pair();
         peer.write_all(&vec![b'x'; bytes]).unwrap();
         assert!(
-            soon(|| wire.peer().waits() == (bytes > 0)) && !wire.peer().has_left(),
-            "{bytes}: it is there"
+            eventually(|| connection.peer().has_unread_bytes() == (bytes > 0))
+                && !connection.peer().has_closed(),
+            "{bytes}: it is open"
         );
         peer.shutdown(Shutdown::Write).unwrap();
-        assert!(soon(|| wire.peer().has_left()), "{bytes}: it has ended its sending");
-        let (wire, mut peer) = pair();
+        assert!(eventually(|| connection.peer().has_closed()), "{bytes}: it has shut down its sending side");
+        let (connection, mut peer) = pair();
         peer.write_all(&vec![b'x'; bytes]).unwrap();
         drop(peer);
-        assert!(soon(|| wire.peer().has_left()), "{bytes}: it has closed");
+        assert!(eventually(|| connection.peer().has_closed()), "{bytes}: it has closed");
     }
-    let (wire, peer) = pair();
-    block_on(wire.write(b"unread")).unwrap();
-    // Closed over what it has not read, it resets.
-    assert!(soon(|| peer.peek(&mut [0]).is_ok()));
+    let (connection, peer) = pair();
+    block_on(connection.write_all(b"unread")).unwrap();
+    // Closed with unread bytes, it resets.
+    assert!(eventually(|| peer.peek(&mut [0]).is_ok()));
     drop(peer);
-    assert!(soon(|| wire.peer().has_left()), "it has reset");
+    assert!(eventually(|| connection.peer().has_closed()), "it has reset");
 }
 
 #[test]
-fn leaving_is_seen_although_more_was_sent_than_is_kept() {
-    let (mut wire, mut peer) = pair();
+fn close_is_seen_although_more_was_sent_than_is_buffered() {
+    let (mut connection, mut peer) = pair();
     peer.write_all(&[b'x'; 100_000]).unwrap();
     block_on(async {
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_millis(300)).await;
             false
         };
-        let left = async {
-            wire.closed(10_000).await;
+        let closed = async {
+            connection.wait_closed(10_000).await;
             true
         };
-        assert!(!future::or(left, late).await, "it is there");
-        assert!(wire.buffer.len() < 20_000, "{} bytes are kept", wire.buffer.len());
+        assert!(!future::or(closed, timeout).await, "it is open");
+        assert!(connection.buffer.len() < 20_000, "{} bytes are buffered", connection.buffer.len());
         drop(peer);
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_secs(5)).await;
             false
         };
-        let left = async {
-            wire.closed(10_000).await;
+        let closed = async {
+            connection.wait_closed(10_000).await;
             true
         };
-        assert!(future::or(left, late).await, "it has left");
+        assert!(future::or(closed, timeout).await, "it has closed");
     });
 }
 
 #[test]
-fn the_last_bytes_arrive_although_the_peer_has_sent_more_than_was_read() {
+fn last_bytes_arrive_although_the_peer_sent_more_than_was_read() {
     for sent in [1, 60_000, 300_000] {
-        let (mut wire, mut peer) = pair();
+        let (mut connection, mut peer) = pair();
         let other = std::thread::spawn(move || {
             let _ = peer.write_all(&vec![b'x'; sent]);
-            let mut told = String::new();
-            peer.read_to_string(&mut told).map(|_| told)
+            let mut received = String::new();
+            peer.read_to_string(&mut received).map(|_| received)
         });
         block_on(async {
-            wire.more().await.ok();
-            wire.write(b"the last word").await.unwrap();
-            wire.finish().await;
+            connection.read_more().await.ok();
+            connection.write_all(b"last bytes").await.unwrap();
+            connection.lingering_close().await;
         });
-        drop(wire);
-        assert_eq!(other.join().unwrap().unwrap_or_default(), "the last word", "{sent}");
+        drop(connection);
+        assert_eq!(other.join().unwrap().unwrap_or_default(), "last bytes", "{sent}");
     }
 }
--- a/ingress/src/listener.rs
+++ b/ingress/src/listener.rs
@@ -6,7 +6,7 @@
 use petrelshore_chat_gateway::Gateway;
 use petrelshore_gateway_core::ingress_limits::{IngressError, IngressLimits};
 use petrelshore_gateway_core::{fingerprint, timeouts};
-use petrelshore_http1::io_retry::{Failure, accept_failure, listen_failure};
+use petrelshore_http1::io_retry::{FailureClass, classify_accept, classify_listen};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -44,7 +44,12 @@
 pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
     for _ in 0..BINDINGS {
         match listen(address).await {
-            Err(error) if matches!(listen_failure(&error), Failure::Again | Failure::Scarce) => {
+            Err(error)
+                if matches!(
+                    classify_listen(&error),
+                    FailureClass::Immediate | FailureClass::ResourceShortage
+                ) =>
+            {
                 debug!(%error, %address, "listening failed: trying again");
                 Timer::after(BIND_PAUSE).await;
             }
@@ -81,9 +86,9 @@
                 Err(error) => {
                     debug!(%error, "accept failed");
                     self.mark_backlog();
-                    match accept_failure(&error) {
+                    match classify_accept(&error) {
                         // Others get their turn, however many fail in a row.
-                        Failure::Again => future::yield_now().await,
+                        FailureClass::Immediate => future::yield_now().await,
                         _ => drop(Timer::after(ACCEPT_PAUSE).await),
                     }
                 }
--- a/ingress/src/stall.rs
+++ b/ingress/src/stall.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncRead, AsyncWrite, future::FutureExt};
-use petrelshore_http1::io_retry::Persistent;
+use petrelshore_http1::io_retry::RetryingStream;
 use std::io::{Error, ErrorKind, Result};
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,14 +11,14 @@
 
 /// Guards against clients that stop reading: what is written for them would stay in memory for ever.
 pub struct StallGuard {
-    stream: Persistent<TcpStream>,
+    stream: RetryingStream<TcpStream>,
     within: Duration,
     waiting: Option<Timer>,
 }
 
 impl StallGuard {
     pub fn new(stream: TcpStream, within: Duration) -> Self {
-        StallGuard { stream: Persistent::new(stream), within, waiting: None }
+        StallGuard { stream: RetryingStream::new(stream), within, waiting: None }
     }
 
     fn guard<T>(&mut self, context: &mut Context<'_>, wrote: Poll<Result<T>>) -> Poll<Result<T>> {
--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -7,10 +7,10 @@
 use petrelshore::interface::{LoadReport, Nanos};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::connection_pool::ConnectionPool;
-use petrelshore_http1::body::Body;
-use petrelshore_http1::connect::Unconnected;
-use petrelshore_http1::connection::{Broken, Wire};
-use petrelshore_http1::head::AnswerHead;
+use petrelshore_http1::body::BodyDecoder;
+use petrelshore_http1::connect::ConnectError;
+use petrelshore_http1::connection::{ConnectionError, HttpConnection};
+use petrelshore_http1::head::ResponseHead;
 use petrelshore_platform_protocol::load::{self, Field};
 use petrelshore_runtime::Clock;
 use std::cell::RefCell;
@@ -75,7 +75,7 @@
 
 /// A connection and its permit among all that this gateway may hold.
 pub(crate) struct PooledConnection {
-    pub(crate) wire: Wire,
+    pub(crate) wire: HttpConnection,
     _permit: Rc<()>,
 }
 
@@ -326,7 +326,7 @@
 
 async fn written_within(connection: &PooledConnection, message: &[u8], within: Duration) -> Written {
     let written = async {
-        match connection.wire.write(message).await {
+        match connection.wire.write_all(message).await {
             Ok(()) => Written::Whole,
             Err(_) => Written::Broke,
         }
@@ -338,7 +338,7 @@
     future::or(written, late).await
 }
 
-type Answered = (AnswerHead, Body, PooledConnection);
+type Answered = (ResponseHead, BodyDecoder, PooledConnection);
 
 fn stopped(go: SendPermission) -> Result<(), AttemptEnd> {
     match go {
@@ -350,7 +350,7 @@
 
 impl Shared {
     fn pooled(&self, to: SocketAddr) -> Option<(PooledConnection, Nanos)> {
-        self.idle.borrow_mut().check_out(self.clock.now(), to, |connection| connection.wire.quiet())
+        self.idle.borrow_mut().check_out(self.clock.now(), to, |connection| connection.wire.is_reusable())
     }
 
     /// A new connection. Where all permits are taken, the one that was idle for longest makes room; where none was, that
@@ -361,48 +361,48 @@
             return Err(AttemptEnd::NotSent);
         }
         let permit = self.permits.clone();
-        let wire = Wire::connect(to, within).await.map_err(|why| match why {
-            Unconnected::Scarce => AttemptEnd::NotSent,
-            Unconnected::Peer => AttemptEnd::NotConnected,
+        let wire = HttpConnection::connect(to, within).await.map_err(|why| match why {
+            ConnectError::LocalResources => AttemptEnd::NotSent,
+            ConnectError::Unreachable => AttemptEnd::NotConnected,
         })?;
         Ok(PooledConnection { wire, _permit: permit })
     }
 
     /// Takes a connection back whose exchange is over, unless something came on it unasked.
-    pub(crate) fn keep(&self, to: SocketAddr, connection: PooledConnection, head: &AnswerHead) {
-        if head.keeps && connection.wire.buffer.is_empty() {
+    pub(crate) fn keep(&self, to: SocketAddr, connection: PooledConnection, head: &ResponseHead) {
+        if head.keep_alive && connection.wire.buffer.is_empty() {
             self.idle.borrow_mut().check_in(self.clock.now(), to, connection);
         }
     }
 
-    fn load_of(&self, head: &AnswerHead) -> Option<LoadReport> {
-        load::pairs(head.fields.only("Srv-Load")?, &self.fields)
+    fn load_of(&self, head: &ResponseHead) -> Option<LoadReport> {
+        load::pairs(head.fields.single("Srv-Load")?, &self.fields)
     }
 }
 
 async fn answered(mut connection: PooledConnection) -> Result<Answered, AttemptEnd> {
-    let head = connection.wire.answer().await.map_err(ending)?;
-    let body = Body::new(head.framing, LARGEST as u64);
+    let head = connection.wire.read_response_head().await.map_err(ending)?;
+    let body = BodyDecoder::new(head.framing, LARGEST as u64);
     Ok((head, body, connection))
 }
 
-pub(crate) fn ending(broken: Broken) -> AttemptEnd {
+pub(crate) fn ending(broken: ConnectionError) -> AttemptEnd {
     match broken {
-        Broken::Unreadable(_) => AttemptEnd::Malformed,
-        Broken::Closed => AttemptEnd::Reset,
+        ConnectionError::Malformed(_) => AttemptEnd::Malformed,
+        ConnectionError::Closed => AttemptEnd::Reset,
     }
 }
 
 /// The whole body of an answer, within its bound.
-async fn whole(connection: &mut PooledConnection, body: &mut Body) -> Result<BytesMut, AttemptEnd> {
+async fn whole(connection: &mut PooledConnection, body: &mut BodyDecoder) -> Result<BytesMut, AttemptEnd> {
     let mut data = BytesMut::new();
     while !body.decode(&mut connection.wire.buffer, &mut data).map_err(|_| AttemptEnd::Malformed)? {
         if data.len() > LARGEST {
             return Err(AttemptEnd::Malformed);
         }
-        match connection.wire.more().await {
+        match connection.wire.read_more().await {
             Ok(()) => {}
-            Err(Broken::Closed) if body.may_end() => break,
+            Err(ConnectionError::Closed) if body.may_end_at_close() => break,
             Err(broken) => return Err(ending(broken)),
         }
     }
@@ -410,8 +410,8 @@
 }
 
 /// Only the mark proves that nothing ran, and only with the status that it belongs to.
-fn refusal(head: &AnswerHead) -> AttemptEnd {
-    match (head.status, head.fields.only("Srv-Declined")) {
+fn refusal(head: &ResponseHead) -> AttemptEnd {
+    match (head.status, head.fields.single("Srv-Declined")) {
         (503 | 504, Some("1")) => AttemptEnd::AtCapacity,
         (410, Some("1")) => AttemptEnd::KvCacheMissing,
         (status, _) => AttemptEnd::ErrorStatus { status },
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -4,8 +4,8 @@
 use bytes::{Bytes, BytesMut};
 use petrelshore::interface::LoadReport;
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
-use petrelshore_http1::body::{Body, Framing};
-use petrelshore_http1::head::AnswerHead;
+use petrelshore_http1::body::{BodyDecoder, Framing};
+use petrelshore_http1::head::ResponseHead;
 use petrelshore_platform_protocol::load;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 pub struct Stream {
     client: Rc<Shared>,
     to: SocketAddr,
-    head: AnswerHead,
-    body: Body,
+    head: ResponseHead,
+    body: BodyDecoder,
     connection: Option<PooledConnection>,
     data: BytesMut,
     pub load: Option<LoadReport>,
@@ -31,8 +31,8 @@
     pub(crate) fn new(
         client: Rc<Shared>,
         to: SocketAddr,
-        head: AnswerHead,
-        body: Body,
+        head: ResponseHead,
+        body: BodyDecoder,
         connection: PooledConnection,
     ) -> Self {
         Stream { client, to, head, body, connection: Some(connection), data: BytesMut::new(), load: None }
@@ -65,7 +65,7 @@
             if self.data.len() > LARGEST_EVENT {
                 return Err(AttemptEnd::Malformed);
             }
-            connection.wire.more().await.map_err(ending)?;
+            connection.wire.read_more().await.map_err(ending)?;
         }
     }
 
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -5,8 +5,8 @@
 use bytes::BytesMut;
 use futures_lite::future;
 use petrelshore::interface::Nanos;
-use petrelshore_http1::body::Body;
-use petrelshore_http1::connection::{Broken, Wire};
+use petrelshore_http1::body::BodyDecoder;
+use petrelshore_http1::connection::{ConnectionError, HttpConnection};
 use petrelshore_platform_protocol::Malformed;
 use petrelshore_platform_protocol::list::{Listed, listed};
 use std::future::Future;
@@ -80,10 +80,10 @@
     }
 }
 
-type ListRequest<'a> = Pin<Box<dyn Future<Output = Result<(Wire, Listed), Malformed>> + 'a>>;
+type ListRequest<'a> = Pin<Box<dyn Future<Output = Result<(HttpConnection, Listed), Malformed>> + 'a>>;
 
 /// The whole list, by the first call that has it, and the connection that it came on.
-async fn whole(service: &Service, address: SocketAddr, waits: Waits) -> (Wire, Listed) {
+async fn whole(service: &Service, address: SocketAddr, waits: Waits) -> (HttpConnection, Listed) {
     let mut calls: Vec<ListRequest<'_>> = Vec::new();
     let mut last_patient = None;
     loop {
@@ -93,7 +93,7 @@
         }
         let within = if patient { PATIENT } else { AT_ONCE };
         calls.push(Box::pin(async move {
-            let wire = Wire::connect(address, AT_ONCE).await;
+            let wire = HttpConnection::connect(address, AT_ONCE).await;
             let mut wire = wire.map_err(|why| format!("no connection: {why:?}"))?;
             let list = ask(&mut wire, address, "", within, service).await?;
             Ok((wire, list))
@@ -129,7 +129,7 @@
     service: &Service,
     address: SocketAddr,
     waits: Waits,
-    mut wire: Wire,
+    mut wire: HttpConnection,
     mut list: Listed,
 ) -> Malformed {
     loop {
@@ -139,7 +139,7 @@
         let index = list.index;
         service.update_endpoints(list);
         // Another answer behind the one asked for would be taken for the next one's, and each after it for the next.
-        if !wire.quiet() {
+        if !wire.is_reusable() {
             return "more than was asked for, or the end".to_owned();
         }
         let since = format!("?since={index}&timeout_ms={}", waits.watch.as_millis());
@@ -155,7 +155,7 @@
 }
 
 async fn ask(
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
     address: SocketAddr,
     since: &str,
     within: Duration,
@@ -163,19 +163,19 @@
 ) -> Result<Listed, Malformed> {
     let asked = async {
         let message = format!("GET /v1/servers{since} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        wire.write(message.as_bytes()).await.map_err(|error| error.to_string())?;
-        let said = |broken: Broken| match broken {
-            Broken::Unreadable(unreadable) => unreadable.to_string(),
-            Broken::Closed => "the connection broke".to_owned(),
+        wire.write_all(message.as_bytes()).await.map_err(|error| error.to_string())?;
+        let said = |broken: ConnectionError| match broken {
+            ConnectionError::Malformed(unreadable) => unreadable.to_string(),
+            ConnectionError::Closed => "the connection broke".to_owned(),
         };
-        let head = wire.answer().await.map_err(said)?;
-        let (mut body, mut data) = (Body::new(head.framing, LARGEST as u64), BytesMut::new());
+        let head = wire.read_response_head().await.map_err(said)?;
+        let (mut body, mut data) = (BodyDecoder::new(head.framing, LARGEST as u64), BytesMut::new());
         while !body.decode(&mut wire.buffer, &mut data).map_err(|unreadable| unreadable.to_string())? {
             if data.len() > LARGEST {
                 return Err("the list is too large".to_owned());
             }
-            match wire.more().await {
-                Err(Broken::Closed) if body.may_end() => break,
+            match wire.read_more().await {
+                Err(ConnectionError::Closed) if body.may_end_at_close() => break,
                 more => more.map_err(said)?,
             }
         }
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use petrelshore_gateway_core::client_connections::{ConnectionId, ConnectionTable, Entry, FULL_LEAST};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
-use petrelshore_http1::connection::{Peer, Wire};
+use petrelshore_http1::connection::{HttpConnection, Peer};
 use petrelshore_ingress::listener::{AcceptedClient, BodyReservation, Listener};
 use petrelshore_platform_gateway::Service;
 use std::cell::{Cell, RefCell};
@@ -110,13 +110,13 @@
             entry = self.ask_in();
         }
         let (spawner, clients) = (self.0.service.spawner().clone(), self.clone());
-        let mut wire = Wire::new(stream);
+        let mut wire = HttpConnection::new(stream);
         let Entry::Admitted(id) = entry else {
             debug!("no place for a new connection");
             self.0.rejecting.update(|count| count + 1);
             spawner.run(async move {
-                if wire.write(reply::full().as_bytes()).await.is_ok() {
-                    wire.finish().await;
+                if wire.write_all(reply::full().as_bytes()).await.is_ok() {
+                    wire.lingering_close().await;
                 }
                 drop(wire);
                 clients.0.rejecting.update(|count| count - 1);
@@ -201,7 +201,7 @@
     /// Whether nothing has come on a connection that was not taken yet. Closed over that, it would be reset, and its
     /// request lost.
     fn rests(&self, id: ConnectionId) -> bool {
-        self.0.tasks.borrow().get(&id).is_none_or(|held| !held.peer.waits())
+        self.0.tasks.borrow().get(&id).is_none_or(|held| !held.peer.has_unread_bytes())
     }
 
     /// Ends what rests, and says with every answer from now on that its connection ends.
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -9,9 +9,9 @@
 use petrelshore_gateway_core::client_connections::{BODY_WITHIN, ConnectionId, HEAD_WITHIN};
 use petrelshore_gateway_core::ingress_limits::IngressError;
 use petrelshore_gateway_core::passthrough::{FinalAnswer, Rejection};
-use petrelshore_http1::Unreadable;
-use petrelshore_http1::body::{Body, Framing};
-use petrelshore_http1::connection::{Broken, Wire};
+use petrelshore_http1::ParseError;
+use petrelshore_http1::body::{BodyDecoder, Framing};
+use petrelshore_http1::connection::{ConnectionError, HttpConnection};
 use petrelshore_http1::head::RequestHead;
 use petrelshore_ingress::listener::{BodyReservation, stall_timeout};
 use petrelshore_platform_engine_client::SET;
@@ -89,15 +89,15 @@
     connection: ConnectionId,
     ends: &Ends,
     backlogged_since: Option<Instant>,
-    mut wire: Wire,
+    mut wire: HttpConnection,
 ) {
     debug!(connection = connection.0, "came");
     // What does not lie there yet comes later, however long its connection has waited.
-    let backlogged_since = backlogged_since.filter(|_| wire.peer().waits());
+    let backlogged_since = backlogged_since.filter(|_| wire.peer().has_unread_bytes());
     let why = exchanges(clients, connection, ends, backlogged_since, &mut wire).await;
     debug!(connection = connection.0, ?why, "ends");
     clients.connection_table().borrow_mut().closing(connection);
-    wire.finish().await;
+    wire.lingering_close().await;
 }
 
 async fn exchanges(
@@ -105,7 +105,7 @@
     connection: ConnectionId,
     ends: &Ends,
     mut backlogged_since: Option<Instant>,
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
 ) -> Close {
     let clock = clients.service().clock();
     let mut opened = Some(clock.now());
@@ -114,7 +114,7 @@
             return why;
         }
         let began = opened.take().unwrap_or_else(|| clock.now());
-        let came = wire.first_came().into_iter().chain(backlogged_since.take()).min();
+        let came = wire.first_byte_received_at().into_iter().chain(backlogged_since.take()).min();
         let came = came.map_or(began, |came| clock.at(came));
         clients.connection_table().borrow_mut().request_started(connection);
         let head = match head(clients, began, wire).await {
@@ -138,10 +138,10 @@
     clients: &Clients,
     connection: ConnectionId,
     ends: &Ends,
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
 ) -> Result<(), Close> {
     if !wire.buffer.is_empty() {
-        return if wire.peer().has_left() { Err(Close::ByClient) } else { Ok(()) };
+        return if wire.peer().has_closed() { Err(Close::ByClient) } else { Ok(()) };
     }
     let within = Duration::from_nanos(clients.connection_table().borrow().idle_deadline(connection));
     let late = async {
@@ -152,26 +152,26 @@
         clients.told_to_end(connection, ends).await;
         Err(if ends.evicted() { Close::Evicted } else { Close::Stopping })
     };
-    let came = async { wire.more().await.map_err(|_| Close::ByClient) };
+    let came = async { wire.read_more().await.map_err(|_| Close::ByClient) };
     match future::or(came, future::or(told, late)).await {
-        Err(_) if wire.peer().waits() && wire.more().await.is_ok() => Ok(()),
+        Err(_) if wire.peer().has_unread_bytes() && wire.read_more().await.is_ok() => Ok(()),
         came => came,
     }
 }
 
-async fn head(clients: &Clients, began: Nanos, wire: &mut Wire) -> Came {
+async fn head(clients: &Clients, began: Nanos, wire: &mut HttpConnection) -> Came {
     let late = async {
         Timer::at(clients.service().clock().instant(began + HEAD_WITHIN)).await;
         Came::Turned(Turned::new(408, "the head was not whole in time"))
     };
     let whole = async {
-        match wire.request().await {
+        match wire.read_request_head().await {
             Ok(head) => Came::Head(head),
-            Err(Broken::Unreadable(what @ Unreadable::HeadTooLong)) => {
+            Err(ConnectionError::Malformed(what @ ParseError::HeadTooLong)) => {
                 Came::Turned(Turned::new(431, what.to_string()))
             }
-            Err(Broken::Unreadable(what)) => Came::Turned(Turned::new(400, what.to_string())),
-            Err(Broken::Closed) => Came::Left,
+            Err(ConnectionError::Malformed(what)) => Came::Turned(Turned::new(400, what.to_string())),
+            Err(ConnectionError::Closed) => Came::Left,
         }
     };
     future::or(whole, late).await
@@ -184,7 +184,7 @@
     ends: &Ends,
     since: Since,
     head: &RequestHead,
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
 ) -> Result<GoesOn, Turned> {
     let target = std::str::from_utf8(&head.target).unwrap_or_default();
     let path = target.split_once('?').map_or(target, |(path, _)| path);
@@ -204,22 +204,22 @@
         turned(408, "the body was not whole in time")
     };
     let (body, mut room) = future::or(body(clients, connection, head, wire), late).await?;
-    let fields = head.fields.passed_on(&SET);
+    let fields = head.fields.forwarded(&SET);
     room.reserve_extra(fields.len()).map_err(shut)?;
     clients.request_received(connection);
-    debug!(connection = connection.0, request = head.fields.only("Req-Id"), "asks");
+    debug!(connection = connection.0, request = head.fields.single("Req-Id"), "asks");
     serde_json::from_slice::<serde::de::IgnoredAny>(&body)
         .or_else(|_| turned(400, "the body is not JSON"))?;
 
-    let field = |name: &str| head.fields.only(name);
+    let field = |name: &str| head.fields.single(name);
     let new = sequence(field, clients.service().names(), since.came).or_else(|what| turned(400, what))?;
     let id = Rc::from(field("Req-Id").unwrap_or_default());
     let peer = wire.peer();
-    if peer.has_left() {
+    if peer.has_closed() {
         debug!(connection = connection.0, "left before its request was taken");
         return Ok(Err(Close::ByClient));
     }
-    let left = Rc::new(move || peer.has_left());
+    let left = Rc::new(move || peer.has_closed());
     let message = Message { id, target: head.target.clone(), fields, body, room, left };
     match clients.service().accept(new, message) {
         Ok(answer) => Ok(answered(clients, ends, head, wire, answer).await),
@@ -242,23 +242,23 @@
     clients: &Clients,
     connection: ConnectionId,
     head: &RequestHead,
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
 ) -> Result<(Bytes, BodyReservation), Turned> {
     let mut room = clients.reserve_body(connection);
     if let Framing::Length(told) = head.framing {
         room.grow_to(usize::try_from(told).unwrap_or(usize::MAX)).map_err(shut)?;
     }
-    if head.fields.lists("expect", "100-continue") {
-        let _ = wire.write(reply::CONTINUE).await;
+    if head.fields.contains_token("expect", "100-continue") {
+        let _ = wire.write_all(reply::CONTINUE).await;
     }
-    let (mut body, mut data) = (Body::new(head.framing, LARGEST_BODY as u64), BytesMut::new());
+    let (mut body, mut data) = (BodyDecoder::new(head.framing, LARGEST_BODY as u64), BytesMut::new());
     loop {
         match body.decode(&mut wire.buffer, &mut data) {
             Ok(true) => return Ok((data.freeze(), room)),
             Ok(false) => room.grow_to(data.len()).map_err(shut)?,
             Err(what) => return turned(400, what.to_string()),
         }
-        match wire.more().await {
+        match wire.read_more().await {
             Ok(()) => {}
             Err(_) => return turned(400, "the body ended early"),
         }
@@ -270,13 +270,13 @@
     clients: &Clients,
     ends: &Ends,
     head: &RequestHead,
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
     mut answer: Answer,
 ) -> GoesOn {
-    let (mut began, mut closes) = (false, !head.keeps);
+    let (mut began, mut closes) = (false, !head.keep_alive);
     loop {
         let left = async {
-            wire.closed(clients.pipelined_limit()).await;
+            wire.wait_closed(clients.pipelined_limit()).await;
             None
         };
         let next = async { Some(answer.next().await) };
@@ -312,15 +312,15 @@
 }
 
 /// Writes to a client; false where it is gone or takes nothing for too long.
-async fn written(wire: &Wire, bytes: &[u8]) -> bool {
+async fn written(wire: &HttpConnection, bytes: &[u8]) -> bool {
     let late = async {
         Timer::after(stall_timeout()).await;
         false
     };
-    future::or(async { wire.write(bytes).await.is_ok() }, late).await
+    future::or(async { wire.write_all(bytes).await.is_ok() }, late).await
 }
 
-async fn reject(connection: ConnectionId, wire: &mut Wire, turned: Turned) -> Close {
+async fn reject(connection: ConnectionId, wire: &mut HttpConnection, turned: Turned) -> Close {
     debug!(connection = connection.0, status = turned.status, what = turned.what, "turned away");
     let told = reply::brief(turned.status, &turned.what, true, turned.retry_after);
     written(wire, told.as_bytes()).await;
