--- a/platform-engine-client/src/lib.rs
+++ b/platform-engine-client/src/lib.rs
@@ -1,10 +1,16 @@
-//! Speaks to model servers in the platform's protocol.
+//! A client for model servers that speak the platform's protocol.
 //!
-//! [`Client::read`] and [`Client::write`] make one exchange each and say how it ended; what an ending proves is
-//! decided in the request manager. Dropping either future, or a [`Stream`], gives the attempt up by closing its connection.
+//! [`Client::prefill`], [`Client::decode`] and [`Client::release`] make one exchange each and report how it ended; what an
+//! end proves is decided in the request manager. Dropping a future of theirs, or a [`Stream`], aborts the attempt by closing
+//! its connection.
 
 mod client;
+mod connections;
+mod exchange;
+mod request;
+mod response;
 mod stream;
 
-pub use client::{AttemptRequest, Client, Reply, SET, SendCheck, SendPermission};
+pub use client::Client;
+pub use request::{AttemptRequest, OVERRIDDEN_FIELDS, Reply, SendCheck, SendPermission};
 pub use stream::Stream;
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -1,92 +1,92 @@
-//! A stream of events that is passed on as it comes.
+//! A stream of events that is forwarded as it is received.
 
-use crate::client::{PooledConnection, Shared, ending};
+use crate::connections::{Connections, PooledConnection};
+use crate::response::{Response, attempt_end};
 use bytes::{Bytes, BytesMut};
 use petrelshore::interface::LoadReport;
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_http1::body::{BodyDecoder, Framing};
 use petrelshore_http1::head::ResponseHead;
-use petrelshore_platform_protocol::load;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An event larger than this is none.
-const LARGEST_EVENT: usize = 64 << 10;
-/// The comment by which a stream tells its server's load.
-const LOAD: &str = ": Srv-Load:";
-/// How the lines of an event begin.
-const LINES: [&[u8]; 5] = [b"data:", b":", b"event:", b"id:", b"retry:"];
+/// Bound of one event.
+const MAX_EVENT_BYTES: usize = 64 << 10;
+/// The comment by which a stream reports its server's load.
+const LOAD_COMMENT: &str = ": Srv-Load:";
+/// How the lines of an event start.
+const LINE_PREFIXES: [&[u8]; 5] = [b"data:", b":", b"event:", b"id:", b"retry:"];
 
+/// The events of a decode response. Dropping it closes its connection, unless the stream is complete.
 pub struct Stream {
-    client: Rc<Shared>,
-    to: SocketAddr,
+    connections: Rc<Connections>,
+    address: SocketAddr,
     head: ResponseHead,
     body: BodyDecoder,
     connection: Option<PooledConnection>,
     data: BytesMut,
+    /// The last load report in the stream.
     pub load: Option<LoadReport>,
 }
 
 impl Stream {
-    pub(crate) fn new(
-        client: Rc<Shared>,
-        to: SocketAddr,
-        head: ResponseHead,
-        body: BodyDecoder,
-        connection: PooledConnection,
-    ) -> Self {
-        Stream { client, to, head, body, connection: Some(connection), data: BytesMut::new(), load: None }
+    pub(crate) fn new(connections: Rc<Connections>, address: SocketAddr, response: Response) -> Self {
+        let Response { head, body, connection } = response;
+        let (connection, data) = (Some(connection), BytesMut::new());
+        Stream { connections, address, head, body, connection, data, load: None }
     }
 
-    /// The events that have come since, whole and unchanged; none once the stream is whole. Its connection then
-    /// serves another exchange, unless more came behind it.
+    /// The complete events that were received since, unchanged; none once the stream is complete. Its connection is then
+    /// reused, unless further bytes were received on it.
     pub async fn next(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
         if self.head.framing != Framing::Chunked {
             return Err(AttemptEnd::Malformed);
         }
         loop {
             let Some(connection) = self.connection.as_mut() else { return Ok(None) };
-            let over = self
+            let complete = self
                 .body
-                .decode(&mut connection.wire.buffer, &mut self.data)
+                .decode(&mut connection.http.buffer, &mut self.data)
                 .map_err(|_| AttemptEnd::Malformed)?;
-            let whole = if over { self.data.len() } else { whole_events(&self.data) };
-            if whole > 0 {
-                let events = self.data.split_to(whole).freeze();
-                self.look_at(&events)?;
+            let ready = if complete { self.data.len() } else { complete_events(&self.data) };
+            if ready > 0 {
+                let events = self.data.split_to(ready).freeze();
+                self.inspect(&events)?;
                 return Ok(Some(events));
             }
-            if over {
+            if complete {
                 if let Some(connection) = self.connection.take() {
-                    self.client.keep(self.to, connection, &self.head);
+                    self.connections.check_in(self.address, connection, &self.head);
                 }
                 return Ok(None);
             }
-            if self.data.len() > LARGEST_EVENT {
+            if self.data.len() > MAX_EVENT_BYTES {
                 return Err(AttemptEnd::Malformed);
             }
-            connection.wire.read_more().await.map_err(ending)?;
+            connection.http.read_more().await.map_err(attempt_end)?;
         }
     }
 
-    /// Guards against passing noise on, and takes up the load that a comment tells.
-    fn look_at(&mut self, events: &[u8]) -> Result<(), AttemptEnd> {
+    /// Checks that only lines of events are forwarded, and takes the load reports from comments.
+    fn inspect(&mut self, events: &[u8]) -> Result<(), AttemptEnd> {
         for line in events.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
-            if !line.is_empty() && !LINES.iter().any(|begin| line.starts_with(begin)) {
+            if !line.is_empty() && !LINE_PREFIXES.iter().any(|prefix| line.starts_with(prefix)) {
                 return Err(AttemptEnd::Malformed);
             }
-            let told = line.strip_prefix(LOAD.as_bytes()).and_then(|text| std::str::from_utf8(text).ok());
-            self.load = told.and_then(|text| load::pairs(text.trim(), &self.client.fields)).or(self.load);
+            let report = line.strip_prefix(LOAD_COMMENT.as_bytes());
+            let report = report.and_then(|text| std::str::from_utf8(text).ok());
+            self.load = report.and_then(|text| self.connections.parse_load(text.trim())).or(self.load);
         }
         Ok(())
     }
 }
 
-/// Up to where whole events go.
-fn whole_events(data: &[u8]) -> usize {
-    let blank = |at: &usize| data[*at] == b'\n' && matches!(data[..*at], [.., b'\n'] | [.., b'\n', b'\r']);
-    (0..data.len()).rev().find(blank).map_or(0, |at| at + 1)
+/// The length of the complete events at the start of `data`.
+fn complete_events(data: &[u8]) -> usize {
+    let ends_event =
+        |at: &usize| data[*at] == b'\n' && matches!(data[..*at], [.., b'\n'] | [.., b'\n', b'\r']);
+    (0..data.len()).rev().find(ends_event).map_or(0, |at| at + 1)
 }
 
 #[cfg(test)]
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -14,7 +14,7 @@
 use petrelshore_http1::connection::{ConnectionError, HttpConnection};
 use petrelshore_http1::head::RequestHead;
 use petrelshore_ingress::listener::{BodyReservation, stall_timeout};
-use petrelshore_platform_engine_client::SET;
+use petrelshore_platform_engine_client::OVERRIDDEN_FIELDS;
 use petrelshore_platform_gateway::{Answer, Message, Next};
 use petrelshore_platform_protocol::request::sequence;
 use std::rc::Rc;
@@ -204,7 +204,7 @@
         turned(408, "the body was not whole in time")
     };
     let (body, mut room) = future::or(body(clients, connection, head, wire), late).await?;
-    let fields = head.fields.forwarded(&SET);
+    let fields = head.fields.forwarded(&OVERRIDDEN_FIELDS);
     room.reserve_extra(fields.len()).map_err(shut)?;
     clients.request_received(connection);
     debug!(connection = connection.0, request = head.fields.single("Req-Id"), "asks");
