--- /dev/null
+++ b/platform-engine-client/tests/server_behaviour/responses.rs
@@ -0,0 +1,119 @@
+//! What responses of model servers, good and bad, are reported as.
+
+use crate::support::{client, let_it_idle, read_stream, request};
+use petrelshore::interface::Outcome;
+use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener};
+
+#[test]
+fn good_stream_is_forwarded_unchanged_and_its_connection_reused() {
+    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let client = client(4);
+    async_io::block_on(async {
+        for _ in 0..3 {
+            assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
+            let_it_idle().await;
+        }
+    });
+    assert_eq!((server.connections(), client.connection_counts()), (1, (1, 1)));
+    assert_eq!(server.seen()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
+}
+
+#[test]
+fn prefill_reports_cached_tokens_and_load() {
+    let server = ModelServer::start(true, Manner::Interim).unwrap();
+    let client = client(4);
+    let reply = async_io::block_on(client.prefill(&request(server.address), &|| {}));
+    assert_eq!((reply.result, reply.load.is_none()), (Ok(4.0), true), "a malformed load is none");
+    server.set(Manner::Good);
+    let reply = async_io::block_on(client.prefill(&request(server.address), &|| {}));
+    assert_eq!((reply.result, reply.load.unwrap().memory_share), (Ok(4.0), Some(0.25)));
+}
+
+#[test]
+fn each_bad_response_has_its_attempt_end() {
+    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let client = client(4);
+    let cases = [
+        (Manner::Declines, AttemptEnd::AtCapacity),
+        (Manner::StateGone, AttemptEnd::KvCacheMissing),
+        (Manner::Overloaded, AttemptEnd::ErrorStatus { status: 503 }),
+        (Manner::Fails, AttemptEnd::ErrorStatus { status: 500 }),
+        (Manner::Resets, AttemptEnd::Reset),
+        (Manner::Noise, AttemptEnd::Malformed),
+        (Manner::EndlessHead, AttemptEnd::Malformed),
+    ];
+    for (manner, end) in cases {
+        server.set(manner);
+        let result = async_io::block_on(read_stream(&client, server.address));
+        assert_eq!(result, (String::new(), Err(end)), "{manner:?}");
+    }
+    let closed = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
+    let result = async_io::block_on(read_stream(&client, closed));
+    assert_eq!(result, (String::new(), Err(AttemptEnd::NotConnected)));
+}
+
+#[test]
+fn malformed_stream_forwards_complete_events_and_closes_connection() {
+    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let client = client(4);
+    for manner in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream] {
+        server.set(manner);
+        let (forwarded, ended) = async_io::block_on(read_stream(&client, server.address));
+        assert_eq!(ended, Err(AttemptEnd::Malformed), "{manner:?}");
+        assert!(events().starts_with(&forwarded), "{manner:?}: {forwarded}");
+        assert_eq!(client.connection_counts().0, 0, "{manner:?}");
+    }
+}
+
+/// Answers every request with these bytes, then closes.
+fn respond_with(bytes: Vec<u8>) -> SocketAddr {
+    let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
+    let address = listener.local_addr().unwrap();
+    std::thread::spawn(move || {
+        for mut stream in listener.incoming().flatten() {
+            let mut request = Vec::new();
+            while !request.ends_with(b"{}") {
+                let mut part = [0; 1024];
+                match stream.read(&mut part) {
+                    Ok(count) if count > 0 => request.extend_from_slice(&part[..count]),
+                    _ => break,
+                }
+            }
+            let _ = stream.write_all(&bytes);
+        }
+    });
+    address
+}
+
+#[test]
+fn response_cut_at_any_byte_fails_and_may_have_run() {
+    let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
+    let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let stream =
+        format!("{head}{}{}0\r\nTrailer: x\r\n\r\n", chunk("data: a\n\n"), chunk("data: [DONE]\n\n"));
+    let prefill = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}";
+    let declined = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nbusy";
+    let client = client(4);
+    for cut in 0..stream.len() {
+        let to = respond_with(stream.as_bytes()[..cut].to_vec());
+        let (forwarded, ended) = async_io::block_on(read_stream(&client, to));
+        let ended = ended.expect_err("incomplete");
+        assert!(!ended.proves_not_run() && ended.outcome(false) != Outcome::Completed, "{cut}: {ended:?}");
+        assert!("data: a\n\ndata: [DONE]\n\n".starts_with(&forwarded), "{cut}: {forwarded}");
+    }
+    for cut in 0..prefill.len() {
+        let to = respond_with(prefill.as_bytes()[..cut].to_vec());
+        let ended = async_io::block_on(client.prefill(&request(to), &|| {})).result.expect_err("incomplete");
+        assert!(!ended.proves_not_run(), "{cut}: {ended:?}");
+    }
+    // `Srv-Declined` counts once the head that holds it is complete.
+    let head_bytes = declined.find("\r\n\r\n").unwrap() + 4;
+    for cut in 0..declined.len() {
+        let to = respond_with(declined.as_bytes()[..cut].to_vec());
+        let ended = async_io::block_on(client.prefill(&request(to), &|| {})).result.expect_err("declined");
+        assert_eq!(ended.proves_not_run(), cut >= head_bytes, "{cut}: {ended:?}");
+    }
+}
--- /dev/null
+++ b/platform-engine-client/tests/server_behaviour/reuse.rs
@@ -0,0 +1,114 @@
+//! Which connections are reused, and how many are open.
+
+use crate::support::{TEST_TIMEOUT, client, let_it_idle, read_stream, request};
+use futures_lite::future;
+use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_platform_engine_client::SendPermission;
+use std::io::{Read, Write};
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+#[test]
+fn connection_with_unsolicited_bytes_is_not_reused() {
+    let server = ModelServer::start(false, Manner::SecondAnswer).unwrap();
+    let client = client(4);
+    for _ in 0..2 {
+        assert_eq!(async_io::block_on(read_stream(&client, server.address)), (events(), Ok(())));
+        // Late bytes would be seen before the next use, too.
+        std::thread::sleep(Duration::from_millis(50));
+    }
+    assert_eq!(server.connections(), 2);
+}
+
+#[test]
+fn longest_idle_connection_is_closed_at_the_limit() {
+    let servers = [Manner::Good; 3].map(|manner| ModelServer::start(false, manner).unwrap());
+    let client = client(2);
+    for server in &servers {
+        assert_eq!(async_io::block_on(read_stream(&client, server.address)).1, Ok(()));
+    }
+    assert_eq!(client.connection_counts(), (2, 2));
+    let released =
+        client.release(servers[0].address, "00000000000000aa", TEST_TIMEOUT, &|| SendPermission::Granted);
+    assert_eq!(async_io::block_on(released), Ok(()));
+    assert_eq!(servers[0].seen()[1], "DELETE /kv/leases/00000000000000aa ");
+}
+
+#[test]
+fn pooled_connection_closed_under_request_is_a_reset() {
+    let server = ModelServer::start(false, Manner::OncePerConnection).unwrap();
+    let client = client(4);
+    async_io::block_on(async {
+        assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
+        assert_eq!(client.connection_counts(), (1, 1), "pooled for the next");
+        let_it_idle().await;
+        let (forwarded, ended) = read_stream(&client, server.address).await;
+        assert_eq!(
+            (forwarded.as_str(), ended),
+            ("", Err(AttemptEnd::Reset)),
+            "it was received completely, and may have run"
+        );
+        assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
+    });
+    assert_eq!(server.connections(), 2);
+}
+
+#[test]
+fn late_unsolicited_response_is_not_taken_for_the_next() {
+    let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
+    let to = listener.local_addr().unwrap();
+    let response = |cached: u32| {
+        format!("HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{{\"cached_tokens\":{cached}}}")
+            .into_bytes()
+    };
+    // On whichever connection the second request comes, the first one brings its late response before anything else.
+    let server = std::thread::spawn(move || {
+        let mut request = [0; 1024];
+        let (mut first, _) = listener.accept().unwrap();
+        while first.read(&mut request).unwrap() == 0 {}
+        first.write_all(&response(1)).unwrap();
+        first.set_nonblocking(true).unwrap();
+        listener.set_nonblocking(true).unwrap();
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while Instant::now() < deadline {
+            if first.read(&mut request).is_ok_and(|count| count > 0) {
+                first.write_all(&response(1)).unwrap();
+                return first.write_all(&response(2)).unwrap();
+            }
+            if let Ok((mut second, _)) = listener.accept() {
+                second.set_nonblocking(false).unwrap();
+                while second.read(&mut request).unwrap() == 0 {}
+                first.write_all(&response(1)).unwrap();
+                return second.write_all(&response(2)).unwrap();
+            }
+        }
+    });
+    let client = client(4);
+    async_io::block_on(async {
+        assert_eq!(client.prefill(&request(to), &|| {}).await.result, Ok(1.0));
+        assert_eq!(client.prefill(&request(to), &|| {}).await.result, Ok(2.0), "its own response");
+    });
+    server.join().unwrap();
+}
+
+#[test]
+fn exhausted_connection_limit_is_not_sent() {
+    let silent = ModelServer::start(false, Manner::Silent).unwrap();
+    let good = ModelServer::start(false, Manner::Good).unwrap();
+    let client = client(1);
+    async_io::block_on(async {
+        let unanswered = async {
+            client.decode(&request(silent.address), &|| {}).await;
+            unreachable!("it never responds")
+        };
+        let second = async {
+            while silent.seen().is_empty() {
+                async_io::Timer::after(Duration::from_millis(1)).await;
+            }
+            client.prefill(&request(good.address), &|| {}).await.result
+        };
+        assert_eq!(future::or(unanswered, second).await, Err(AttemptEnd::NotSent));
+    });
+    assert_eq!(good.connections(), 0);
+}
--- /dev/null
+++ b/platform-engine-client/tests/server_behaviour/support.rs
@@ -0,0 +1,115 @@
+//! A client, its requests, and listeners that tests control.
+
+use bytes::Bytes;
+use futures_lite::future;
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_platform_engine_client::{AttemptRequest, Client, SendPermission};
+use petrelshore_platform_protocol::load::{Field, Measure};
+use petrelshore_runtime::Clock;
+use std::cell::Cell;
+use std::io::Read;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+pub fn client(max_connections: usize) -> Client {
+    let load = Field { name: "x0".to_owned(), measure: Measure::MemoryShare };
+    Client::new(Clock::start(), max_connections, 15_000_000_000, vec![load])
+}
+
+pub fn request(address: SocketAddr) -> AttemptRequest {
+    AttemptRequest {
+        address,
+        target: Bytes::from("/v1/chat/completions?a=b"),
+        id: "00000000000000aa".into(),
+        fields: Bytes::new(),
+        body: Bytes::from("{}"),
+        timeout: 5_000_000_000,
+        decided_at: Clock::start().now(),
+        connect_timeout: Duration::from_secs(5),
+        holds_cache: false,
+        new_connection: false,
+        send_check: Rc::new(|| SendPermission::Granted),
+    }
+}
+
+/// All events of a decode request, and how it ended. Panics after [`TEST_TIMEOUT`].
+pub async fn read_stream(client: &Client, address: SocketAddr) -> (String, Result<(), AttemptEnd>) {
+    let mut forwarded = String::new();
+    let ended = async {
+        let mut stream = client.decode(&request(address), &|| {}).await.result?;
+        while let Some(events) = stream.next().await? {
+            forwarded.push_str(std::str::from_utf8(&events).unwrap());
+        }
+        Ok(())
+    };
+    let timeout = async {
+        async_io::Timer::after(TEST_TIMEOUT).await;
+        panic!("still no end")
+    };
+    let ended = future::or(ended, timeout).await;
+    (forwarded, ended)
+}
+
+/// Waits until a connection was idle for long enough: what comes late behind a response has been received.
+pub async fn let_it_idle() {
+    async_io::Timer::after(Duration::from_millis(150)).await;
+}
+
+/// Accepts connections only once it is opened: until then its backlog is full, and further connections hang.
+pub struct BlockedListener {
+    listener: TcpListener,
+    pub address: SocketAddr,
+    queue: Vec<TcpStream>,
+}
+
+impl BlockedListener {
+    pub fn start() -> BlockedListener {
+        let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
+        rustix::net::listen(&listener, 0).unwrap();
+        let address = listener.local_addr().unwrap();
+        let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
+        BlockedListener { queue: (0..4).map_while(connect).collect(), listener, address }
+    }
+
+    /// Accepts the backlog, and the connection that is established late behind it.
+    pub fn open(self) -> TcpStream {
+        for _ in &self.queue {
+            self.listener.accept().unwrap();
+        }
+        self.listener.accept().unwrap().0
+    }
+}
+
+/// All bytes of a connection until its end.
+pub fn read_to_end(mut stream: TcpStream) -> Vec<u8> {
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    received
+}
+
+/// Runs blocking work on a thread of its own.
+pub async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
+    let (sender, receiver) = async_channel::bounded(1);
+    std::thread::spawn(move || sender.send_blocking(work()));
+    receiver.recv().await.unwrap()
+}
+
+/// How a prefill request ends within the time, and whether it was reported as delivered.
+pub fn prefill_within(
+    client: &Client,
+    attempt: &AttemptRequest,
+    within: Duration,
+) -> (Option<AttemptEnd>, bool) {
+    let delivered = Cell::new(false);
+    let on_delivered = || delivered.set(true);
+    let ended = async { client.prefill(attempt, &on_delivered).await.result.err() };
+    let timeout = async {
+        async_io::Timer::after(within).await;
+        None
+    };
+    let ended = async_io::block_on(future::or(ended, timeout));
+    (ended, delivered.get())
+}
