--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection: its requests, one after the other.
 
-use crate::clients::{Clients, Ends, LARGEST_BODY};
-use crate::reply;
+use crate::registry::{Clients, Ends, LARGEST_BODY};
+use crate::response;
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
@@ -192,7 +192,7 @@
         (b"GET", "/healthz") if head.framing == Framing::Length(0) => {
             debug!(connection = connection.0, "asked whether it is ready");
             // Closed at once: those who ask this by the hundreds and stay would leave no place for the others.
-            written(wire, reply::brief(200, "ready\n", true, None).as_bytes()).await;
+            written(wire, response::brief(200, "ready\n", true, None).as_bytes()).await;
             return Ok(Err(Close::Announced));
         }
         (b"POST", CHAT) => {}
@@ -249,7 +249,7 @@
         room.grow_to(usize::try_from(told).unwrap_or(usize::MAX)).map_err(shut)?;
     }
     if head.fields.contains_token("expect", "100-continue") {
-        let _ = wire.write_all(reply::CONTINUE).await;
+        let _ = wire.write_all(response::CONTINUE).await;
     }
     let (mut body, mut data) = (BodyDecoder::new(head.framing, LARGEST_BODY as u64), BytesMut::new());
     loop {
@@ -284,22 +284,22 @@
         closes |= !began && (clients.is_shutting_down() || ends.evicted());
         let told = match next {
             Next::Events(events) => {
-                let before = if began { String::new() } else { reply::stream(closes) };
+                let before = if began { String::new() } else { response::stream(closes) };
                 began = true;
-                if !written(wire, &reply::chunk(before, &events)).await {
+                if !written(wire, &response::chunk(before, &events)).await {
                     return Err(Close::Unwritable);
                 }
                 continue;
             }
-            Next::Last(FinalAnswer::Completed) => written(wire, reply::LAST_CHUNK).await,
+            Next::Last(FinalAnswer::Completed) => written(wire, response::LAST_CHUNK).await,
             // Without the last chunk, so that nobody takes it for whole.
             Next::Last(_) if began => return Err(Close::CutShort),
             Next::Last(FinalAnswer::Rejected { retry_after, .. }) => {
-                let told = reply::brief(503, "no room, trying again is harmless\n", closes, retry_after);
+                let told = response::brief(503, "no room, trying again is harmless\n", closes, retry_after);
                 written(wire, told.as_bytes()).await
             }
             Next::Last(FinalAnswer::Aborted { .. }) => {
-                let told = reply::brief(502, "the attempts failed\n", closes, None);
+                let told = response::brief(502, "the attempts failed\n", closes, None);
                 written(wire, told.as_bytes()).await
             }
         };
@@ -322,7 +322,7 @@
 
 async fn reject(connection: ConnectionId, wire: &mut HttpConnection, turned: Turned) -> Close {
     debug!(connection = connection.0, status = turned.status, what = turned.what, "turned away");
-    let told = reply::brief(turned.status, &turned.what, true, turned.retry_after);
+    let told = response::brief(turned.status, &turned.what, true, turned.retry_after);
     written(wire, told.as_bytes()).await;
     Close::TurnedAway
 }
--- a/platform-ingress/src/lib.rs
+++ b/platform-ingress/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`Clients`] takes their connections, bounds what comes on them before it is held, and hands each whole and readable
 //! request to the service. Whom a full table closes is decided in the request manager's `connection_table`.
 
-mod clients;
 mod connection;
-mod reply;
+mod registry;
+mod response;
 
-pub use clients::Clients;
+pub use registry::Clients;
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/registry.rs
@@ -1,7 +1,7 @@
 //! Connections of clients: taken, counted, closed.
 
 use crate::connection::serve;
-use crate::reply;
+use crate::response;
 use async_executor::Task;
 use async_io::Timer;
 use event_listener::Event;
@@ -115,7 +115,7 @@
             debug!("no place for a new connection");
             self.0.rejecting.update(|count| count + 1);
             spawner.run(async move {
-                if wire.write_all(reply::full().as_bytes()).await.is_ok() {
+                if wire.write_all(response::full().as_bytes()).await.is_ok() {
                     wire.lingering_close().await;
                 }
                 drop(wire);
