--- /dev/null
+++ b/platform-ingress/src/clients.rs
@@ -0,0 +1,105 @@
+//! Accepting the connections of clients, and rejecting those beyond the limit.
+
+use crate::connection::serve;
+use crate::registry::{CloseSignal, ConnectionContext, Registry};
+use crate::response;
+use async_io::Timer;
+use futures_lite::future;
+use petrelshore_gateway_core::client_connections::{ConnectionId, Entry, FULL_LEAST};
+use petrelshore_http1::connection::HttpConnection;
+use petrelshore_ingress::listener::{AcceptedClient, Listener};
+use petrelshore_platform_gateway::Service;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tracing::debug;
+
+/// Connections accepted before other tasks get their turn.
+const ACCEPTS_PER_TURN: usize = 8;
+
+/// All clients of one gateway. Clones share them.
+#[derive(Clone)]
+pub struct Clients(Rc<Registry>);
+
+impl Clients {
+    /// Clients with at most `max_connections` open connections, and with request bodies within a part of `memory_bytes`.
+    pub fn new(service: Service, max_connections: usize, memory_bytes: usize) -> Self {
+        Clients(Rc::new(Registry::new(service, max_connections, memory_bytes)))
+    }
+
+    /// Accepts connections for as long as it is polled.
+    pub async fn serve(self, listener: Listener) {
+        loop {
+            for _ in 0..ACCEPTS_PER_TURN {
+                let accepted = listener.accept().await;
+                self.admit_or_reject(&listener, accepted).await;
+            }
+            // Guards against a flood of connections: admitted ones get their turn.
+            future::yield_now().await;
+        }
+    }
+
+    async fn admit_or_reject(&self, listener: &Listener, accepted: AcceptedClient) {
+        let AcceptedClient { stream, backlogged_since, .. } = accepted;
+        let mut entry = self.0.admit();
+        if entry == Entry::Soon {
+            listener.mark_backlog();
+            Timer::after(Duration::from_nanos(FULL_LEAST)).await;
+            entry = self.0.admit();
+        }
+        let http = HttpConnection::new(stream);
+        match entry {
+            Entry::Admitted(id) => self.start(id, http, backlogged_since),
+            Entry::Soon | Entry::Full => self.reject(listener, http).await,
+        }
+    }
+
+    /// Starts a task that serves an admitted connection.
+    fn start(&self, id: ConnectionId, http: HttpConnection, backlogged_since: Option<Instant>) {
+        let (peer, close_signal) = (http.peer(), Rc::new(CloseSignal::default()));
+        let (registry, own_signal) = (self.0.clone(), close_signal.clone());
+        let task = self.0.service().spawner().spawn(async move {
+            let context = ConnectionContext { registry: &registry, id, close_signal: &own_signal };
+            serve(context, backlogged_since, http).await;
+            registry.remove(id);
+        });
+        if let Some(task) = task {
+            self.0.insert(id, peer, close_signal, task);
+        }
+    }
+
+    /// Answers and closes a connection beyond the limit. Returns once another one may be rejected.
+    async fn reject(&self, listener: &Listener, mut http: HttpConnection) {
+        debug!("connection rejected");
+        self.0.rejection_started();
+        let registry = self.0.clone();
+        self.0.service().spawner().run(async move {
+            if http.write_all(response::too_many_connections().as_bytes()).await.is_ok() {
+                http.lingering_close().await;
+            }
+            drop(http);
+            registry.rejection_finished();
+        });
+        listener.mark_backlog();
+        self.0.rejection_capacity().await;
+    }
+
+    /// Closes idle connections; every response announces from now on that its connection closes.
+    pub fn begin_shutdown(&self) {
+        self.0.begin_shutdown();
+    }
+
+    /// Returns once no connection is left.
+    pub async fn until_empty(&self) {
+        self.0.until_empty().await;
+    }
+
+    /// Whether no connection is left, also of those that were rejected or are still closing.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// The number of admitted connections.
+    pub fn connections(&self) -> usize {
+        self.0.len()
+    }
+}
--- a/platform-ingress/src/lib.rs
+++ b/platform-ingress/src/lib.rs
@@ -1,10 +1,15 @@
-//! The platform's clients.
+//! The ingress of the platform's clients.
 //!
-//! [`Clients`] takes their connections, bounds what comes on them before it is held, and hands each whole and readable
-//! request to the service. Whom a full table closes is decided in the request manager's `connection_table`.
+//! [`Clients`] accepts their connections, bounds what is received before it is held, and submits each complete and valid
+//! request to the service. Which connection a full table evicts is decided in the request manager's `connection_table`.
 
+mod answer;
+mod clients;
 mod connection;
+mod failure;
+mod read;
 mod registry;
+mod request;
 mod response;
 
-pub use registry::Clients;
+pub use clients::Clients;
--- a/platform-ingress/src/registry.rs
+++ b/platform-ingress/src/registry.rs
@@ -1,256 +1,251 @@
-//! Connections of clients: taken, counted, closed.
+//! The open connections of clients: admission, eviction, graceful shutdown, and what they share.
 
-use crate::connection::serve;
-use crate::response;
 use async_executor::Task;
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
-use petrelshore_gateway_core::client_connections::{ConnectionId, ConnectionTable, Entry, FULL_LEAST};
+use petrelshore::interface::Nanos;
+use petrelshore_gateway_core::client_connections::{ConnectionId, ConnectionTable, Entry};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
-use petrelshore_http1::connection::{HttpConnection, Peer};
-use petrelshore_ingress::listener::{AcceptedClient, BodyReservation, Listener};
+use petrelshore_http1::connection::Peer;
+use petrelshore_ingress::listener::BodyReservation;
 use petrelshore_platform_gateway::Service;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
-use std::time::Duration;
-use tracing::debug;
 
-/// So many are told at once that there is no place for them; others wait until the system takes their connection from
-/// its queue. Guards the descriptors of discovery and model servers.
-const REJECTING: usize = 8;
-/// So many whose places went to others are still being ended: their descriptors come out of the gateway's own.
-const ENDING: usize = 8;
-/// Connections taken before others get their turn.
-const AT_A_TIME: usize = 8;
-/// Part of memory that bodies may take up before their first event.
-const BODIES: usize = 6;
-/// Part of memory for what clients send behind their open requests, and the most and the least of one of them.
-const AHEAD: usize = 8;
-const AHEAD_MOST: usize = 64 << 10;
-const AHEAD_LEAST: usize = 4 << 10;
-/// Largest body of a request.
-pub const LARGEST_BODY: usize = 256 << 10;
-
-/// All clients of one gateway.
-#[derive(Clone)]
-pub struct Clients(Rc<ClientGuard>);
-
-struct ClientGuard {
+/// Rejected connections that are answered at once; further ones wait until their connection is accepted. Protects the
+/// descriptors of discovery and model servers.
+const MAX_REJECTING: usize = 8;
+/// Evicted connections that may still be closing: their descriptors come out of the gateway's own.
+const MAX_EVICTED_CLOSING: usize = 8;
+/// The part of memory that bodies may take up before their first event.
+const BODY_MEMORY_DIVISOR: usize = 6;
+/// The part of memory for bytes that clients send behind their open requests.
+const PIPELINE_MEMORY_DIVISOR: usize = 8;
+/// Bounds of those bytes on one connection.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+const MIN_PIPELINED_BYTES: usize = 4 << 10;
+/// Bound of a request's body.
+pub(crate) const MAX_BODY_BYTES: usize = 256 << 10;
+
+/// The open connections of one gateway's clients.
+pub(crate) struct Registry {
     service: Service,
     connection_table: RefCell<ConnectionTable>,
     limits: Rc<RefCell<IngressLimits>>,
-    tasks: RefCell<HashMap<ConnectionId, Held>>,
-    /// Those whose places went to others, the first at the front.
+    handles: RefCell<HashMap<ConnectionId, ConnectionHandle>>,
+    /// Evicted connections that are still closing, the first one at the front.
     evicted: RefCell<VecDeque<ConnectionId>>,
-    /// Those at the door that are told that there is no place.
+    /// The number of rejected connections that are still closing.
     rejecting: Cell<usize>,
-    ahead: usize,
-    leaving: Cell<bool>,
-    /// Told when a client or one at the door has gone.
-    gone: Event,
+    pipelined_limit: usize,
+    shutting_down: Cell<bool>,
+    /// Notified when a connection, admitted or rejected, has closed.
+    closed: Event,
 }
 
-struct Held {
+/// An admitted connection, as others see it.
+struct ConnectionHandle {
     peer: Peer,
-    ends: Rc<Ends>,
+    close_signal: Rc<CloseSignal>,
     task: Task<()>,
 }
 
-/// Word to a connection that it is to end.
+/// Tells a connection that it is to close.
 #[derive(Default)]
-pub struct Ends {
+pub(crate) struct CloseSignal {
     evicted: Cell<bool>,
-    told: Event,
+    changed: Event,
 }
 
-impl Ends {
-    /// Whether its place went to another.
-    pub(crate) fn evicted(&self) -> bool {
+impl CloseSignal {
+    /// Whether another connection got its place in the table.
+    pub(crate) fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 }
 
-impl Clients {
-    /// At most so many connections, and bodies within a part of so much memory.
-    pub fn new(service: Service, connections: usize, memory_bytes: usize) -> Self {
-        let limits = IngressLimits::bounded(connections, LARGEST_BODY, memory_bytes / BODIES);
-        Clients(Rc::new(ClientGuard {
+/// What a connection needs besides its socket.
+#[derive(Clone, Copy)]
+pub(crate) struct ConnectionContext<'a> {
+    pub(crate) registry: &'a Registry,
+    pub(crate) id: ConnectionId,
+    pub(crate) close_signal: &'a CloseSignal,
+}
+
+impl Registry {
+    pub(crate) fn new(service: Service, max_connections: usize, memory_bytes: usize) -> Self {
+        let limits =
+            IngressLimits::bounded(max_connections, MAX_BODY_BYTES, memory_bytes / BODY_MEMORY_DIVISOR);
+        let pipelined_limit = memory_bytes / PIPELINE_MEMORY_DIVISOR / max_connections.max(1);
+        Registry {
             service,
-            connection_table: RefCell::new(ConnectionTable::new(connections)),
+            connection_table: RefCell::new(ConnectionTable::new(max_connections)),
             limits: Rc::new(RefCell::new(limits)),
-            tasks: RefCell::default(),
+            handles: RefCell::default(),
             evicted: RefCell::default(),
             rejecting: Cell::new(0),
-            ahead: (memory_bytes / AHEAD / connections.max(1)).clamp(AHEAD_LEAST, AHEAD_MOST),
-            leaving: Cell::new(false),
-            gone: Event::new(),
-        }))
+            pipelined_limit: pipelined_limit.clamp(MIN_PIPELINED_BYTES, MAX_PIPELINED_BYTES),
+            shutting_down: Cell::new(false),
+            closed: Event::new(),
+        }
     }
 
-    /// Takes connections for as long as it is polled.
-    pub async fn serve(self, listener: Listener) {
-        loop {
-            for _ in 0..AT_A_TIME {
-                let accepted = listener.accept().await;
-                self.enter(&listener, accepted).await;
-            }
-            // Guards against a flood of connections: those that are in get their turn.
-            future::yield_now().await;
-        }
+    pub(crate) fn service(&self) -> &Service {
+        &self.service
     }
 
-    async fn enter(&self, listener: &Listener, accepted: AcceptedClient) {
-        let AcceptedClient { stream, backlogged_since, .. } = accepted;
-        let mut entry = self.ask_in();
-        if entry == Entry::Soon {
-            listener.mark_backlog();
-            Timer::after(Duration::from_nanos(FULL_LEAST)).await;
-            entry = self.ask_in();
-        }
-        let (spawner, clients) = (self.0.service.spawner().clone(), self.clone());
-        let mut wire = HttpConnection::new(stream);
-        let Entry::Admitted(id) = entry else {
-            debug!("no place for a new connection");
-            self.0.rejecting.update(|count| count + 1);
-            spawner.run(async move {
-                if wire.write_all(response::full().as_bytes()).await.is_ok() {
-                    wire.lingering_close().await;
-                }
-                drop(wire);
-                clients.0.rejecting.update(|count| count - 1);
-                clients.0.gone.notify(usize::MAX);
-            });
-            listener.mark_backlog();
-            return self.room_rejecting().await;
-        };
-        let (peer, ends) = (wire.peer(), Rc::new(Ends::default()));
-        let own_ends = ends.clone();
-        let task = spawner.spawn(async move {
-            serve(&clients, id, &own_ends, backlogged_since, wire).await;
-            clients.0.connection_table.borrow_mut().closed(id);
-            clients.0.evicted.borrow_mut().retain(|evicted| *evicted != id);
-            let own = clients.0.tasks.borrow_mut().remove(&id);
-            own.into_iter().for_each(|held| held.task.detach());
-            clients.0.gone.notify(usize::MAX);
-        });
-        if let Some(task) = task {
-            self.0.tasks.borrow_mut().insert(id, Held { peer, ends, task });
-        }
+    /// Asks for a place in the table, and evicts the connection that it is taken from.
+    pub(crate) fn admit(&self) -> Entry {
+        let now = self.service.clock().now();
+        let (entry, evicted) = self.connection_table.borrow_mut().accept(now, |id| self.is_quiet(id));
+        evicted.into_iter().for_each(|id| self.evict(id));
+        entry
     }
 
-    /// A whole request has come on a connection: it is owed its answer, also where its place went to another meanwhile.
-    pub(crate) fn request_received(&self, id: ConnectionId) {
-        self.0.connection_table.borrow_mut().request_received(id);
-        self.0.evicted.borrow_mut().retain(|evicted| *evicted != id);
+    /// Keeps what is needed to end a connection that is served by `task`.
+    pub(crate) fn insert(&self, id: ConnectionId, peer: Peer, close_signal: Rc<CloseSignal>, task: Task<()>) {
+        self.handles.borrow_mut().insert(id, ConnectionHandle { peer, close_signal, task });
+    }
+
+    /// A connection has closed.
+    pub(crate) fn remove(&self, id: ConnectionId) {
+        self.connection_table.borrow_mut().closed(id);
+        self.evicted.borrow_mut().retain(|evicted| *evicted != id);
+        let handle = self.handles.borrow_mut().remove(&id);
+        handle.into_iter().for_each(|handle| handle.task.detach());
+        self.closed.notify(usize::MAX);
+    }
+
+    /// A rejected connection is still to be answered and closed.
+    pub(crate) fn rejection_started(&self) {
+        self.rejecting.update(|count| count + 1);
     }
 
-    async fn room_rejecting(&self) {
+    /// A rejected connection has closed.
+    pub(crate) fn rejection_finished(&self) {
+        self.rejecting.update(|count| count - 1);
+        self.closed.notify(usize::MAX);
+    }
+
+    /// Returns once another connection may be rejected.
+    pub(crate) async fn rejection_capacity(&self) {
         loop {
-            let gone = self.0.gone.listen();
-            if self.0.rejecting.get() < REJECTING {
+            let closed = self.closed.listen();
+            if self.rejecting.get() < MAX_REJECTING {
                 return;
             }
-            gone.await;
+            closed.await;
         }
     }
 
-    /// Asks for a place, and closes whom that takes it from.
-    fn ask_in(&self) -> Entry {
-        let now = self.0.service.clock().now();
-        let (entry, leaves) = self.0.connection_table.borrow_mut().accept(now, |id| self.rests(id));
-        leaves.into_iter().for_each(|leaves| self.evict(leaves));
-        entry
-    }
-
-    /// Ends a connection whose place goes to another, in the one order for all; the one that has been ending for longest
-    /// is closed where more than `ENDING` are.
+    /// Closes an evicted connection, in the same order as any other. If more than [`MAX_EVICTED_CLOSING`] are closing, the
+    /// one that has been closing for longest is dropped.
     fn evict(&self, id: ConnectionId) {
-        let tasks = self.0.tasks.borrow();
-        let Some(Held { ends, .. }) = tasks.get(&id) else { return };
-        ends.evicted.set(true);
-        ends.told.notify(usize::MAX);
-        drop(tasks);
-        let mut evicted = self.0.evicted.borrow_mut();
+        let handles = self.handles.borrow();
+        let Some(ConnectionHandle { close_signal, .. }) = handles.get(&id) else { return };
+        close_signal.evicted.set(true);
+        close_signal.changed.notify(usize::MAX);
+        drop(handles);
+        let mut evicted = self.evicted.borrow_mut();
         evicted.push_back(id);
-        let longest = if evicted.len() > ENDING { evicted.pop_front() } else { None };
+        let longest = if evicted.len() > MAX_EVICTED_CLOSING { evicted.pop_front() } else { None };
         drop(evicted);
-        let closed = longest.and_then(|id| self.0.tasks.borrow_mut().remove(&id));
-        drop(closed);
+        let dropped = longest.and_then(|id| self.handles.borrow_mut().remove(&id));
+        drop(dropped);
     }
 
-    /// Returns once a connection without an open request is to end: its place went to another, or the gateway leaves.
-    pub(crate) async fn told_to_end(&self, id: ConnectionId, ends: &Ends) {
+    /// Whether all bytes received on a connection were read. A socket closed with unread bytes is reset, and the request
+    /// in them is lost.
+    fn is_quiet(&self, id: ConnectionId) -> bool {
+        self.handles.borrow().get(&id).is_none_or(|handle| !handle.peer.has_unread_bytes())
+    }
+
+    /// Returns once a connection without an open request is to close: it was evicted, or the gateway shuts down.
+    pub(crate) async fn close_signalled(&self, id: ConnectionId, close_signal: &CloseSignal) {
         loop {
-            let told = ends.told.listen();
-            if ends.evicted() {
+            let changed = close_signal.changed.listen();
+            if close_signal.is_evicted() {
                 return;
             }
             if self.is_shutting_down() {
-                let from = self.0.connection_table.borrow().keep_open_until(id);
-                let due = async {
-                    Timer::at(self.0.service.clock().instant(from)).await;
+                let keep_open_until = self.connection_table.borrow().keep_open_until(id);
+                let elapsed = async {
+                    Timer::at(self.service.clock().instant(keep_open_until)).await;
                 };
-                return future::or(told, due).await;
+                return future::or(changed, elapsed).await;
             }
-            told.await;
+            changed.await;
         }
     }
 
-    /// Whether nothing has come on a connection that was not taken yet. Closed over that, it would be reset, and its
-    /// request lost.
-    fn rests(&self, id: ConnectionId) -> bool {
-        self.0.tasks.borrow().get(&id).is_none_or(|held| !held.peer.has_unread_bytes())
+    /// Closes idle connections; every response announces from now on that its connection closes.
+    pub(crate) fn begin_shutdown(&self) {
+        self.shutting_down.set(true);
+        self.handles.borrow().values().for_each(|handle| {
+            handle.close_signal.changed.notify(usize::MAX);
+        });
     }
 
-    /// Ends what rests, and says with every answer from now on that its connection ends.
-    pub fn begin_shutdown(&self) {
-        self.0.leaving.set(true);
-        self.0.tasks.borrow().values().for_each(|held| {
-            held.ends.told.notify(usize::MAX);
-        });
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutting_down.get()
     }
 
-    /// Returns once no client is left.
-    pub async fn until_empty(&self) {
+    /// Returns once no connection is left.
+    pub(crate) async fn until_empty(&self) {
         loop {
-            let gone = self.0.gone.listen();
+            let closed = self.closed.listen();
             if self.is_empty() {
                 return;
             }
-            gone.await;
+            closed.await;
         }
     }
 
-    /// Nobody is there, also of those who are told that there is no place, or whose connections are still being ended.
-    pub fn is_empty(&self) -> bool {
-        self.0.tasks.borrow().is_empty() && self.0.rejecting.get() == 0
+    /// Whether no connection is left, also of those that were rejected or are still closing.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.handles.borrow().is_empty() && self.rejecting.get() == 0
     }
 
-    pub fn connections(&self) -> usize {
-        self.0.connection_table.borrow().len()
+    /// The number of connections in the table.
+    pub(crate) fn len(&self) -> usize {
+        self.connection_table.borrow().len()
     }
 
-    pub(crate) fn is_shutting_down(&self) -> bool {
-        self.0.leaving.get()
+    /// The first byte of a request was received.
+    pub(crate) fn request_started(&self, id: ConnectionId) {
+        self.connection_table.borrow_mut().request_started(id);
     }
 
-    pub(crate) fn service(&self) -> &Service {
-        &self.0.service
+    /// A complete request was received: it has to be answered, also if its connection was evicted meanwhile.
+    pub(crate) fn request_received(&self, id: ConnectionId) {
+        self.connection_table.borrow_mut().request_received(id);
+        self.evicted.borrow_mut().retain(|evicted| *evicted != id);
+    }
+
+    /// The response was written, and the connection waits for the next request.
+    pub(crate) fn connection_idle(&self, id: ConnectionId) {
+        self.connection_table.borrow_mut().idle(self.service.clock().now(), id);
+    }
+
+    /// The last response was written.
+    pub(crate) fn connection_closing(&self, id: ConnectionId) {
+        self.connection_table.borrow_mut().closing(id);
     }
 
-    pub(crate) fn connection_table(&self) -> &RefCell<ConnectionTable> {
-        &self.0.connection_table
+    /// How long a connection may wait for the first byte of its next request.
+    pub(crate) fn idle_timeout(&self, id: ConnectionId) -> Nanos {
+        self.connection_table.borrow().idle_deadline(id)
     }
 
-    /// The room of a body that is about to be read.
+    /// The reservation for a body that is about to be read.
     pub(crate) fn reserve_body(&self, id: ConnectionId) -> BodyReservation {
-        BodyReservation::new(self.0.limits.clone(), id.0)
+        BodyReservation::new(self.limits.clone(), id.0)
     }
 
-    /// Most bytes that a client may have sent behind its open request before they stay with the system.
+    /// How many bytes behind its open request are buffered of a client; further ones stay in the socket.
     pub(crate) fn pipelined_limit(&self) -> usize {
-        self.0.ahead
+        self.pipelined_limit
     }
 }
--- /dev/null
+++ b/platform-ingress/src/request.rs
@@ -0,0 +1,108 @@
+//! One request: its route, its checks, its submission to the service.
+
+use crate::answer::{write, write_answer};
+use crate::failure::{CloseReason, RequestFailure, RequestRejection};
+use crate::read::{ReceivedBody, read_body, read_head};
+use crate::registry::ConnectionContext;
+use crate::response::{self, Persistence};
+use petrelshore::interface::Nanos;
+use petrelshore_gateway_core::passthrough::Rejection;
+use petrelshore_http1::body::Framing;
+use petrelshore_http1::connection::{HttpConnection, Peer};
+use petrelshore_http1::head::RequestHead;
+use petrelshore_platform_engine_client::OVERRIDDEN_FIELDS;
+use petrelshore_platform_gateway::{Answer, Message};
+use petrelshore_platform_protocol::request::sequence;
+use std::rc::Rc;
+use tracing::debug;
+
+const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
+const HEALTH_PATH: &str = "/healthz";
+
+/// From when on the time of a request counts.
+#[derive(Clone, Copy)]
+pub(crate) struct RequestTiming {
+    /// For reading it: a new connection has to bring its first request within a time from its accept on.
+    pub(crate) started: Nanos,
+    /// For its client's deadline: when its first byte was received, perhaps behind another request.
+    pub(crate) received: Nanos,
+}
+
+/// What a request asks for.
+enum Route {
+    HealthCheck,
+    ChatCompletions,
+}
+
+impl Route {
+    fn of(head: &RequestHead) -> Result<Self, RequestRejection> {
+        let target = std::str::from_utf8(&head.target).unwrap_or_default();
+        let path = target.split_once('?').map_or(target, |(path, _)| path);
+        match (&head.method[..], path) {
+            (b"GET", HEALTH_PATH) if head.framing == Framing::Length(0) => Ok(Route::HealthCheck),
+            (b"POST", CHAT_COMPLETIONS_PATH) => Ok(Route::ChatCompletions),
+            (_, CHAT_COMPLETIONS_PATH | HEALTH_PATH) => {
+                Err(RequestRejection::new(405, "this method is not allowed here"))
+            }
+            _ => Err(RequestRejection::new(404, "there is nothing here")),
+        }
+    }
+}
+
+/// Reads one request, submits it to the service, and writes its answer. An error ends the connection.
+pub(crate) async fn serve_request(
+    context: ConnectionContext<'_>,
+    timing: RequestTiming,
+    http: &mut HttpConnection,
+) -> Result<(), RequestFailure> {
+    let head = read_head(context.registry, timing.started, http).await?;
+    match Route::of(&head)? {
+        Route::HealthCheck => {
+            debug!(connection = context.id.0, "health check received");
+            // The connection closes at once: hundreds of idle health check connections would leave no place for others.
+            let response = response::complete(200, "ready\n", Persistence::Close, None);
+            let _ = write(http, response.as_bytes()).await;
+            Err(CloseReason::Announced.into())
+        }
+        Route::ChatCompletions => {
+            let body = read_body(context, timing.started, &head, http).await?;
+            let answer = submit(context, timing, &head, body, http.peer())?;
+            Ok(write_answer(context, &head, http, answer).await?)
+        }
+    }
+}
+
+/// Checks a request and submits it to the service.
+fn submit(
+    context: ConnectionContext<'_>,
+    timing: RequestTiming,
+    head: &RequestHead,
+    body: ReceivedBody,
+    peer: Peer,
+) -> Result<Answer, RequestFailure> {
+    let ReceivedBody { data: body, reservation: mut room } = body;
+    let service = context.registry.service();
+    let fields = head.fields.forwarded(&OVERRIDDEN_FIELDS);
+    room.reserve_extra(fields.len())?;
+    context.registry.request_received(context.id);
+    let request_id = head.fields.single("Req-Id");
+    debug!(connection = context.id.0, request_id, "request received");
+    serde_json::from_slice::<serde::de::IgnoredAny>(&body)
+        .map_err(|_| RequestRejection::new(400, "the body is not JSON"))?;
+    let new = sequence(|name| head.fields.single(name), service.names(), timing.received)
+        .map_err(|error| RequestRejection::new(400, error))?;
+    let id = Rc::from(request_id.unwrap_or_default());
+    if peer.has_closed() {
+        debug!(connection = context.id.0, "client closed before its request was accepted");
+        return Err(CloseReason::ClientClosed.into());
+    }
+    let left = Rc::new(move || peer.has_closed());
+    let message = Message { id, target: head.target.clone(), fields, body, room, left };
+    service.accept(new, message).map_err(|rejection| match rejection {
+        Rejection::DuplicateId => RequestRejection::new(409, "Req-Id is in hand already").into(),
+        Rejection::AtCapacity { retry_after } => {
+            let rejection = RequestRejection::new(503, "too many requests in hand");
+            RequestRejection { retry_after, ..rejection }.into()
+        }
+    })
+}
--- a/platform-ingress/src/response.rs
+++ b/platform-ingress/src/response.rs
@@ -1,9 +1,31 @@
-//! Answers of the gateway's own, as they are written.
+//! Responses of the gateway itself, as they are written.
 
 use petrelshore::interface::Nanos;
 
-/// Names an answer's status. What is not listed here is not used.
-fn reason(status: u16) -> &'static str {
+/// Whether a connection persists after a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Persistence {
+    KeepAlive,
+    Close,
+}
+
+impl Persistence {
+    /// The header line that announces it.
+    fn field(self) -> &'static str {
+        match self {
+            Persistence::KeepAlive => "",
+            Persistence::Close => "Connection: close\r\n",
+        }
+    }
+}
+
+/// The end of a chunked body.
+pub(crate) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
+/// The interim response to `Expect: 100-continue`.
+pub(crate) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// The reason phrase of a status. Statuses that are not listed here are not used.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -18,40 +40,44 @@
     }
 }
 
-/// A whole answer of a few words.
-pub fn brief(status: u16, what: &str, closes: bool, retry_after: Option<Nanos>) -> String {
-    let close = if closes { "Connection: close\r\n" } else { "" };
-    let pause = retry_after.map(|pause| format!("Retry-After: {:.3}\r\n", pause as f64 / 1e9));
+/// A complete response with a short text as its body.
+pub(crate) fn complete(
+    status: u16,
+    text: &str,
+    persistence: Persistence,
+    retry_after: Option<Nanos>,
+) -> String {
+    let retry_after = retry_after.map(|delay| format!("Retry-After: {:.3}\r\n", delay as f64 / 1e9));
     format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\n{close}{}Content-Length: {}\r\n\r\n{what}",
-        reason(status),
-        pause.unwrap_or_default(),
-        what.len()
+        "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\n{}{}Content-Length: {}\r\n\r\n{text}",
+        reason_phrase(status),
+        persistence.field(),
+        retry_after.unwrap_or_default(),
+        text.len()
     )
 }
 
-/// For clients for whom there is no place.
-pub fn full() -> String {
-    brief(503, "too many connections", true, None)
+/// The response on a connection beyond the limit.
+pub(crate) fn too_many_connections() -> String {
+    complete(503, "too many connections", Persistence::Close, None)
 }
 
-/// The head of a stream.
-pub fn stream(closes: bool) -> String {
-    let close = if closes { "Connection: close\r\n" } else { "" };
-    format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{close}Transfer-Encoding: chunked\r\n\r\n")
+/// The head of a stream of events.
+pub(crate) fn stream_head(persistence: Persistence) -> String {
+    let connection = persistence.field();
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{connection}Transfer-Encoding: chunked\r\n\r\n"
+    )
 }
 
-/// Events as one chunk behind what is to be written already.
-pub fn chunk(before: String, events: &[u8]) -> Vec<u8> {
-    let mut written = before.into_bytes();
-    written.extend_from_slice(format!("{:x}\r\n", events.len()).as_bytes());
-    written.extend_from_slice(events);
-    written.extend_from_slice(b"\r\n");
-    written
+/// Events as one chunk, behind the head of their stream if it is still to be written.
+pub(crate) fn chunk(head: String, events: &[u8]) -> Vec<u8> {
+    let mut bytes = head.into_bytes();
+    bytes.extend_from_slice(format!("{:x}\r\n", events.len()).as_bytes());
+    bytes.extend_from_slice(events);
+    bytes.extend_from_slice(b"\r\n");
+    bytes
 }
 
-pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-
 #[cfg(test)]
 mod tests;
--- a/platform-ingress/src/response/tests.rs
+++ b/platform-ingress/src/response/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_time_to_come_back_is_told_in_seconds() {
-    let told = brief(503, "no", true, Some(250_000_000));
+fn complete_response_and_chunk_are_encoded_as_specified() {
+    let response = complete(503, "no", Persistence::Close, Some(250_000_000));
     assert_eq!(
-        told,
+        response,
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nConnection: close\r\n\
          Retry-After: 0.250\r\nContent-Length: 2\r\n\r\nno"
     );
