--- a/engine-client/src/lib.rs
+++ b/engine-client/src/lib.rs
@@ -5,12 +5,12 @@
 //! decided in the request manager. Dropping either future, or a [`DecodeStream`], breaks the exchange off by closing its
 //! connection. `docs/engine.md` says what of the wire is published and what was added.
 
-mod exchange;
+mod client;
 mod orca;
 mod pool;
 mod sse;
 
-pub use exchange::{Client, CompletionRequest, DecodeStream, PrefillResult, Reply};
+pub use client::{Client, CompletionRequest, DecodeStream, PrefillResult, Reply};
 pub use orca::{Load, parse as parse_load};
 pub use petrelshore_runtime::Spawner;
 pub use sse::{Events, Oversized};
