--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -307,7 +307,7 @@
         let mut tickets = self.tickets.borrow_mut();
         let Some(ticket) = tickets.get_mut(&dispatch.id) else { return };
         let request = CompletionRequest {
-            to,
+            address: to,
             request_id: sending.request_id,
             model: ticket.model.clone(),
             prompt: sending.prompt,
@@ -315,9 +315,9 @@
             stop: ticket.stop.clone(),
             sampling: ticket.sampling.clone(),
             idempotency_key: sending.idempotency_key,
-            state: sending.transfer_params,
-            fresh: dispatch.new_connection,
-            connect_within: Duration::from_nanos(dispatch.connect_timeout),
+            transfer_params: sending.transfer_params,
+            new_connection: dispatch.new_connection,
+            connect_timeout: Duration::from_nanos(dispatch.connect_timeout),
         };
         let inner = self.clone();
         let task = self.spawner.spawn(async move {
@@ -334,11 +334,11 @@
         let heard = self.client.prefill(&request).await;
         match heard.result {
             Ok(held) => {
-                debug!(seq = dispatch.id.0, attempt = dispatch.attempt, kept = held.kept_tokens, "read");
+                debug!(seq = dispatch.id.0, attempt = dispatch.attempt, kept = held.cached_tokens, "read");
                 self.told(dispatch.server, heard.load);
                 self.detach(dispatch.id, dispatch.attempt);
                 self.tell(|requests, now, out| {
-                    requests.prefill_done(now, &dispatch, held.kept_tokens, held.params, out)
+                    requests.prefill_done(now, &dispatch, held.cached_tokens, held.transfer_params, out)
                 });
             }
             Err(ending) => self.ended(dispatch, ending, heard.load),
@@ -357,7 +357,7 @@
             let piece = match writing.next().await {
                 Ok(Some(piece)) => piece,
                 Ok(None) => {
-                    writing.done();
+                    writing.return_connection();
                     break AttemptEnd::Completed;
                 }
                 Err(ending) => break ending,
--- a/engine-client/src/client.rs
+++ b/engine-client/src/client.rs
@@ -1,409 +1,219 @@
-//! One exchange with a model server: a read, a write, or letting go of a state.
+//! The client: prefill, decode and release requests to model servers.
 
+use crate::decode_stream::DecodeStream;
 use crate::orca::{self, Load};
 use crate::pool::{Pool, Sender};
-use crate::sse::Events;
+use crate::request::{CompletionRequest, PrefillResult, Reply};
+use crate::wire_format::{self, PrefillResponse};
+use async_io::Timer;
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
+use futures_lite::future;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
-use petrelshore_gateway_core::buffered::{Piece, Usage};
 use petrelshore_runtime::Spawner;
-use serde::{Deserialize, Serialize};
-use serde_json::value::RawValue;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-const COMPLETIONS: &str = "/v1/completions";
-const RELEASE: &str = "/v1/kv/release";
-/// Largest whole answer of a reader, and largest error body: both hold a few fields.
-const ANSWER: usize = 256 << 10;
-/// After its closing mark an answer's body must end within this for its connection to serve again.
-const BODY_END: Duration = Duration::from_millis(500);
+const COMPLETIONS_PATH: &str = "/v1/completions";
+const RELEASE_PATH: &str = "/v1/kv/release";
+/// Bound of the body of a prefill or error response: both hold a few fields.
+const MAX_BODY_BYTES: usize = 256 << 10;
 
-/// What every exchange needs.
-#[derive(Clone, Debug)]
-pub struct CompletionRequest {
-    pub to: SocketAddr,
-    pub request_id: String,
-    pub model: Rc<str>,
-    pub prompt: Rc<str>,
-    pub max_tokens: u32,
-    pub stop: Rc<[String]>,
-    /// Further sampling fields, as the client gave them.
-    pub sampling: Rc<serde_json::Map<String, serde_json::Value>>,
-    /// Marks repeats of tokened work.
-    pub idempotency_key: Option<Rc<str>>,
-    /// What the reader gave for the state that is to be fetched.
-    pub state: Option<Rc<RawValue>>,
-    /// Never on a connection that was used before.
-    pub fresh: bool,
-    pub connect_within: Duration,
-}
-
-/// A read state that waits at its reader.
-#[derive(Clone, Debug)]
-pub struct PrefillResult {
-    pub params: Rc<RawValue>,
-    pub kept_tokens: f64,
-}
-
-/// What an exchange told, with the load that came along.
-#[derive(Debug)]
-pub struct Reply<T> {
-    pub result: Result<T, AttemptEnd>,
-    pub load: Option<Load>,
-}
-
-#[derive(Deserialize)]
-struct UsageBody {
-    prompt_tokens: u64,
-    completion_tokens: u64,
-}
-
-#[derive(Serialize)]
-struct Completion<'a> {
-    model: &'a str,
-    prompt: &'a str,
-    max_tokens: u32,
-    stream: bool,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    stream_options: Option<StreamOptions>,
-    #[serde(skip_serializing_if = "<[String]>::is_empty")]
-    stop: &'a [String],
-    #[serde(skip_serializing_if = "Option::is_none")]
-    kv_transfer_params: Option<&'a RawValue>,
-    #[serde(flatten)]
-    sampling: &'a serde_json::Map<String, serde_json::Value>,
-}
-
-#[derive(Serialize)]
-struct StreamOptions {
-    include_usage: bool,
-}
-
-#[derive(Deserialize)]
-struct ReadAnswer {
-    kv_transfer_params: Box<RawValue>,
-    usage: ReadUsage,
-}
-
-#[derive(Deserialize)]
-struct ReadUsage {
-    prompt_tokens_details: Option<ReadDetails>,
-}
-
-#[derive(Deserialize)]
-struct ReadDetails {
-    cached_tokens: Option<u64>,
-}
-
-#[derive(Deserialize)]
-struct Chunk {
-    #[serde(default)]
-    choices: Vec<Choice>,
-    usage: Option<UsageBody>,
-    error: Option<serde::de::IgnoredAny>,
+/// A client of all model servers of one gateway.
+pub struct Client {
+    pool: Rc<Pool>,
+    /// The `user-agent` field, which names this gateway.
+    user_agent: String,
 }
 
-#[derive(Deserialize)]
-struct Choice {
-    text: String,
-    finish_reason: Option<String>,
-}
+type Message = Request<Full<Bytes>>;
 
-#[derive(Deserialize)]
-struct ErrorAnswer {
-    error: ErrorBody,
+/// A response whose head was received.
+struct Exchanged {
+    response: Response<Incoming>,
+    /// The connection that it came on.
+    sender: Sender,
 }
 
-#[derive(Deserialize)]
-struct ErrorBody {
-    code: Option<serde_json::Value>,
+/// A request that got no response.
+struct SendError {
+    /// The request, if provably nothing of it was written: it can be sent on another connection.
+    unsent: Option<Message>,
 }
 
-pub struct Client {
-    pool: Rc<Pool>,
-    /// How this gateway names itself to model servers.
-    agent: String,
+/// A body that was read completely.
+struct CompleteResponse {
+    status: StatusCode,
+    body: Bytes,
 }
 
 impl Client {
-    pub fn new(spawner: Spawner, name: &str) -> Self {
-        Client { pool: Rc::new(Pool::new(spawner)), agent: format!("petrelshore/{name}") }
+    /// A client of the gateway of this name.
+    pub fn new(spawner: Spawner, gateway_name: &str) -> Self {
+        Client { pool: Rc::new(Pool::new(spawner)), user_agent: format!("petrelshore/{gateway_name}") }
     }
 
-    /// Has a prompt read; its state then waits at the reader.
+    /// Sends a prefill request; the KV cache then waits at its server.
     pub async fn prefill(&self, request: &CompletionRequest) -> Reply<PrefillResult> {
-        let asked = RawValue::from_string(
-            r#"{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}"#
-                .to_owned(),
-        );
-        let body = Completion {
-            model: &request.model,
-            prompt: &request.prompt,
-            max_tokens: 1,
-            stream: false,
-            stream_options: None,
-            stop: &[],
-            kv_transfer_params: asked.as_deref().ok(),
-            sampling: &serde_json::Map::new(),
-        };
-        let (response, sender) = match self.ask(request, &body).await {
-            Ok(answered) => answered,
-            Err(ending) => return Reply { result: Err(ending), load: None },
-        };
-        let load = load_of(&response);
+        let Exchanged { response, sender } =
+            match self.complete(request, wire_format::prefill_body(request)).await {
+                Ok(exchanged) => exchanged,
+                Err(end) => return Reply::failed(end),
+            };
+        let load = load_in_head(&response);
         let result = async {
-            let (status, bytes) = whole(response).await?;
-            if status != StatusCode::OK {
-                return Err(refusal(status, &bytes));
+            let response = read_body(response).await?;
+            if response.status != StatusCode::OK {
+                return Err(response.failure());
             }
-            self.pool.keep(request.to, sender);
-            let answer: ReadAnswer = serde_json::from_slice(&bytes).map_err(|_| AttemptEnd::Malformed)?;
-            let kept = answer.usage.prompt_tokens_details.and_then(|details| details.cached_tokens);
-            let kept_tokens = kept.unwrap_or(0) as f64;
-            Ok(PrefillResult { params: Rc::from(answer.kv_transfer_params), kept_tokens })
+            self.pool.check_in(request.address, sender);
+            let answer: PrefillResponse =
+                serde_json::from_slice(&response.body).map_err(|_| AttemptEnd::Malformed)?;
+            let cached_tokens = answer.cached_tokens() as f64;
+            Ok(PrefillResult { transfer_params: Rc::from(answer.kv_transfer_params), cached_tokens })
         };
         Reply { result: result.await, load }
     }
 
-    /// Has an answer written, from a held state or from the prompt itself.
+    /// Sends a decode request, for a KV cache that waits at a prefill server or for the prompt itself.
     pub async fn decode(&self, request: &CompletionRequest) -> Reply<DecodeStream> {
-        let body = Completion {
-            model: &request.model,
-            prompt: &request.prompt,
-            max_tokens: request.max_tokens,
-            stream: true,
-            stream_options: Some(StreamOptions { include_usage: true }),
-            stop: &request.stop,
-            kv_transfer_params: request.state.as_deref(),
-            sampling: &request.sampling,
-        };
-        let (response, sender) = match self.ask(request, &body).await {
-            Ok(answered) => answered,
-            Err(ending) => return Reply { result: Err(ending), load: None },
-        };
-        let load = load_of(&response);
+        let Exchanged { response, sender } =
+            match self.complete(request, wire_format::decode_body(request)).await {
+                Ok(exchanged) => exchanged,
+                Err(end) => return Reply::failed(end),
+            };
+        let load = load_in_head(&response);
         if response.status() != StatusCode::OK {
-            let refused = whole(response).await.map(|(status, bytes)| refusal(status, &bytes));
-            return Reply { result: Err(refused.unwrap_or_else(|ending| ending)), load };
+            let end = read_body(response).await.map(|response| response.failure());
+            return Reply { result: Err(end.unwrap_or_else(|end| end)), load };
         }
-        let writing = DecodeStream {
-            to: request.to,
-            pool: self.pool.clone(),
-            sender: Some(sender),
-            body: response.into_body(),
-            events: Events::default(),
-            ready: VecDeque::new(),
-            finished: false,
-        };
-        Reply { result: Ok(writing), load }
+        let stream = DecodeStream::new(request.address, self.pool.clone(), sender, response.into_body());
+        Reply { result: Ok(stream), load }
     }
 
-    /// Tells a reader once to let go of what it holds for a request. An error says how the exchange ended.
+    /// Sends one release request: the prefill server frees what it holds for a request ID.
     pub async fn release(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         request_id: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), AttemptEnd> {
-        let body = serde_json::json!({ "request_id": request_id }).to_string();
-        let told = async {
-            let sender = match self.pool.pooled(to) {
-                Some((sender, _)) => sender,
-                None => self.pool.connect(to, within).await?,
+        let body = Bytes::from(wire_format::release_body(request_id));
+        let released = async {
+            let sender = match self.pool.check_out(address) {
+                Some(pooled) => pooled.sender,
+                None => self.pool.connect(address, timeout).await?,
             };
-            let request = self.post(to, RELEASE, request_id, None, Bytes::from(body))?;
-            let (response, sender) = send(sender, request).await.map_err(|_| AttemptEnd::Reset)?;
-            let (status, _) = whole(response).await?;
-            self.pool.keep(to, sender);
-            if status.is_success() {
-                Ok(())
-            } else {
-                Err(AttemptEnd::ErrorStatus { status: status.as_u16() })
+            let message = self.message(address, RELEASE_PATH, request_id, None, body)?;
+            let Exchanged { response, sender } =
+                send(sender, message).await.map_err(|_| AttemptEnd::Reset)?;
+            let CompleteResponse { status, .. } = read_body(response).await?;
+            self.pool.check_in(address, sender);
+            match status.is_success() {
+                true => Ok(()),
+                false => Err(AttemptEnd::ErrorStatus { status: status.as_u16() }),
             }
         };
-        let late = async {
-            async_io::Timer::after(within).await;
+        let timed_out = async {
+            Timer::after(timeout).await;
             Err(AttemptEnd::TimedOut)
         };
-        futures_lite::future::or(told, late).await
+        future::or(released, timed_out).await
     }
 
-    /// Drops connections to servers that are no longer listed.
+    /// Closes idle connections to servers that are no longer listed.
     pub fn retain_endpoints(&self, listed: impl Fn(&SocketAddr) -> bool) {
-        self.pool.keep_only(listed);
+        self.pool.retain(listed);
     }
 
-    /// Sends one request. On a pooled connection that hands it back unwritten, a new one carries it.
-    async fn ask(
+    /// Sends one completion request. If a pooled connection returns it unwritten, a new one carries it.
+    async fn complete(
         &self,
         request: &CompletionRequest,
-        body: &Completion<'_>,
-    ) -> Result<(Response<Incoming>, Sender), AttemptEnd> {
-        let body = Bytes::from(serde_json::to_vec(body).map_err(|_| AttemptEnd::ReturnedUnsent)?);
+        body: serde_json::Result<Vec<u8>>,
+    ) -> Result<Exchanged, AttemptEnd> {
+        let body = Bytes::from(body.map_err(|_| AttemptEnd::ReturnedUnsent)?);
         let key = request.idempotency_key.as_deref();
-        let mut message = self.post(request.to, COMPLETIONS, &request.request_id, key, body)?;
-        let pooled = if request.fresh { None } else { self.pool.pooled(request.to) };
-        if let Some((sender, idle)) = pooled {
-            match send(sender, message).await {
-                Ok(answered) => {
-                    self.pool.held();
-                    return Ok(answered);
+        let mut message = self.message(request.address, COMPLETIONS_PATH, &request.request_id, key, body)?;
+        let pooled = if request.new_connection { None } else { self.pool.check_out(request.address) };
+        if let Some(pooled) = pooled {
+            match send(pooled.sender, message).await {
+                Ok(exchanged) => {
+                    self.pool.reuse_succeeded();
+                    return Ok(exchanged);
                 }
-                Err(Some(unwritten)) => message = unwritten,
-                Err(None) => {
-                    self.pool.broke(request.to, idle);
+                Err(SendError { unsent: Some(unsent) }) => message = unsent,
+                Err(SendError { unsent: None }) => {
+                    self.pool.reuse_failed(request.address, pooled.idle_time);
                     return Err(AttemptEnd::Reset);
                 }
             }
         }
-        let sender = self.pool.connect(request.to, request.connect_within).await?;
-        let unsent =
-            |back: Option<_>| if back.is_some() { AttemptEnd::ReturnedUnsent } else { AttemptEnd::Reset };
-        send(sender, message).await.map_err(unsent)
+        let sender = self.pool.connect(request.address, request.connect_timeout).await?;
+        send(sender, message).await.map_err(|error| match error.unsent {
+            Some(_) => AttemptEnd::ReturnedUnsent,
+            None => AttemptEnd::Reset,
+        })
     }
 
-    fn post(
+    fn message(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         path: &str,
-        id: &str,
-        key: Option<&str>,
+        request_id: &str,
+        idempotency_key: Option<&str>,
         body: Bytes,
     ) -> Result<Message, AttemptEnd> {
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(path)
-            .header("host", to.to_string())
+            .header("host", address.to_string())
             .header("content-type", "application/json")
             .header("endpoint-load-metrics-format", "TEXT")
-            .header("x-request-id", id)
-            .header("user-agent", &self.agent);
-        if let Some(key) = key {
+            .header("x-request-id", request_id)
+            .header("user-agent", &self.user_agent);
+        if let Some(key) = idempotency_key {
             request = request.header("idempotency-key", key);
         }
         request.body(Full::new(body)).map_err(|_| AttemptEnd::ReturnedUnsent)
     }
 }
 
-type Message = Request<Full<Bytes>>;
-
-/// The request comes back where it provably never went out.
-async fn send(mut sender: Sender, message: Message) -> Result<(Response<Incoming>, Sender), Option<Message>> {
+async fn send(mut sender: Sender, message: Message) -> Result<Exchanged, SendError> {
     match sender.try_send_request(message).await {
-        Ok(response) => Ok((response, sender)),
-        Err(mut error) => Err(error.take_message()),
+        Ok(response) => Ok(Exchanged { response, sender }),
+        Err(mut error) => Err(SendError { unsent: error.take_message() }),
     }
 }
 
-fn load_of(response: &Response<Incoming>) -> Option<Load> {
+/// The load that the head of a response reports.
+fn load_in_head(response: &Response<Incoming>) -> Option<Load> {
     let header = response.headers().get("endpoint-load-metrics")?;
     Some(orca::parse(header.to_str().ok()?))
 }
 
-async fn whole(response: Response<Incoming>) -> Result<(StatusCode, Bytes), AttemptEnd> {
+/// Reads the complete body of a response, within its bound.
+async fn read_body(response: Response<Incoming>) -> Result<CompleteResponse, AttemptEnd> {
     let status = response.status();
-    let body = Limited::new(response.into_body(), ANSWER).collect().await;
-    let body = body.map_err(|error| match error.downcast_ref::<http_body_util::LengthLimitError>() {
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
+    let body = body.map_err(|error| match error.downcast_ref::<LengthLimitError>() {
         Some(_) => AttemptEnd::Malformed,
         None => AttemptEnd::Reset,
     })?;
-    Ok((status, body.to_bytes()))
-}
-
-/// A refusal proves something only by both its status and its code, so that a proxy's bare 503 proves nothing.
-fn refusal(status: StatusCode, body: &[u8]) -> AttemptEnd {
-    let code = serde_json::from_slice::<ErrorAnswer>(body).ok().and_then(|answer| answer.error.code);
-    match (status, code.as_ref().and_then(serde_json::Value::as_str)) {
-        (StatusCode::SERVICE_UNAVAILABLE, Some("full")) => AttemptEnd::AtCapacity,
-        (StatusCode::CONFLICT, Some("state_missing")) => AttemptEnd::KvCacheMissing,
-        _ => AttemptEnd::ErrorStatus { status: status.as_u16() },
-    }
+    Ok(CompleteResponse { status, body: body.to_bytes() })
 }
 
-/// An answer that is being written.
-pub struct DecodeStream {
-    to: SocketAddr,
-    pool: Rc<Pool>,
-    sender: Option<Sender>,
-    body: Incoming,
-    events: Events,
-    ready: VecDeque<Piece>,
-    finished: bool,
-}
-
-impl DecodeStream {
-    /// The next piece; none once the answer is whole.
-    pub async fn next(&mut self) -> Result<Option<Piece>, AttemptEnd> {
-        loop {
-            if let Some(piece) = self.ready.pop_front() {
-                return Ok(Some(piece));
-            }
-            while let Some(data) = self.events.next_event().map_err(|_| AttemptEnd::Malformed)? {
-                if data == "[DONE]" {
-                    return if self.finished { Ok(None) } else { Err(AttemptEnd::Malformed) };
-                }
-                self.decode(&data)?;
-                if !self.ready.is_empty() {
-                    break;
-                }
-            }
-            if !self.ready.is_empty() {
-                continue;
-            }
-            match self.body.frame().await {
-                Some(Ok(frame)) => {
-                    let bytes = frame.into_data().unwrap_or_default();
-                    self.events.feed(&bytes).map_err(|_| AttemptEnd::Malformed)?;
-                }
-                Some(Err(_)) => return Err(AttemptEnd::Reset),
-                None => return Err(AttemptEnd::Malformed),
-            }
-        }
-    }
-
-    fn decode(&mut self, data: &str) -> Result<(), AttemptEnd> {
-        let chunk: Chunk = serde_json::from_str(data).map_err(|_| AttemptEnd::Malformed)?;
-        if chunk.error.is_some() {
-            return Err(AttemptEnd::ErrorStatus { status: 500 });
-        }
-        for choice in chunk.choices {
-            if !choice.text.is_empty() {
-                self.ready.push_back(Piece::Text(choice.text));
-            }
-            if let Some(reason) = choice.finish_reason {
-                self.finished = true;
-                self.ready.push_back(Piece::Finish(reason));
-            }
+impl CompleteResponse {
+    /// How an attempt ended whose response is not the expected one. A rejection proves something only by both its status
+    /// and its code, so that a proxy's bare 503 proves nothing.
+    fn failure(&self) -> AttemptEnd {
+        match (self.status, wire_format::error_code(&self.body).as_deref()) {
+            (StatusCode::SERVICE_UNAVAILABLE, Some("full")) => AttemptEnd::AtCapacity,
+            (StatusCode::CONFLICT, Some("state_missing")) => AttemptEnd::KvCacheMissing,
+            _ => AttemptEnd::ErrorStatus { status: self.status.as_u16() },
         }
-        let usage = chunk.usage.map(|told| Usage {
-            prompt_tokens: told.prompt_tokens,
-            completion_tokens: told.completion_tokens,
-        });
-        self.ready.extend(usage.map(Piece::Usage));
-        Ok(())
-    }
-
-    /// Gives the connection of a whole answer back. Its body's end may still be on the way; whoever waits for the
-    /// answer does not wait for that.
-    pub fn done(mut self) {
-        let Some(sender) = self.sender.take() else { return };
-        let (pool, to, mut body) = (self.pool.clone(), self.to, self.body);
-        let settled = async move {
-            let ended = async { body.frame().await.is_none() };
-            let late = async {
-                async_io::Timer::after(BODY_END).await;
-                false
-            };
-            if futures_lite::future::or(ended, late).await {
-                pool.keep(to, sender);
-            }
-        };
-        self.pool.spawn(settled);
     }
 }
--- a/engine-client/src/orca.rs
+++ b/engine-client/src/orca.rs
@@ -1,17 +1,17 @@
-//! Load as model servers tell it in the `endpoint-load-metrics` header (ORCA), in its TEXT and JSON forms.
+//! Load reports of model servers in the `endpoint-load-metrics` header (ORCA), in its TEXT and JSON forms.
 
-/// What a server told of itself. Names it does not tell stay empty; names not known here are skipped.
+/// A load report. Metrics that it does not contain are none; unknown metrics are skipped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// `kv_cache_usage_perc`: share of its memory held, from 0 to 1.
+    /// `kv_cache_usage_perc`: used share of the KV cache memory, from 0 to 1.
     pub memory_share: Option<f64>,
-    /// `queued_prompt_tokens`: prompt tokens that wait to be read. Added here: engines publish requests only.
+    /// `queued_prompt_tokens`: prompt tokens that wait for prefill. An addition: engines publish numbers of requests only.
     pub queued_prompt_tokens: Option<f64>,
-    /// `process_start_time_seconds`: when its process started, in seconds of the Unix epoch.
+    /// `process_start_time_seconds`: when the process started, in seconds of the Unix epoch.
     pub started_seconds: Option<f64>,
 }
 
-/// Reads a header's value; what is malformed counts as not told.
+/// Parses a header's value; malformed metrics count as absent.
 pub fn parse(header: &str) -> Load {
     let mut load = Load::default();
     let text = header.trim();
--- a/engine-client/src/pool.rs
+++ b/engine-client/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to model servers, kept open between exchanges.
+//! Connections to model servers, pooled between exchanges.
 
 use async_net::TcpStream;
 use bytes::Bytes;
@@ -15,19 +15,28 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-pub type Sender = SendRequest<Full<Bytes>>;
+/// The sending half of a connection.
+pub(crate) type Sender = SendRequest<Full<Bytes>>;
 
-/// Most of a response's head: more is no model server.
-const HEAD: usize = 64 << 10;
+/// Bound of a response's head.
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
 
-pub struct Pool {
+/// The connections of one client.
+pub(crate) struct Pool {
     spawner: Spawner,
     started: Instant,
     idle: RefCell<ConnectionPool<SocketAddr, Sender>>,
 }
 
+/// A connection from the pool.
+pub(crate) struct CheckedOut {
+    pub(crate) sender: Sender,
+    /// How long it was idle.
+    pub(crate) idle_time: Nanos,
+}
+
 impl Pool {
-    pub fn new(spawner: Spawner) -> Self {
+    pub(crate) fn new(spawner: Spawner) -> Self {
         Pool { spawner, started: Instant::now(), idle: RefCell::default() }
     }
 
@@ -35,24 +44,25 @@
         self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// A connection that was used before and is open as far as can be told, and how long it was idle.
-    pub fn pooled(&self, to: SocketAddr) -> Option<(Sender, Nanos)> {
-        self.idle.borrow_mut().check_out(self.now(), to, Sender::is_ready)
+    /// An idle connection that is open as far as can be told.
+    pub(crate) fn check_out(&self, address: SocketAddr) -> Option<CheckedOut> {
+        let (sender, idle_time) = self.idle.borrow_mut().check_out(self.now(), address, Sender::is_ready)?;
+        Some(CheckedOut { sender, idle_time })
     }
 
-    /// An answer has come on a pooled connection.
-    pub fn held(&self) {
+    /// Records that a pooled connection brought a response.
+    pub(crate) fn reuse_succeeded(&self) {
         self.idle.borrow_mut().reuse_succeeded(self.now());
     }
 
-    /// A pooled connection broke under its request.
-    pub fn broke(&self, to: SocketAddr, idle: Nanos) {
-        self.idle.borrow_mut().reuse_failed(self.now(), to, idle);
+    /// Records that a pooled connection broke under its request.
+    pub(crate) fn reuse_failed(&self, address: SocketAddr, idle_time: Nanos) {
+        self.idle.borrow_mut().reuse_failed(self.now(), address, idle_time);
     }
 
-    /// A new connection, or none within the time.
-    pub async fn connect(&self, to: SocketAddr, within: Duration) -> Result<Sender, AttemptEnd> {
-        let stream = connect(to, within).await.map_err(|why| match why {
+    /// Opens a connection within the timeout.
+    pub(crate) async fn connect(&self, address: SocketAddr, timeout: Duration) -> Result<Sender, AttemptEnd> {
+        let stream = connect(address, timeout).await.map_err(|error| match error {
             ConnectError::LocalResources => AttemptEnd::NotSent,
             ConnectError::Unreachable => AttemptEnd::NotConnected,
         })?;
@@ -60,30 +70,33 @@
         // Tokens are small and must not wait for each other.
         let _ = stream.set_nodelay(true);
         let mut builder = http1::Builder::new();
-        let handshake =
-            builder.max_buf_size(HEAD).handshake(FuturesIo::new(RetryingStream::new(stream))).await;
+        let handshake = builder
+            .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+            .handshake(FuturesIo::new(RetryingStream::new(stream)))
+            .await;
         let (sender, connection) = handshake.map_err(|_| AttemptEnd::NotConnected)?;
-        let driven = async move {
-            // Its end shows at the exchange that runs on it.
+        let driver = async move {
+            // Its end shows in the exchange that uses it.
             let _ = connection.await;
         };
-        self.spawner.run(driven);
+        self.spawner.run(driver);
         Ok(sender)
     }
 
-    pub fn spawn(&self, work: impl Future<Output = ()> + 'static) {
-        self.spawner.run(work);
+    /// Runs a task of a connection beside its exchanges.
+    pub(crate) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.spawner.run(task);
     }
 
-    /// Takes a connection back whose exchange is over.
-    pub fn keep(&self, to: SocketAddr, sender: Sender) {
+    /// Returns a connection to the pool after a complete exchange.
+    pub(crate) fn check_in(&self, address: SocketAddr, sender: Sender) {
         if !sender.is_closed() {
-            self.idle.borrow_mut().check_in(self.now(), to, sender);
+            self.idle.borrow_mut().check_in(self.now(), address, sender);
         }
     }
 
-    /// Drops what is kept for servers that are no longer listed.
-    pub fn keep_only(&self, listed: impl Fn(&SocketAddr) -> bool) {
+    /// Closes the idle connections to addresses that are not listed.
+    pub(crate) fn retain(&self, listed: impl Fn(&SocketAddr) -> bool) {
         self.idle.borrow_mut().remove(|address| !listed(address));
     }
 }
--- a/engine-client/src/sse.rs
+++ b/engine-client/src/sse.rs
@@ -1,64 +1,75 @@
-//! Server-sent events out of a byte stream, in bounded memory.
+//! Parsing of server-sent events, in bounded memory.
 
-/// An event larger than this is no token.
-const LARGEST: usize = 256 << 10;
+/// Bound of one event.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Splits bytes into the data of events. Fed as bytes come, in pieces of any size.
+/// Splits a byte stream, fed in parts of any size, into the data of its events.
 #[derive(Debug, Default)]
 pub struct Events {
     buffer: Vec<u8>,
     /// Where the next line starts in `buffer`.
-    at: usize,
-    /// Up to where `buffer` holds no line end.
+    line_start: usize,
+    /// Up to where `buffer` was searched for a line end.
     searched: usize,
+    /// The data of the current event.
     data: String,
-    any: bool,
+    /// Whether the current event has a data line.
+    has_data: bool,
 }
 
-/// The server sent an event that is larger than any token, or one that is not UTF-8.
+/// An event that exceeds its bound, or is not UTF-8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Oversized;
+pub struct InvalidEvent;
+
+impl std::fmt::Display for InvalidEvent {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str("an event is too large or not UTF-8")
+    }
+}
+
+impl std::error::Error for InvalidEvent {}
 
 impl Events {
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), Oversized> {
-        if self.at > 0 {
-            self.buffer.drain(..self.at);
-            self.searched -= self.at;
-            self.at = 0;
+    /// Adds the next bytes of the stream.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<(), InvalidEvent> {
+        if self.line_start > 0 {
+            self.buffer.drain(..self.line_start);
+            self.searched -= self.line_start;
+            self.line_start = 0;
         }
-        if self.buffer.len() + bytes.len() > 2 * LARGEST {
-            return Err(Oversized);
+        if self.buffer.len() + bytes.len() > 2 * MAX_EVENT_BYTES {
+            return Err(InvalidEvent);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The data of the next whole event.
-    pub fn next_event(&mut self) -> Result<Option<String>, Oversized> {
+    /// The data of the next complete event.
+    pub fn next_event(&mut self) -> Result<Option<String>, InvalidEvent> {
         while let Some(length) = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n') {
             let end = self.searched + length;
-            let line = &self.buffer[self.at..end];
+            let line = &self.buffer[self.line_start..end];
             let line =
-                std::str::from_utf8(line.strip_suffix(b"\r").unwrap_or(line)).map_err(|_| Oversized)?;
+                std::str::from_utf8(line.strip_suffix(b"\r").unwrap_or(line)).map_err(|_| InvalidEvent)?;
             if line.is_empty() {
-                if self.any {
-                    (self.at, self.searched, self.any) = (end + 1, end + 1, false);
+                if self.has_data {
+                    (self.line_start, self.searched, self.has_data) = (end + 1, end + 1, false);
                     return Ok(Some(std::mem::take(&mut self.data)));
                 }
             } else if let Some(data) = line.strip_prefix("data:") {
-                if self.any {
+                if self.has_data {
                     self.data.push('\n');
                 }
                 self.data.push_str(data.strip_prefix(' ').unwrap_or(data));
-                self.any = true;
+                self.has_data = true;
             }
-            if self.data.len() > LARGEST {
-                return Err(Oversized);
+            if self.data.len() > MAX_EVENT_BYTES {
+                return Err(InvalidEvent);
             }
-            (self.at, self.searched) = (end + 1, end + 1);
+            (self.line_start, self.searched) = (end + 1, end + 1);
         }
         self.searched = self.buffer.len();
-        if self.buffer.len() - self.at > LARGEST { Err(Oversized) } else { Ok(None) }
+        if self.buffer.len() - self.line_start > MAX_EVENT_BYTES { Err(InvalidEvent) } else { Ok(None) }
     }
 }
 
