--- a/chat-gateway/src/attempts.rs
+++ b/chat-gateway/src/attempts.rs
@@ -35,7 +35,7 @@
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&dispatch.id) else { return };
         let request = CompletionRequest {
-            to: address,
+            address,
             request_id: outgoing.request_id,
             model: entry.model.clone(),
             prompt: outgoing.prompt,
@@ -43,9 +43,9 @@
             stop: entry.stop.clone(),
             sampling: entry.sampling.clone(),
             idempotency_key: outgoing.idempotency_key,
-            state: outgoing.transfer_params,
-            fresh: dispatch.new_connection,
-            connect_within: Duration::from_nanos(dispatch.connect_timeout),
+            transfer_params: outgoing.transfer_params,
+            new_connection: dispatch.new_connection,
+            connect_timeout: Duration::from_nanos(dispatch.connect_timeout),
         };
         let state = self.clone();
         let task = self.spawner.spawn(async move {
@@ -64,7 +64,7 @@
             Ok(result) => result,
             Err(ending) => return self.attempt_ended(dispatch, ending, reply.load),
         };
-        let cached_tokens = result.kept_tokens;
+        let cached_tokens = result.cached_tokens;
         debug!(
             request_id = dispatch.id.0,
             attempt = dispatch.attempt,
@@ -76,7 +76,7 @@
         self.load_reported(dispatch.server, reply.load);
         self.detach_attempt_task(dispatch.id, dispatch.attempt);
         self.apply(|requests, now, commands| {
-            requests.prefill_done(now, &dispatch, cached_tokens, result.params, commands)
+            requests.prefill_done(now, &dispatch, cached_tokens, result.transfer_params, commands)
         });
     }
 
@@ -90,7 +90,7 @@
         self.load_reported(dispatch.server, reply.load);
         match self.forward_stream(dispatch, &mut stream).await {
             StreamEnd::Completed => {
-                stream.done();
+                stream.return_connection();
                 self.attempt_ended(dispatch, AttemptEnd::Completed, None);
             }
             StreamEnd::Failed(ending) => self.attempt_ended(dispatch, ending, None),
--- /dev/null
+++ b/engine-client/src/client.rs
@@ -0,0 +1,219 @@
+//! The client: prefill, decode and release requests to model servers.
+
+use crate::decode_stream::DecodeStream;
+use crate::orca::{self, Load};
+use crate::pool::{Pool, Sender};
+use crate::request::{CompletionRequest, PrefillResult, Reply};
+use crate::wire_format::{self, PrefillResponse};
+use async_io::Timer;
+use bytes::Bytes;
+use futures_lite::future;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use hyper::{Method, Request, Response, StatusCode};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_runtime::Spawner;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+const COMPLETIONS_PATH: &str = "/v1/completions";
+const RELEASE_PATH: &str = "/v1/kv/release";
+/// Bound of the body of a prefill or error response: both hold a few fields.
+const MAX_BODY_BYTES: usize = 256 << 10;
+
+/// A client of all model servers of one gateway.
+pub struct Client {
+    pool: Rc<Pool>,
+    /// The `user-agent` field, which names this gateway.
+    user_agent: String,
+}
+
+type Message = Request<Full<Bytes>>;
+
+/// A response whose head was received.
+struct Exchanged {
+    response: Response<Incoming>,
+    /// The connection that it came on.
+    sender: Sender,
+}
+
+/// A request that got no response.
+struct SendError {
+    /// The request, if provably nothing of it was written: it can be sent on another connection.
+    unsent: Option<Message>,
+}
+
+/// A body that was read completely.
+struct CompleteResponse {
+    status: StatusCode,
+    body: Bytes,
+}
+
+impl Client {
+    /// A client of the gateway of this name.
+    pub fn new(spawner: Spawner, gateway_name: &str) -> Self {
+        Client { pool: Rc::new(Pool::new(spawner)), user_agent: format!("petrelshore/{gateway_name}") }
+    }
+
+    /// Sends a prefill request; the KV cache then waits at its server.
+    pub async fn prefill(&self, request: &CompletionRequest) -> Reply<PrefillResult> {
+        let Exchanged { response, sender } =
+            match self.complete(request, wire_format::prefill_body(request)).await {
+                Ok(exchanged) => exchanged,
+                Err(end) => return Reply::failed(end),
+            };
+        let load = load_in_head(&response);
+        let result = async {
+            let response = read_body(response).await?;
+            if response.status != StatusCode::OK {
+                return Err(response.failure());
+            }
+            self.pool.check_in(request.address, sender);
+            let answer: PrefillResponse =
+                serde_json::from_slice(&response.body).map_err(|_| AttemptEnd::Malformed)?;
+            let cached_tokens = answer.cached_tokens() as f64;
+            Ok(PrefillResult { transfer_params: Rc::from(answer.kv_transfer_params), cached_tokens })
+        };
+        Reply { result: result.await, load }
+    }
+
+    /// Sends a decode request, for a KV cache that waits at a prefill server or for the prompt itself.
+    pub async fn decode(&self, request: &CompletionRequest) -> Reply<DecodeStream> {
+        let Exchanged { response, sender } =
+            match self.complete(request, wire_format::decode_body(request)).await {
+                Ok(exchanged) => exchanged,
+                Err(end) => return Reply::failed(end),
+            };
+        let load = load_in_head(&response);
+        if response.status() != StatusCode::OK {
+            let end = read_body(response).await.map(|response| response.failure());
+            return Reply { result: Err(end.unwrap_or_else(|end| end)), load };
+        }
+        let stream = DecodeStream::new(request.address, self.pool.clone(), sender, response.into_body());
+        Reply { result: Ok(stream), load }
+    }
+
+    /// Sends one release request: the prefill server frees what it holds for a request ID.
+    pub async fn release(
+        &self,
+        address: SocketAddr,
+        request_id: &str,
+        timeout: Duration,
+    ) -> Result<(), AttemptEnd> {
+        let body = Bytes::from(wire_format::release_body(request_id));
+        let released = async {
+            let sender = match self.pool.check_out(address) {
+                Some(pooled) => pooled.sender,
+                None => self.pool.connect(address, timeout).await?,
+            };
+            let message = self.message(address, RELEASE_PATH, request_id, None, body)?;
+            let Exchanged { response, sender } =
+                send(sender, message).await.map_err(|_| AttemptEnd::Reset)?;
+            let CompleteResponse { status, .. } = read_body(response).await?;
+            self.pool.check_in(address, sender);
+            match status.is_success() {
+                true => Ok(()),
+                false => Err(AttemptEnd::ErrorStatus { status: status.as_u16() }),
+            }
+        };
+        let timed_out = async {
+            Timer::after(timeout).await;
+            Err(AttemptEnd::TimedOut)
+        };
+        future::or(released, timed_out).await
+    }
+
+    /// Closes idle connections to servers that are no longer listed.
+    pub fn retain_endpoints(&self, listed: impl Fn(&SocketAddr) -> bool) {
+        self.pool.retain(listed);
+    }
+
+    /// Sends one completion request. If a pooled connection returns it unwritten, a new one carries it.
+    async fn complete(
+        &self,
+        request: &CompletionRequest,
+        body: serde_json::Result<Vec<u8>>,
+    ) -> Result<Exchanged, AttemptEnd> {
+        let body = Bytes::from(body.map_err(|_| AttemptEnd::ReturnedUnsent)?);
+        let key = request.idempotency_key.as_deref();
+        let mut message = self.message(request.address, COMPLETIONS_PATH, &request.request_id, key, body)?;
+        let pooled = if request.new_connection { None } else { self.pool.check_out(request.address) };
+        if let Some(pooled) = pooled {
+            match send(pooled.sender, message).await {
+                Ok(exchanged) => {
+                    self.pool.reuse_succeeded();
+                    return Ok(exchanged);
+                }
+                Err(SendError { unsent: Some(unsent) }) => message = unsent,
+                Err(SendError { unsent: None }) => {
+                    self.pool.reuse_failed(request.address, pooled.idle_time);
+                    return Err(AttemptEnd::Reset);
+                }
+            }
+        }
+        let sender = self.pool.connect(request.address, request.connect_timeout).await?;
+        send(sender, message).await.map_err(|error| match error.unsent {
+            Some(_) => AttemptEnd::ReturnedUnsent,
+            None => AttemptEnd::Reset,
+        })
+    }
+
+    fn message(
+        &self,
+        address: SocketAddr,
+        path: &str,
+        request_id: &str,
+        idempotency_key: Option<&str>,
+        body: Bytes,
+    ) -> Result<Message, AttemptEnd> {
+        let mut request = Request::builder()
+            .method(Method::POST)
+            .uri(path)
+            .header("host", address.to_string())
+            .header("content-type", "application/json")
+            .header("endpoint-load-metrics-format", "TEXT")
+            .header("x-request-id", request_id)
+            .header("user-agent", &self.user_agent);
+        if let Some(key) = idempotency_key {
+            request = request.header("idempotency-key", key);
+        }
+        request.body(Full::new(body)).map_err(|_| AttemptEnd::ReturnedUnsent)
+    }
+}
+
+async fn send(mut sender: Sender, message: Message) -> Result<Exchanged, SendError> {
+    match sender.try_send_request(message).await {
+        Ok(response) => Ok(Exchanged { response, sender }),
+        Err(mut error) => Err(SendError { unsent: error.take_message() }),
+    }
+}
+
+/// The load that the head of a response reports.
+fn load_in_head(response: &Response<Incoming>) -> Option<Load> {
+    let header = response.headers().get("endpoint-load-metrics")?;
+    Some(orca::parse(header.to_str().ok()?))
+}
+
+/// Reads the complete body of a response, within its bound.
+async fn read_body(response: Response<Incoming>) -> Result<CompleteResponse, AttemptEnd> {
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
+    let body = body.map_err(|error| match error.downcast_ref::<LengthLimitError>() {
+        Some(_) => AttemptEnd::Malformed,
+        None => AttemptEnd::Reset,
+    })?;
+    Ok(CompleteResponse { status, body: body.to_bytes() })
+}
+
+impl CompleteResponse {
+    /// How an attempt ended whose response is not the expected one. A rejection proves something only by both its status
+    /// and its code, so that a proxy's bare 503 proves nothing.
+    fn failure(&self) -> AttemptEnd {
+        match (self.status, wire_format::error_code(&self.body).as_deref()) {
+            (StatusCode::SERVICE_UNAVAILABLE, Some("full")) => AttemptEnd::AtCapacity,
+            (StatusCode::CONFLICT, Some("state_missing")) => AttemptEnd::KvCacheMissing,
+            _ => AttemptEnd::ErrorStatus { status: self.status.as_u16() },
+        }
+    }
+}
--- a/ingress/src/stall.rs
+++ b/ingress/src/stall.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncRead, AsyncWrite, future::FutureExt};
-use petrelshore_http1::system_calls::Persistent;
+use petrelshore_http1::io_retry::RetryingStream;
 use std::io::{Error, ErrorKind, Result};
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,7 +11,7 @@
 
 /// Guards against clients that stop reading: what is written for them would stay in memory for ever.
 pub struct StallGuard {
-    stream: Persistent<TcpStream>,
+    stream: RetryingStream<TcpStream>,
     timeout: Duration,
     /// Runs while a write or flush is pending.
     timer: Option<Timer>,
@@ -20,7 +20,7 @@
 impl StallGuard {
     /// Guards a socket: a write or flush that makes no progress for `timeout` fails with [`ErrorKind::TimedOut`].
     pub fn new(stream: TcpStream, timeout: Duration) -> Self {
-        StallGuard { stream: Persistent::new(stream), timeout, timer: None }
+        StallGuard { stream: RetryingStream::new(stream), timeout, timer: None }
     }
 
     fn guard<T>(&mut self, context: &mut Context<'_>, progress: Poll<Result<T>>) -> Poll<Result<T>> {
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 use list_request::{ListError, ListRequest, request_list};
 use petrelshore::interface::Nanos;
-use petrelshore_http1::wire::Wire;
+use petrelshore_http1::connection::HttpConnection;
 use petrelshore_platform_protocol::endpoint_list::EndpointList;
 use petrelshore_runtime::{Call, first_success};
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 
 /// A connection to the agent, with the list that came on it last.
 struct ListConnection {
-    wire: Wire,
+    wire: HttpConnection,
     list: EndpointList,
 }
 
@@ -125,7 +125,8 @@
 
     async fn try_full_list(self, timeout: Duration) -> Option<ListConnection> {
         let result = async {
-            let mut wire = Wire::connect(self.address, REQUEST_TIMEOUT).await.map_err(ListError::Connect)?;
+            let mut wire =
+                HttpConnection::connect(self.address, REQUEST_TIMEOUT).await.map_err(ListError::Connect)?;
             let request = ListRequest { address: self.address, query: "", timeout };
             let list = request_list(&mut wire, request, self.gateway.names()).await?;
             Ok::<_, ListError>(ListConnection { wire, list })
@@ -149,7 +150,7 @@
             let index = list.index;
             self.gateway.update_endpoints(list);
             // An answer behind the one requested would be taken for the next one's, and each after it for the next.
-            if !wire.quiet() {
+            if !wire.is_reusable() {
                 return ListError::UnexpectedData;
             }
             list = match self.next_change(&mut wire, index).await {
@@ -163,7 +164,7 @@
         }
     }
 
-    async fn next_change(self, wire: &mut Wire, index: u64) -> Result<EndpointList, ListError> {
+    async fn next_change(self, wire: &mut HttpConnection, index: u64) -> Result<EndpointList, ListError> {
         let WatchTimings { watch_timeout, poll_interval } = self.timings;
         let query = format!("?since={index}&timeout_ms={}", watch_timeout.as_millis());
         let request =
--- a/platform-gateway/src/discovery/list_request.rs
+++ b/platform-gateway/src/discovery/list_request.rs
@@ -3,10 +3,10 @@
 use async_io::Timer;
 use bytes::BytesMut;
 use futures_lite::future;
-use petrelshore_http1::Unreadable;
-use petrelshore_http1::body::Body;
-use petrelshore_http1::connecting::Unconnected;
-use petrelshore_http1::wire::{Broken, Wire};
+use petrelshore_http1::ParseError;
+use petrelshore_http1::body::BodyDecoder;
+use petrelshore_http1::connect::ConnectError;
+use petrelshore_http1::connection::{ConnectionError, HttpConnection};
 use petrelshore_platform_protocol::DecodeError;
 use petrelshore_platform_protocol::endpoint_list::{self, EndpointList};
 use petrelshore_platform_protocol::settings::Names;
@@ -23,10 +23,10 @@
 /// Why an endpoint list was not had, or can't be followed any further.
 #[derive(Debug)]
 pub(super) enum ListError {
-    Connect(Unconnected),
+    Connect(ConnectError),
     Write(io::Error),
     /// The answer is no HTTP.
-    Unreadable(Unreadable),
+    Unreadable(ParseError),
     /// The connection broke before the answer was complete.
     Disconnected,
     /// The answer was not complete in time.
@@ -67,11 +67,11 @@
 
 impl std::error::Error for ListError {}
 
-impl From<Broken> for ListError {
-    fn from(broken: Broken) -> Self {
+impl From<ConnectionError> for ListError {
+    fn from(broken: ConnectionError) -> Self {
         match broken {
-            Broken::Unreadable(error) => ListError::Unreadable(error),
-            Broken::Closed => ListError::Disconnected,
+            ConnectionError::Malformed(error) => ListError::Unreadable(error),
+            ConnectionError::Closed => ListError::Disconnected,
         }
     }
 }
@@ -87,7 +87,7 @@
 
 /// Requests the list and reads the answer.
 pub(super) async fn request_list(
-    wire: &mut Wire,
+    connection: &mut HttpConnection,
     request: ListRequest<'_>,
     names: &Names,
 ) -> Result<EndpointList, ListError> {
@@ -95,20 +95,20 @@
         Timer::after(request.timeout).await;
         Err(ListError::Timeout)
     };
-    future::or(exchange(wire, request, names), timed_out).await
+    future::or(exchange(connection, request, names), timed_out).await
 }
 
 async fn exchange(
-    wire: &mut Wire,
+    connection: &mut HttpConnection,
     request: ListRequest<'_>,
     names: &Names,
 ) -> Result<EndpointList, ListError> {
     let ListRequest { address, query, .. } = request;
     let message = format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-    wire.write(message.as_bytes()).await.map_err(ListError::Write)?;
-    let head = wire.answer().await?;
-    let mut body = Body::new(head.framing, MAX_LIST_BYTES as u64);
-    let data = read_body(wire, &mut body).await?;
+    connection.write_all(message.as_bytes()).await.map_err(ListError::Write)?;
+    let head = connection.read_response_head().await?;
+    let mut body = BodyDecoder::new(head.framing, MAX_LIST_BYTES as u64);
+    let data = read_body(connection, &mut body).await?;
     if head.status != STATUS_OK {
         return Err(ListError::Status(head.status));
     }
@@ -116,14 +116,14 @@
     endpoint_list::decode(&json, names).map_err(ListError::Malformed)
 }
 
-async fn read_body(wire: &mut Wire, body: &mut Body) -> Result<BytesMut, ListError> {
+async fn read_body(connection: &mut HttpConnection, body: &mut BodyDecoder) -> Result<BytesMut, ListError> {
     let mut data = BytesMut::new();
-    while !body.decode(&mut wire.buffer, &mut data).map_err(ListError::Unreadable)? {
+    while !body.decode(&mut connection.buffer, &mut data).map_err(ListError::Unreadable)? {
         if data.len() > MAX_LIST_BYTES {
             return Err(ListError::TooLarge);
         }
-        match wire.more().await {
-            Err(Broken::Closed) if body.may_end() => break,
+        match connection.read_more().await {
+            Err(ConnectionError::Closed) if body.may_end_at_close() => break,
             more => more?,
         }
     }
