--- a/gateway-core/tests/buffered.rs
+++ b/gateway-core/tests/buffered.rs
@@ -1,6 +1,10 @@
-//! The request table without sockets: keys, states, usage over a break, room.
+//! The buffered request table without sockets: idempotency keys, KV caches, usage of resumed streams, capacity.
 
-use petrelshore::interface::*;
+use petrelshore::interface::{
+    CellId, Delivery, Deployment, Discovery, Endpoint, EndpointState, Idempotency, Nanos, Role, SequenceId,
+    ServerId, ServerKind, ServerKindId, SnapshotKind, StartTimeClock, Step, TrafficType, TrafficTypeId,
+    Weights, ZoneId,
+};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::buffered::{
     Admission, BufferedRequests, Command, FinalAnswer, OutgoingAttempt, Piece, Rejection, Request, Usage,
@@ -13,7 +17,7 @@
 
 const MS: Nanos = 1_000_000;
 
-fn requests(most: usize) -> BufferedRequests<u8> {
+fn requests(max_requests: usize) -> BufferedRequests<u8> {
     let traffic = TrafficType {
         priority_weight: 1.0,
         latency_slo: 1_000 * MS,
@@ -22,11 +26,11 @@
         idempotency: Idempotency::Idempotent,
         delivery: Delivery::Streamed,
     };
-    let once = TrafficType { idempotency: Idempotency::AtMostOnce, ..traffic.clone() };
+    let at_most_once = TrafficType { idempotency: Idempotency::AtMostOnce, ..traffic.clone() };
     let deployment = Deployment {
         gateways: 1,
         zone: ZoneId(0),
-        types: vec![traffic, once],
+        types: vec![traffic, at_most_once],
         kinds: [Role::Prefill, Role::Decode].map(|role| ServerKind { role, memory_tokens: 10_000.0 }).into(),
         tenants: vec![],
         over_quota_factor: 0.1,
@@ -53,7 +57,7 @@
         started_at: 0,
         state: EndpointState::Ready,
     };
-    let mut requests = BufferedRequests::new(0, deployment, 5, most, Chooser::Decisions);
+    let mut requests = BufferedRequests::new(0, deployment, 5, max_requests, Chooser::Decisions);
     requests.update_endpoints(0, SnapshotKind::Full, &(0..4).map(endpoint).collect::<Vec<_>>());
     requests
 }
@@ -76,48 +80,51 @@
     }
 }
 
-fn sending(orders: &[Command<u8>]) -> &OutgoingAttempt<u8> {
-    let found = orders.iter().find_map(|order| match order {
-        Command::Send(sending) => Some(sending.as_ref()),
+fn sent_attempt(commands: &[Command<u8>]) -> &OutgoingAttempt<u8> {
+    let found = commands.iter().find_map(|command| match command {
+        Command::Send(sent_attempt) => Some(sent_attempt.as_ref()),
         _ => None,
     });
-    found.unwrap_or_else(|| panic!("nothing is sent: {orders:?}"))
+    found.unwrap_or_else(|| panic!("nothing is sent: {commands:?}"))
 }
 
-/// Takes a request and has its prompt read; what is sent to the writer.
-fn read(requests: &mut BufferedRequests<u8>, request: Request) -> (SequenceId, OutgoingAttempt<u8>) {
-    let mut out = Vec::new();
-    let Admission::Accepted(id) = requests.accept(0, request, &mut out) else { panic!("not taken") };
-    let reads = sending(&out).clone();
-    out.clear();
-    requests.prefill_done(MS, &reads.dispatch, 0.0, 7, &mut out);
-    (id, sending(&out).clone())
+/// Accepts a request and completes its prefill; the attempt that is sent to a decode server.
+fn accept_and_prefill(
+    requests: &mut BufferedRequests<u8>,
+    request: Request,
+) -> (SequenceId, OutgoingAttempt<u8>) {
+    let mut commands = Vec::new();
+    let Admission::Accepted(id) = requests.accept(0, request, &mut commands) else { panic!("not accepted") };
+    let prefill = sent_attempt(&commands).clone();
+    commands.clear();
+    requests.prefill_done(MS, &prefill.dispatch, 0.0, 7, &mut commands);
+    (id, sent_attempt(&commands).clone())
 }
 
 #[test]
-fn a_stream_that_goes_on_has_its_text_read_and_its_tokens_counted_once() {
+fn resumed_stream_prefills_delivered_text_and_counts_tokens_once() {
     let mut requests = requests(10);
-    let (id, first) = read(&mut requests, request(0, None));
+    let (id, first) = accept_and_prefill(&mut requests, request(0, None));
     assert_eq!((first.transfer_params, &*first.prompt, first.max_tokens), (Some(7), "why", 10));
     requests.first_token(2 * MS, &first.dispatch, &mut Vec::new());
     requests.receive_piece(id, Piece::Text("a ".to_owned()));
     requests.token_received(3 * MS, id);
     requests.receive_piece(id, Piece::Text("b ".to_owned()));
-    let mut out = Vec::new();
-    requests.attempt_ended(4 * MS, &first.dispatch, AttemptEnd::Reset, &mut out);
-    let again = sending(&out).clone();
-    assert_eq!((again.dispatch.step, &*again.prompt, again.max_tokens), (Step::Prefill, "whya b ", 8));
-    out.clear();
-    requests.prefill_done(5 * MS, &again.dispatch, 0.0, 8, &mut out);
-    let writes = sending(&out).clone();
-    requests.first_token(6 * MS, &writes.dispatch, &mut Vec::new());
+    let mut commands = Vec::new();
+    requests.attempt_ended(4 * MS, &first.dispatch, AttemptEnd::Reset, &mut commands);
+    let retry = sent_attempt(&commands).clone();
+    assert_eq!((retry.dispatch.step, &*retry.prompt, retry.max_tokens), (Step::Prefill, "whya b ", 8));
+    commands.clear();
+    requests.prefill_done(5 * MS, &retry.dispatch, 0.0, 8, &mut commands);
+    let decode = sent_attempt(&commands).clone();
+    requests.first_token(6 * MS, &decode.dispatch, &mut Vec::new());
     requests.receive_piece(id, Piece::Finish("stop".to_owned()));
     requests.receive_piece(id, Piece::Usage(Usage { prompt_tokens: 12, completion_tokens: 8 }));
-    out.clear();
-    requests.attempt_ended(7 * MS, &writes.dispatch, AttemptEnd::Completed, &mut out);
+    commands.clear();
+    requests.attempt_ended(7 * MS, &decode.dispatch, AttemptEnd::Completed, &mut commands);
     let usage = Usage { prompt_tokens: 10, completion_tokens: 10 };
     assert_eq!(
-        out,
+        commands,
         [Command::Answer { id, last: FinalAnswer::Completed { finish_reason: "stop".to_owned(), usage } }]
     );
     requests.answer_consumed(8 * MS, id);
@@ -125,95 +132,100 @@
 }
 
 #[test]
-fn a_prompt_that_is_read_anew_leaves_no_state_behind_at_its_first_reader() {
+fn second_prefill_releases_cache_of_the_first() {
     let mut requests = requests(10);
-    let (id, first) = read(&mut requests, request(0, None));
-    let mut out = Vec::new();
-    // Its writer breaks before it has fetched the state.
-    requests.attempt_ended(2 * MS, &first.dispatch, AttemptEnd::Reset, &mut out);
-    let again = sending(&out).clone();
-    assert_eq!(again.dispatch.step, Step::Prefill);
-    out.clear();
-    requests.prefill_done(3 * MS, &again.dispatch, 0.0, 8, &mut out);
-    let writes = sending(&out).clone();
-    assert_eq!(writes.transfer_params, Some(8));
-    out.clear();
-    requests.first_token(4 * MS, &writes.dispatch, &mut out);
-    let at = first.dispatch.prefill_server.unwrap();
+    let (id, first) = accept_and_prefill(&mut requests, request(0, None));
+    let mut commands = Vec::new();
+    // Its decode server fails before it has fetched the KV cache.
+    requests.attempt_ended(2 * MS, &first.dispatch, AttemptEnd::Reset, &mut commands);
+    let retry = sent_attempt(&commands).clone();
+    assert_eq!(retry.dispatch.step, Step::Prefill);
+    commands.clear();
+    requests.prefill_done(3 * MS, &retry.dispatch, 0.0, 8, &mut commands);
+    let decode = sent_attempt(&commands).clone();
+    assert_eq!(decode.transfer_params, Some(8));
+    commands.clear();
+    requests.first_token(4 * MS, &decode.dispatch, &mut commands);
+    let first_server = first.dispatch.prefill_server.unwrap();
     assert!(
-        matches!(&out[..], [Command::Release(release)] if release.server == at && release.request_id == request_id(id, 0)),
-        "{out:?}"
+        matches!(&commands[..], [Command::Release(release)] if release.server == first_server && release.request_id == request_id(id, 0)),
+        "{commands:?}"
     );
 }
 
 #[test]
-fn a_reader_that_could_not_be_connected_to_in_time_may_still_hold_what_it_was_told_to_let_go() {
+fn failed_connection_does_not_settle_pending_release() {
     let mut requests = requests(10);
-    let (id, writes) = read(&mut requests, request(0, None));
-    let mut out = Vec::new();
-    requests.client_cancelled(2 * MS, id, &mut out);
-    requests.attempt_cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
+    let (id, decode) = accept_and_prefill(&mut requests, request(0, None));
+    let mut commands = Vec::new();
+    requests.client_cancelled(2 * MS, id, &mut commands);
+    requests.attempt_cancelled(2 * MS, id, decode.dispatch.attempt, &mut commands);
     assert_eq!(requests.pending_releases(), 1);
-    for tried in 3..6 {
-        out.clear();
-        assert!(matches!(requests.accept(tried * MS, request(0, None), &mut out), Admission::Accepted(_)));
-        let reads = sending(&out).dispatch;
-        requests.attempt_ended(tried * MS, &reads, AttemptEnd::NotConnected, &mut out);
+    for millisecond in 3..6 {
+        commands.clear();
+        assert!(matches!(
+            requests.accept(millisecond * MS, request(0, None), &mut commands),
+            Admission::Accepted(_)
+        ));
+        let prefill = sent_attempt(&commands).dispatch;
+        requests.attempt_ended(millisecond * MS, &prefill, AttemptEnd::NotConnected, &mut commands);
     }
-    assert_eq!(requests.pending_releases(), 1, "a connection that does not come up proves nothing");
+    assert_eq!(requests.pending_releases(), 1, "a connection that is not established proves nothing");
 }
 
 #[test]
-fn a_client_that_leaves_has_its_state_let_go_until_the_reader_has_answered() {
+fn client_cancellation_releases_cache_until_acknowledged() {
     let mut requests = requests(10);
-    let (id, writes) = read(&mut requests, request(1, Some("k")));
-    let mut out = Vec::new();
-    requests.client_cancelled(2 * MS, id, &mut out);
-    assert!(out.contains(&Command::Cancel { id, attempt: writes.dispatch.attempt }), "{out:?}");
-    requests.attempt_cancelled(2 * MS, id, writes.dispatch.attempt, &mut out);
-    let told = out.iter().find_map(|order| match order {
+    let (id, decode) = accept_and_prefill(&mut requests, request(1, Some("k")));
+    let mut commands = Vec::new();
+    requests.client_cancelled(2 * MS, id, &mut commands);
+    assert!(commands.contains(&Command::Cancel { id, attempt: decode.dispatch.attempt }), "{commands:?}");
+    requests.attempt_cancelled(2 * MS, id, decode.dispatch.attempt, &mut commands);
+    let released = commands.iter().find_map(|command| match command {
         Command::Release(release) => Some(release.clone()),
         _ => None,
     });
-    let release = told.unwrap_or_else(|| panic!("nothing is let go: {out:?}"));
+    let release = released.unwrap_or_else(|| panic!("nothing is released: {commands:?}"));
     assert_eq!((requests.tracked(), requests.pending_releases()), (0, 1));
     requests.release_finished(3 * MS, &release, ReleaseOutcome::Acknowledged);
     assert_eq!(requests.pending_releases(), 0);
-    // Its writer may have run: the key must not run it again.
+    // Its decode server may have run it: the key must not run it again.
     let last = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
     assert!(
-        matches!(requests.accept(3 * MS, request(1, Some("k")), &mut out), Admission::Replayed { last: l, .. } if l == last)
+        matches!(requests.accept(3 * MS, request(1, Some("k")), &mut commands), Admission::Replayed { last: l, .. } if l == last)
     );
 }
 
 #[test]
-fn what_is_refused_leaves_nothing_behind() {
+fn rejected_request_leaves_no_entry() {
     let mut requests = requests(1);
-    let mut out = Vec::new();
-    assert!(matches!(requests.accept(0, request(0, Some("a")), &mut out), Admission::Accepted(_)));
+    let mut commands = Vec::new();
+    assert!(matches!(requests.accept(0, request(0, Some("a")), &mut commands), Admission::Accepted(_)));
     assert!(matches!(
-        requests.accept(0, request(0, Some("a")), &mut out),
+        requests.accept(0, request(0, Some("a")), &mut commands),
         Admission::Rejected(Rejection::KeyInFlight { .. })
     ));
     assert!(matches!(
-        requests.accept(0, request(0, Some("b")), &mut out),
+        requests.accept(0, request(0, Some("b")), &mut commands),
         Admission::Rejected(Rejection::GatewayAtCapacity { .. })
     ));
-    // A refusal frees the key that it looked at.
+    // A rejection frees the key that it checked.
     assert!(matches!(
-        requests.accept(0, request(0, Some("b")), &mut out),
+        requests.accept(0, request(0, Some("b")), &mut commands),
         Admission::Rejected(Rejection::GatewayAtCapacity { .. })
     ));
     requests.drain();
     assert!(matches!(
-        requests.accept(0, request(0, None), &mut out),
+        requests.accept(0, request(0, None), &mut commands),
         Admission::Rejected(Rejection::Draining { .. })
     ));
-    out.clear();
-    requests.terminate_all(MS, &mut out);
+    commands.clear();
+    requests.terminate_all(MS, &mut commands);
     assert!(
-        out.iter().any(|order| matches!(order, Command::Answer { last: FinalAnswer::Rejected { .. }, .. })),
-        "{out:?}"
+        commands
+            .iter()
+            .any(|command| matches!(command, Command::Answer { last: FinalAnswer::Rejected { .. }, .. })),
+        "{commands:?}"
     );
     assert_eq!(requests.unanswered(), 0);
 }
--- a/gateway-core/tests/invariants.rs
+++ b/gateway-core/tests/invariants.rs
@@ -1,18 +1,21 @@
-//! What is done against a rule is counted, each kind by itself, and what keeps them is not.
+//! Violations of the invariants are counted, each kind by itself; nothing else is.
 
 mod common;
 
-use common::*;
-use petrelshore::interface::*;
+use common::{MS, START};
+use petrelshore::interface::{
+    Attempt, AttemptStatus, Idempotency, KeyScope, Nanos, Outcome, Sequence, SequenceId, ServerId, Step,
+    TrafficTypeId,
+};
 use petrelshore_gateway_core::invariants::{InvariantChecks, Violation};
 
 const WINDOW: Nanos = 2_000 * MS;
-const TOKENED: Idempotency = Idempotency::Keyed { scope: KeyScope::Fleet, window: WINDOW };
+const KEYED: Idempotency = Idempotency::Keyed { scope: KeyScope::Fleet, window: WINDOW };
 
-fn attempt(step: Step, sent: Nanos, status: AttemptStatus) -> Attempt {
+fn attempt(step: Step, sent_at: Nanos, status: AttemptStatus) -> Attempt {
     Attempt {
         server: ServerId(1),
-        sent_at: sent,
+        sent_at,
         step,
         status,
         delivered: true,
@@ -21,7 +24,7 @@
     }
 }
 
-fn new_sequence(attempts: Vec<Attempt>, ended: bool) -> Sequence {
+fn new_sequence(attempts: Vec<Attempt>, completed: bool) -> Sequence {
     Sequence {
         id: SequenceId(1),
         traffic: TrafficTypeId(0),
@@ -39,58 +42,66 @@
         kv_cache: None,
         cache_held_since: None,
         admitted: true,
-        completed: ended,
+        completed,
     }
 }
 
-fn only(audit: &InvariantChecks, breach: Violation) {
-    assert_eq!(audit.violations().iter().collect::<Vec<_>>(), [(&breach, &1)]);
+fn assert_only_violation(checks: &InvariantChecks, violation: Violation) {
+    assert_eq!(checks.violations().iter().collect::<Vec<_>>(), [(&violation, &1)]);
 }
 
 #[test]
-fn attempts_against_the_rules_are_counted_and_others_are_not() {
+fn only_attempts_that_violate_an_invariant_are_counted() {
     let reset = AttemptStatus::Finished(Outcome::Reset);
-    let unrun = AttemptStatus::Finished(Outcome::ConnectFailed);
-    let write = |sent, status| attempt(Step::Decode, sent, status);
+    let never_ran = AttemptStatus::Finished(Outcome::ConnectFailed);
+    let decode = |sent_at, status| attempt(Step::Decode, sent_at, status);
     let now = START + 100 * MS;
-    let judged = |sequence: &Sequence, now, effect| {
-        let mut audit = InvariantChecks::default();
-        audit.attempt_sent(now, sequence, effect);
-        audit
+    let checks_of = |sequence: &Sequence, now, idempotency| {
+        let mut checks = InvariantChecks::default();
+        checks.attempt_sent(now, sequence, idempotency);
+        checks
     };
-    let repeated = new_sequence(vec![write(START, reset), write(now, AttemptStatus::InFlight)], false);
-    let proven = new_sequence(vec![write(START, unrun), write(now, AttemptStatus::InFlight)], false);
-    for (sequence, effect) in
-        [(&repeated, Idempotency::Idempotent), (&repeated, TOKENED), (&proven, Idempotency::AtMostOnce)]
+    let repeated = new_sequence(vec![decode(START, reset), decode(now, AttemptStatus::InFlight)], false);
+    let proven = new_sequence(vec![decode(START, never_ran), decode(now, AttemptStatus::InFlight)], false);
+    for (sequence, idempotency) in
+        [(&repeated, Idempotency::Idempotent), (&repeated, KEYED), (&proven, Idempotency::AtMostOnce)]
     {
-        assert!(judged(sequence, now, effect).violations().is_empty(), "{effect:?}");
+        assert!(checks_of(sequence, now, idempotency).violations().is_empty(), "{idempotency:?}");
     }
-    only(&judged(&repeated, now, Idempotency::AtMostOnce), Violation::RepeatedEffect);
-    only(&judged(&repeated, START + WINDOW, TOKENED), Violation::RepeatedEffect);
-    let two =
-        new_sequence(vec![write(START, AttemptStatus::InFlight), write(now, AttemptStatus::InFlight)], false);
-    only(&judged(&two, now, Idempotency::Idempotent), Violation::ConcurrentAttempts);
-    let over = new_sequence(vec![write(now, AttemptStatus::InFlight)], true);
-    only(&judged(&over, now, Idempotency::Idempotent), Violation::SentAfterCompletion);
+    assert_only_violation(&checks_of(&repeated, now, Idempotency::AtMostOnce), Violation::RepeatedEffect);
+    assert_only_violation(&checks_of(&repeated, START + WINDOW, KEYED), Violation::RepeatedEffect);
+    let concurrent = new_sequence(
+        vec![decode(START, AttemptStatus::InFlight), decode(now, AttemptStatus::InFlight)],
+        false,
+    );
+    assert_only_violation(
+        &checks_of(&concurrent, now, Idempotency::Idempotent),
+        Violation::ConcurrentAttempts,
+    );
+    let completed = new_sequence(vec![decode(now, AttemptStatus::InFlight)], true);
+    assert_only_violation(
+        &checks_of(&completed, now, Idempotency::Idempotent),
+        Violation::SentAfterCompletion,
+    );
 }
 
 #[test]
-fn answers_and_releases_against_the_rules_are_counted_and_others_are_not() {
-    let ran =
+fn only_late_or_unsafe_answers_and_releases_are_counted() {
+    let may_have_run =
         new_sequence(vec![attempt(Step::Decode, START, AttemptStatus::Finished(Outcome::TimedOut))], true);
-    let mut audit = InvariantChecks::default();
-    audit.rejected(START + MS, &ran, Idempotency::Idempotent);
-    audit.rejected(START + MS, &ran, TOKENED);
-    audit.answered(START + 3_000 * MS, &ran);
-    audit.cache_released(START + 500 * MS, Some(START), 400 * MS);
-    audit.cache_released(START + 10_000 * MS, None, 400 * MS);
-    assert!(audit.violations().is_empty(), "{:?}", audit.violations());
-    audit.rejected(START + MS, &ran, Idempotency::AtMostOnce);
-    only(&audit, Violation::UnsafeRejection);
-    let mut audit = InvariantChecks::default();
-    audit.answered(START + 3_600 * MS, &ran);
-    only(&audit, Violation::LateAnswer);
-    let mut audit = InvariantChecks::default();
-    audit.cache_released(START + 800 * MS, Some(START), 400 * MS);
-    only(&audit, Violation::LateRelease);
+    let mut checks = InvariantChecks::default();
+    checks.rejected(START + MS, &may_have_run, Idempotency::Idempotent);
+    checks.rejected(START + MS, &may_have_run, KEYED);
+    checks.answered(START + 3_000 * MS, &may_have_run);
+    checks.cache_released(START + 500 * MS, Some(START), 400 * MS);
+    checks.cache_released(START + 10_000 * MS, None, 400 * MS);
+    assert!(checks.violations().is_empty(), "{:?}", checks.violations());
+    checks.rejected(START + MS, &may_have_run, Idempotency::AtMostOnce);
+    assert_only_violation(&checks, Violation::UnsafeRejection);
+    let mut checks = InvariantChecks::default();
+    checks.answered(START + 3_600 * MS, &may_have_run);
+    assert_only_violation(&checks, Violation::LateAnswer);
+    let mut checks = InvariantChecks::default();
+    checks.cache_released(START + 800 * MS, Some(START), 400 * MS);
+    assert_only_violation(&checks, Violation::LateRelease);
 }
--- /dev/null
+++ b/gateway-core/tests/passthrough/releases.rs
@@ -0,0 +1,266 @@
+//! Releases of KV caches by the passthrough table.
+
+use crate::common::{MS, S, START, deployment};
+use crate::fixtures::{accept_prefill, at, endpoint, releases, requests, sent_dispatch, with_decode_servers};
+use petrelshore::interface::{Deployment, Endpoint, EndpointState, SequenceId, ServerId, SnapshotKind, Step};
+use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_gateway_core::cache_releases::CacheRelease;
+use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests};
+
+#[test]
+fn cache_of_failed_decode_is_released_with_next_first_event() {
+    let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
+    let first = accept_prefill(&mut requests, id);
+    requests.attempt_ended(START + MS, &first, AttemptEnd::PrefillDone { cached_tokens: 0.0 }, &mut commands);
+    let failed_decode = sent_dispatch(&commands);
+    // Its prefill server drains, so that the prompt is prefilled again at the other one.
+    let draining = Endpoint { state: EndpointState::Draining, ..endpoint(first.server.0, 0) };
+    requests.update_endpoints(START + MS, SnapshotKind::Delta, &[(draining, at(first.server.0 as u16))]);
+    requests.attempt_ended(START + 2 * MS, &failed_decode, AttemptEnd::Reset, &mut commands);
+    let retry = sent_dispatch(&commands);
+    assert_eq!(
+        (retry.step, releases(&commands)),
+        (Step::Prefill, vec![]),
+        "a release now might overtake the second prefill"
+    );
+    assert_ne!(retry.server, first.server);
+    requests.attempt_ended(
+        START + 3 * MS,
+        &retry,
+        AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+        &mut commands,
+    );
+    let decode = sent_dispatch(&commands);
+    commands.clear();
+    requests.first_token(START + 4 * MS, &decode, &mut commands);
+    let released_by: Vec<ServerId> = releases(&commands).iter().map(|release| release.server).collect();
+    assert_eq!(released_by, [first.server], "and nothing at the server whose KV cache was fetched");
+    commands.clear();
+    requests.attempt_ended(START + 5 * MS, &decode, AttemptEnd::Completed, &mut commands);
+    assert_eq!(commands, [Command::Answer { id, last: FinalAnswer::Completed }, Command::Remove { id }]);
+    assert_eq!(requests.tracked(), 0);
+}
+
+#[test]
+fn failed_connections_do_not_extend_the_release_deadline() {
+    let (mut requests, mut commands, id) = (with_decode_servers(), Vec::new(), SequenceId(5));
+    let prefill = accept_prefill(&mut requests, id);
+    let held_since = START + 100 * MS;
+    requests.attempt_ended(
+        held_since,
+        &prefill,
+        AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+        &mut commands,
+    );
+    let (mut now, mut attempts) = (held_since, 0);
+    // No decode server can be reached: each connection fails at its timeout.
+    while releases(&commands).is_empty() {
+        let decode = sent_dispatch(&commands);
+        (now, attempts) = (now + decode.connect_timeout, attempts + 1);
+        commands.clear();
+        requests.attempt_ended(now, &decode, AttemptEnd::NotConnected, &mut commands);
+    }
+    assert!(
+        attempts >= 2 && now <= held_since + 300 * MS,
+        "{attempts} decode servers, released after {} ms",
+        (now - held_since) / MS
+    );
+    assert_eq!(requests.tracked(), 0);
+}
+
+#[test]
+fn only_delivered_decode_attempt_suspends_the_release_deadline() {
+    for delivered in [false, true] {
+        let (mut requests, mut commands, id) = (with_decode_servers(), Vec::new(), SequenceId(5));
+        let prefill = accept_prefill(&mut requests, id);
+        requests.attempt_ended(
+            START + 100 * MS,
+            &prefill,
+            AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+            &mut commands,
+        );
+        let decode = sent_dispatch(&commands);
+        assert!(decode.holds_cache, "a reused connection has to prove itself");
+        if delivered {
+            requests.attempt_delivered(id, decode.attempt);
+        }
+        commands.clear();
+        requests.attempt_ended(START + 500 * MS, &decode, AttemptEnd::TimedOut, &mut commands);
+        let released_by: Vec<ServerId> = releases(&commands).iter().map(|release| release.server).collect();
+        assert_eq!(
+            released_by,
+            if delivered { vec![] } else { vec![prefill.server] },
+            "delivered: {delivered}"
+        );
+    }
+}
+
+#[test]
+fn older_cache_keeps_its_deadline_after_newer_cache_is_lost() {
+    let six = Deployment { max_attempts: 6, ..deployment() };
+    let (mut requests, mut commands, id) =
+        (PassthroughRequests::new(START, six, 7, 9), Vec::new(), SequenceId(5));
+    let listed_endpoint =
+        |n: u64, condition| (Endpoint { state: condition, ..endpoint(n, usize::from(n > 2)) }, at(n as u16));
+    let entries: Vec<_> = (1..5).map(|n| listed_endpoint(n, EndpointState::Ready)).collect();
+    requests.update_endpoints(START, SnapshotKind::Full, &entries);
+    let first = accept_prefill(&mut requests, id);
+    requests.attempt_ended(START + MS, &first, AttemptEnd::PrefillDone { cached_tokens: 0.0 }, &mut commands);
+    let failed_decode = sent_dispatch(&commands);
+    requests.update_endpoints(
+        START + MS,
+        SnapshotKind::Delta,
+        &[listed_endpoint(first.server.0, EndpointState::Draining)],
+    );
+    requests.attempt_delivered(id, failed_decode.attempt);
+    requests.attempt_ended(START + 2 * MS, &failed_decode, AttemptEnd::Reset, &mut commands);
+    let retry = sent_dispatch(&commands);
+    assert!(retry.step == Step::Prefill && retry.server != first.server && retry.holds_cache);
+    requests.attempt_delivered(id, retry.attempt);
+    requests.attempt_ended(
+        START + 3 * MS,
+        &retry,
+        AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+        &mut commands,
+    );
+    let decode = sent_dispatch(&commands);
+    // No server is left once the newer KV cache is lost.
+    let gone: Vec<_> = (1..5).map(|n| listed_endpoint(n, EndpointState::Gone)).collect();
+    requests.update_endpoints(START + 4 * MS, SnapshotKind::Delta, &gone);
+    commands.clear();
+    requests.attempt_ended(START + 5 * MS, &decode, AttemptEnd::KvCacheMissing, &mut commands);
+    assert_eq!(requests.tracked(), 1, "it waits for a server");
+    let mut now = START + 5 * MS;
+    while releases(&commands).is_empty() {
+        now = requests.next_timeout().expect("it fails by itself");
+        requests.on_timeout(now, &mut commands);
+    }
+    assert!(now <= START + 5 * MS + 250 * MS, "{} ms", (now - START) / MS);
+    assert_eq!(releases(&commands)[0].server, first.server);
+}
+
+#[test]
+fn release_is_revoked_while_prefill_is_retried() {
+    let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
+    let prefill = accept_prefill(&mut requests, id);
+    let gone = |n: u64| (Endpoint { state: EndpointState::Gone, ..endpoint(n, 0) }, at(n as u16));
+    requests.update_endpoints(START, SnapshotKind::Delta, &[gone(1), gone(2)]);
+    requests.attempt_delivered(id, prefill.attempt);
+    requests.attempt_ended(START + MS, &prefill, AttemptEnd::Reset, &mut commands);
+    assert_eq!(releases(&commands).len(), 1, "nothing is in flight, and it may hold a KV cache");
+    commands.clear();
+    requests.update_endpoints(
+        START + 2 * MS,
+        SnapshotKind::Delta,
+        &[(endpoint(1, 0), at(1)), (endpoint(2, 0), at(2))],
+    );
+    requests.on_timeout(START + 50 * MS, &mut commands);
+    let retry = sent_dispatch(&commands);
+    assert_eq!(
+        (retry.step, requests.pending_releases()),
+        (Step::Prefill, 0),
+        "a release would also hit the second KV cache"
+    );
+    requests.attempt_delivered(id, retry.attempt);
+    commands.clear();
+    requests.on_timeout(START + 400 * MS, &mut commands);
+    assert_eq!(releases(&commands), []);
+    requests.client_cancelled(START + 400 * MS, id, &mut commands);
+    let mut released: Vec<ServerId> = releases(&commands).iter().map(|release| release.server).collect();
+    released.sort_unstable();
+    released.dedup();
+    let mut expected = vec![prefill.server, retry.server];
+    expected.sort_unstable();
+    expected.dedup();
+    assert_eq!(released, expected);
+}
+
+#[test]
+fn cancelled_prefill_is_released_until_acknowledged() {
+    let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
+    let prefill = accept_prefill(&mut requests, id);
+    requests.client_cancelled(START + MS, id, &mut commands);
+    let release = CacheRelease { server: prefill.server, request_id: format!("{:016x}", id.0) };
+    assert_eq!(
+        commands,
+        [Command::Cancel { id, attempt: 0 }, Command::Release(release.clone()), Command::Remove { id }]
+    );
+    let relays: Vec<ServerId> = requests.release_relays(&release).iter().map(|(relay, _)| *relay).collect();
+    assert!(relays.len() == 2 && !relays.contains(&prefill.server), "{relays:?}");
+    requests.release_finished(START + 2 * MS, &release, requests.release_pending_since(&release), None);
+    requests.release_finished(
+        START + 2 * MS,
+        &release,
+        requests.release_pending_since(&release),
+        Some(prefill.server),
+    );
+    assert_eq!(requests.pending_releases(), 1, "the prefill may arrive after the release request");
+    commands.clear();
+    requests.on_timeout(START + 3 * S, &mut commands);
+    assert_eq!(releases(&commands), std::slice::from_ref(&release));
+    requests.release_finished(
+        START + 3 * S,
+        &release,
+        requests.release_pending_since(&release),
+        Some(prefill.server),
+    );
+    assert_eq!(requests.pending_releases(), 0);
+}
+
+#[test]
+fn answer_to_older_release_does_not_settle_newer_one() {
+    let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
+    let prefill = accept_prefill(&mut requests, id);
+    requests.client_cancelled(START + MS, id, &mut commands);
+    let release = CacheRelease { server: prefill.server, request_id: format!("{:016x}", id.0) };
+    let older_since = requests.release_pending_since(&release);
+    // The same id comes again to the same prefill server, is prefilled, and its client leaves too.
+    let retry = loop {
+        let retry = accept_prefill(&mut requests, id);
+        if retry.server == prefill.server {
+            break retry;
+        }
+        requests.client_cancelled(START + 2 * MS, id, &mut commands);
+    };
+    assert_eq!(
+        requests.release_pending_since(&release),
+        None,
+        "revoked: a release now would hit what is prefilled"
+    );
+    requests.attempt_ended(
+        START + 3 * S,
+        &retry,
+        AttemptEnd::PrefillDone { cached_tokens: 0.0 },
+        &mut commands,
+    );
+    requests.client_cancelled(START + 3 * S + MS, id, &mut commands);
+    let newer_since = requests.release_pending_since(&release);
+    assert!(newer_since.is_some() && newer_since != older_since);
+    requests.release_finished(START + 6 * S, &release, older_since, Some(prefill.server));
+    assert_eq!(
+        requests.release_pending_since(&release),
+        newer_since,
+        "it was sent before that KV cache was there"
+    );
+    requests.release_finished(START + 6 * S, &release, newer_since, Some(prefill.server));
+    assert_eq!(requests.release_pending_since(&release), None);
+}
+
+#[test]
+fn pending_release_survives_news_of_earlier_restart() {
+    let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
+    let prefill = accept_prefill(&mut requests, id);
+    // Its server had restarted before that prefill, and the list shows it only now: the KV cache is held all the same.
+    requests.client_cancelled(START + MS, id, &mut commands);
+    let release = releases(&commands)[0].clone();
+    let retry = Endpoint { started_at: START - S, ..endpoint(prefill.server.0, 0) };
+    requests.update_endpoints(START + 2 * MS, SnapshotKind::Delta, &[(retry, at(prefill.server.0 as u16))]);
+    assert_eq!(requests.pending_releases(), 1, "its server has not answered");
+    requests.release_finished(
+        START + 3 * S,
+        &release,
+        requests.release_pending_since(&release),
+        Some(prefill.server),
+    );
+    assert_eq!(requests.pending_releases(), 0);
+}
