--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -544,9 +544,12 @@
 
     /// The front has let go of its answer; `over` where it had read the end of it.
     pub(crate) fn client_left(self: &Rc<Self>, id: SequenceId, over: bool) {
-        self.tell(|requests, now, out| match over {
-            true => requests.answer_consumed(now, id),
-            false => requests.client_cancelled(now, id, out),
+        self.tell(|requests, now, out| {
+            if over {
+                requests.answer_consumed(now, id);
+            } else {
+                requests.client_cancelled(now, id, out);
+            }
         });
         // Dropping the ticket breaks off whatever of it still runs.
         let ticket = self.tickets.borrow_mut().remove(&id);
