--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -139,9 +139,12 @@
         self.rings.get(&zone)
     }
 
-    /// The weight of all servers that have not gone, of the prefill servers or of the others.
-    pub fn pool_weight(&self, is_prefill: bool) -> f64 {
-        if is_prefill { self.prefill_weight } else { self.answering_weight }
+    /// The weight of the servers that share a role's traffic and have not gone: of the prefill servers, or of all others.
+    pub fn pool_weight(&self, role: Role) -> f64 {
+        match role {
+            Role::Prefill => self.prefill_weight,
+            Role::Decode | Role::Combined => self.answering_weight,
+        }
     }
 
     /// How many prefill servers are known, ready or not.
--- a/src/scheduler/affinity.rs
+++ b/src/scheduler/affinity.rs
@@ -1,15 +1,14 @@
-//! Prefix affinity: which prefill servers should get a session or a shared prefix, and what they should have cached.
+//! Prefix affinity: which prefill servers should get a session or a shared prefix.
 
 use super::Scheduler;
-use super::parameters::{MIN_DIVISOR, PREFIX_HALF_LIFE};
-use crate::decay::DecayingSum;
-use crate::fleet::{Candidates, Server, Slot, mix_bits, rendezvous_rank};
+use super::parameters::MIN_DIVISOR;
+use crate::fleet::{Candidates, Server, Slot, jump_hash, mix_bits, rendezvous_rank};
 use crate::interface::{Nanos, PrefixId, Role, Sequence, ServerId};
-use crate::statistics::{CachedPrefix, PrefixKey, ServerPrefix};
+use crate::statistics::PrefixKey;
 use std::collections::HashMap;
 
-/// Servers that a prefix was sent to last and that are candidates for it.
-const MAX_RECENT_SERVERS: usize = 8;
+/// Affinity replicas of a session, or of its shared prefix, that are candidates.
+const MAX_REPLICA_CANDIDATES: u64 = 8;
 /// Affinity replicas of a shared prefix, as a multiple of its share of this gateway's sends times all prefill servers.
 const REPLICAS_PER_SEND_SHARE: f64 = 8.0;
 /// Sends that a shared prefix's share starts out from: until enough are counted, it counts as one of so many prefixes.
@@ -64,6 +63,12 @@
             / (PREFIX_SHARE_PRIOR + self.statistics.all_prefix_sends.read(now))
     }
 
+    /// How often this gateway has sent a sequence's shared prefix of late.
+    fn prefix_send_count(&self, now: Nanos, sequence: &Sequence) -> f64 {
+        let sends = sequence.prefix.and_then(|id| self.statistics.prefix_sends.get(&id));
+        sends.map_or(0.0, |sends| sends.read(now))
+    }
+
     /// The replicas among a few servers of a large fleet, those that the prefixes were sent to last among them.
     fn sampled_replicas(&self, sequence: &Sequence, session_key: u64, replicas: f64) -> AffinityReplicas {
         let mut slots = self.replica_slots(session_key, sequence.prefix, replicas);
@@ -102,6 +107,19 @@
         }
     }
 
+    /// The prefill servers that are affinity replicas of a session, or of its shared prefix: so many over the zones that
+    /// this gateway turns to.
+    fn replica_slots(&self, session_key: u64, prefix: Option<PrefixId>, replicas: f64) -> Vec<Slot> {
+        let zones = &self.quotas.zones;
+        let per_zone = ((replicas / zones.len().max(1) as f64).ceil() as u64).max(1);
+        let count =
+            if prefix.is_some() { per_zone.min(MAX_REPLICA_CANDIDATES) } else { MAX_REPLICA_CANDIDATES };
+        (0..count)
+            .map(|number| replica_key(session_key, prefix, per_zone, number))
+            .filter_map(|key| self.fleet.affinity_replica(key, zones))
+            .collect()
+    }
+
     /// How far a prefill server is from a sequence's prefixes; none where its cell has no quota of prefills yet.
     fn affinity_distance(
         &self,
@@ -119,62 +137,19 @@
         let to_session = rendezvous_rank(session_key, id.0, weight);
         Some(AffinityDistance { server: id, to_session, to_shared_prefix })
     }
+}
 
-    /// Prompt tokens that a server should have cached: prefixes are evicted as it prefills its memory full, this gateway's
-    /// part of it. A shared prefix may have come to it through other gateways, with the probability given.
-    pub(super) fn expected_cached_tokens(
-        &self,
-        server: &Server,
-        sequence: &Sequence,
-        elsewhere_probability: f64,
-    ) -> f64 {
-        let session =
-            sequence.session.map_or(0.0, |id| self.cached_prefix_tokens(server, PrefixKey::Session(id)));
-        let shared =
-            sequence.prefix.map_or(0.0, |id| self.cached_prefix_tokens(server, PrefixKey::Shared(id)));
-        session
-            .max(shared.min(sequence.prefix_tokens))
-            .max(elsewhere_probability * sequence.prefix_tokens)
-            .min(sequence.prompt_tokens)
-    }
-
-    /// Tokens of a prefix that a server should have cached, as far as own sends tell.
-    fn cached_prefix_tokens(&self, server: &Server, prefix: PrefixKey) -> f64 {
-        let key = ServerPrefix { generation: server.generation, prefix };
-        let Some(sent) = self.statistics.cached_prefixes.get(&key) else { return 0.0 };
-        let memory = server.memory_tokens / self.deployment.gateways as f64;
-        let is_cached = sent.prefilled_before >= server.evicted_tokens
-            && server.prefilled_tokens - sent.prefilled_before < memory;
-        if is_cached { sent.tokens } else { 0.0 }
-    }
-
-    /// How often this gateway has sent a sequence's shared prefix of late.
-    fn prefix_send_count(&self, now: Nanos, sequence: &Sequence) -> f64 {
-        let sends = sequence.prefix.and_then(|id| self.statistics.prefix_sends.get(&id));
-        sends.map_or(0.0, |sends| sends.read(now))
-    }
-
-    /// A server is sent a sequence's prefixes, of which it should have so many tokens cached.
-    pub(super) fn record_prefixes_sent(
-        &mut self,
-        now: Nanos,
-        sequence: &Sequence,
-        server: ServerId,
-        cached_tokens: f64,
-    ) {
-        let Some(server) = self.fleet.get_mut(server) else { return };
-        let prefilled_before = server.prefilled_tokens;
-        server.prefilled_tokens += sequence.prompt_tokens - cached_tokens;
-        if let Some(id) = sequence.session {
-            let sent = CachedPrefix { tokens: sequence.prompt_tokens, prefilled_before };
-            self.statistics.prefix_sent(server, PrefixKey::Session(id), sent, MAX_RECENT_SERVERS);
+/// The hash key of one affinity replica. A shared prefix with more replicas than are candidates has its sessions dealt
+/// out over them.
+fn replica_key(session_key: u64, prefix: Option<PrefixId>, replicas: u64, number: u64) -> u64 {
+    match prefix {
+        None => mix_bits(session_key ^ mix_bits(number)),
+        Some(PrefixId(prefix)) if replicas <= MAX_REPLICA_CANDIDATES => {
+            mix_bits(mix_bits(prefix) ^ mix_bits(number))
         }
-        if let Some(id) = sequence.prefix {
-            let sent = CachedPrefix { tokens: sequence.prefix_tokens, prefilled_before };
-            self.statistics.prefix_sent(server, PrefixKey::Shared(id), sent, MAX_RECENT_SERVERS);
-            let new_sum = || DecayingSum::new(PREFIX_HALF_LIFE);
-            self.statistics.prefix_sends.entry_or_insert_with(id, new_sum).add(now, 1.0);
-            self.statistics.all_prefix_sends.add(now, 1.0);
+        Some(PrefixId(prefix)) => {
+            let replica = jump_hash(mix_bits(session_key ^ mix_bits(number)), replicas);
+            mix_bits(mix_bits(prefix) ^ mix_bits(replica))
         }
     }
 }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,11 +1,9 @@
-//! Which servers a decision examines: all of a small fleet, of a large one those that a hash or a sample names.
+//! Which servers a decision examines: all of a small fleet, of a large one those that affinity or a sample names.
 
 use super::Scheduler;
-use crate::fleet::{Candidates, SampleSize, Server, ServerScope, Slot, in_scope, jump_hash, mix_bits};
-use crate::interface::{Endpoint, Nanos, PrefixId, Role, Sequence, ServerId, ZoneId};
+use crate::fleet::{Candidates, SampleSize, Server, ServerScope, Slot, in_scope};
+use crate::interface::{Endpoint, Nanos, Role, Sequence, ServerId, ZoneId};
 
-/// Affinity replicas of a session, or of its shared prefix, that are candidates.
-const MAX_REPLICA_CANDIDATES: u64 = 8;
 /// Servers of a role that are sampled from one zone.
 const ZONE_SAMPLE: SampleSize = SampleSize { warm: 8, slow_start: 4 };
 /// Servers of a role that are sampled from the fleet, or from an idempotency scope.
@@ -78,24 +76,6 @@
         Candidates::Slots(slots)
     }
 
-    /// The prefill servers that are affinity replicas of a session, or of its shared prefix: so many over the zones that
-    /// this gateway turns to.
-    pub(super) fn replica_slots(
-        &self,
-        session_key: u64,
-        prefix: Option<PrefixId>,
-        replicas: f64,
-    ) -> Vec<Slot> {
-        let zones = &self.quotas.zones;
-        let per_zone = ((replicas / zones.len().max(1) as f64).ceil() as u64).max(1);
-        let count =
-            if prefix.is_some() { per_zone.min(MAX_REPLICA_CANDIDATES) } else { MAX_REPLICA_CANDIDATES };
-        (0..count)
-            .map(|number| replica_key(session_key, prefix, per_zone, number))
-            .filter_map(|key| self.fleet.affinity_replica(key, zones))
-            .collect()
-    }
-
     /// The servers of a cell that answer, and a sample of its zone and of the fleet.
     pub(super) fn decode_candidates(&self, sequence: &Sequence, home: Option<&Endpoint>) -> Candidates {
         if self.scans_in_full() {
@@ -124,18 +104,3 @@
         sampler.sample(self.fleet.pool(role, scope), FLEET_SAMPLE, slots);
     }
 }
-
-/// The hash key of one affinity replica. A shared prefix with more replicas than are candidates has its sessions dealt
-/// out over them.
-fn replica_key(session_key: u64, prefix: Option<PrefixId>, replicas: u64, number: u64) -> u64 {
-    match prefix {
-        None => mix_bits(session_key ^ mix_bits(number)),
-        Some(PrefixId(prefix)) if replicas <= MAX_REPLICA_CANDIDATES => {
-            mix_bits(mix_bits(prefix) ^ mix_bits(number))
-        }
-        Some(PrefixId(prefix)) => {
-            let replica = jump_hash(mix_bits(session_key ^ mix_bits(number)), replicas);
-            mix_bits(mix_bits(prefix) ^ mix_bits(replica))
-        }
-    }
-}
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -4,6 +4,18 @@
 //! sequence, or not yet, or never), [`Scheduler::attempt_finished`] (what to do after an outcome) and
 //! [`Scheduler::next_timeout`] (how long to wait: for the attempt in flight, else before scheduling again). The other
 //! methods report facts. Measurements are kept in `statistics`, the known servers in `fleet`.
+//!
+//! # Rules
+//!
+//! Five rules hold whatever else is decided. Comments and tests refer to them by number.
+//!
+//! 1. A sequence gets one final answer, in time for its client, and nothing is sent after it. It has no more than one
+//!    attempt in flight.
+//! 2. An attempt that may have run is repeated only as far as the sequence's idempotency allows, and a sequence is rejected
+//!    only where a retry of its client is harmless.
+//! 3. Only servers that the endpoint list names as ready are sent anything.
+//! 4. All gateways together send a server in slow start no more than its budget.
+//! 5. A KV cache that prefill servers may hold is fetched, or its release is asked for, within the release timeout.
 
 mod admission;
 mod affinity;
@@ -15,6 +27,7 @@
 mod outlier;
 mod parameters;
 mod prefill;
+mod prefix_cache;
 mod slow_start;
 mod start_times;
 
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -24,9 +24,8 @@
     /// gateways keep to the same part. There is no lower bound, and the first send waits for a random part of the
     /// interval: over hundreds of gateways both add up.
     fn slow_start_interval(&self, now: Nanos, server: &Server) -> Nanos {
-        let is_prefill = server.role == Role::Prefill;
-        let pool_weight = self.fleet.index().pool_weight(is_prefill);
-        let pool_rate = self.admitted_per_second(now, is_prefill);
+        let pool_weight = self.fleet.index().pool_weight(server.role);
+        let pool_rate = self.admitted_per_second(now, server.role);
         let warm_rate = pool_rate * server.weight / pool_weight.max(MIN_DIVISOR);
         let overload_share = SLOW_START_SAFETY_FACTOR
             * self.deployment.slow_start_overload_factor
@@ -35,12 +34,15 @@
         (server.slow_start_cost * NANOS_PER_SECOND / (warm_rate * share).max(MIN_DIVISOR)) as Nanos
     }
 
-    /// Sequences per second that this gateway has admitted to the prefill servers, or to all others.
-    fn admitted_per_second(&self, now: Nanos, is_prefill: bool) -> f64 {
+    /// Sequences per second that this gateway has admitted to the servers that share a role's traffic.
+    fn admitted_per_second(&self, now: Nanos, role: Role) -> f64 {
         let statistics = &self.statistics;
         let prefilled = statistics.admitted_prefill.per_second(now, statistics.started_at);
         let combined = statistics.admitted_combined.per_second(now, statistics.started_at);
-        if is_prefill { prefilled } else { prefilled + combined }
+        match role {
+            Role::Prefill => prefilled,
+            Role::Decode | Role::Combined => prefilled + combined,
+        }
     }
 
     /// The share of its capacity that a server should have by now: linear in the time since its start.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -102,11 +102,11 @@
             "slow start alone"
         );
     }
-    for prefill in [true, false] {
+    for role in [Role::Prefill, Role::Decode, Role::Combined] {
         let listed = model.servers.values().filter(|e| e.state != EndpointState::Gone);
-        let pool = listed.filter(|e| (kinds[e.kind.0].role == Role::Prefill) == prefill);
+        let pool = listed.filter(|e| (kinds[e.kind.0].role == Role::Prefill) == (role == Role::Prefill));
         let weight: f64 = pool.map(|e| e.weight).sum();
-        assert_eq!(index.pool_weight(prefill), weight, "the same sum, in the same order");
+        assert_eq!(index.pool_weight(role), weight, "the same sum, in the same order");
     }
     let prefill = model.servers.values().filter(|e| kinds[e.kind.0].role == Role::Prefill).count();
     assert_eq!(index.prefill_servers(), prefill);
