--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,14 +1,9 @@
 //! Admission control: overload is shed before the prefill.
 
-use super::decode::MAX_DECODE_LOAD;
-use super::parameters::LOAD_REPORT_STALENESS;
+use super::decode_load::MAX_DECODE_LOAD;
 use super::{Scheduler, Selection};
-use crate::fleet::Server;
 use crate::interface::{Nanos, Role, Sequence, Step, TenantId};
 
-/// Share of its own work that an estimate of prefill time counts as prefilled in no time: without it, work that was once
-/// rejected would stay rejected.
-const PREFILL_ESTIMATE_PRIOR: f64 = 0.1;
 /// Share of the least loaded decode server's memory that is kept for sequences of the highest priority.
 const PRIORITY_HEADROOM: f64 = 0.1;
 /// Length up to which a prompt counts in its own rejection, as a multiple of the mean prompt: past that its latency
@@ -67,32 +62,6 @@
         min_load.is_some_and(|load| load > MAX_DECODE_LOAD - (1.0 - priority) * PRIORITY_HEADROOM)
     }
 
-    /// Prompt tokens queued at a server, reported or own, and this prompt less what the server should have cached.
-    pub(super) fn prefill_work(
-        &self,
-        now: Nanos,
-        server: &Server,
-        sequence: &Sequence,
-        cached_tokens: f64,
-    ) -> f64 {
-        let own = server.own_tokens_since(0);
-        let queued = server.report.queued_prompt_tokens.map_or(own, |reported| {
-            let age = now.saturating_sub(server.reported_at) as f64;
-            let remaining = reported * (-age / LOAD_REPORT_STALENESS as f64).exp2();
-            let not_in_report = server.reported_at.saturating_sub(LOAD_REPORT_STALENESS);
-            own.max(remaining + server.own_tokens_since(not_in_report))
-        });
-        queued + sequence.prompt_tokens - cached_tokens
-    }
-
-    /// How long so much prompt work has taken of late in nanoseconds, queues that are not reported included. The estimate
-    /// fades while hardly a prefill is measured.
-    pub(super) fn prefill_wait(&self, now: Nanos, work: f64) -> f64 {
-        let measured_time = self.statistics.prefill_time.read(now);
-        let measured_tokens = self.statistics.prefill_tokens.read(now);
-        measured_time * work / (measured_tokens + PREFILL_ESTIMATE_PRIOR * work).max(1.0)
-    }
-
     /// Priority weight as a share of the highest, less for a tenant over its quota.
     fn effective_priority(&self, now: Nanos, sequence: &Sequence) -> f64 {
         let priority = self.deployment.relative_priority(sequence.traffic);
--- a/src/scheduler/cell_quota.rs
+++ b/src/scheduler/cell_quota.rs
@@ -1,7 +1,7 @@
 //! Cell quotas: what share of all prefills each cell should get, computed from time to time over the whole fleet.
 
 use super::Scheduler;
-use super::decode::MAX_DECODE_LOAD;
+use super::decode_load::MAX_DECODE_LOAD;
 use super::parameters::MIN_DIVISOR;
 use crate::fleet::{
     CapacitySums, CellQuota, FleetScan, Quotas, Server, ServerCapacity, ZoneQuota, medians, prefills_by_zone,
--- a/src/scheduler/decode.rs
+++ b/src/scheduler/decode.rs
@@ -1,13 +1,11 @@
-//! Decode selection: after the prefill the least loaded server of its cell, and servers that run a request combined.
+//! Decode selection: after the prefill the least loaded server of its cell.
 
 use super::candidates::DECODE_ROLES;
-use super::parameters::{LOAD_REPORT_STALENESS, MEASUREMENT_HALF_LIFE, MIN_DIVISOR};
+use super::parameters::{MEASUREMENT_HALF_LIFE, MIN_DIVISOR};
 use super::{Scheduler, Selection};
 use crate::fleet::{Candidates, Server, rendezvous_rank};
 use crate::interface::{Endpoint, Nanos, Role, Sequence, ServerId, Step};
 
-/// Share of its memory in use, reported or estimated, past which a server has no capacity for another answer.
-pub(super) const MAX_DECODE_LOAD: f64 = 0.95;
 /// A KV cache is migrated when the least loaded decode server of its cell is fuller by this share of memory than the least
 /// loaded of the zone.
 const SPILLOVER_LOAD_GAP: f64 = 0.3;
@@ -15,8 +13,6 @@
 const REMOTE_ZONE_LOAD_GAP: f64 = 1.0;
 /// Weight of another zone's decode servers for KV caches that are handed on by chance.
 const REMOTE_ZONE_WEIGHT: f64 = 0.25;
-/// Length of an answer that gives no hint, as a share of the most tokens that it may have.
-const DEFAULT_OUTPUT_SHARE: f64 = 0.5;
 
 impl Scheduler {
     /// The least loaded decode server of the prefill server's cell; without one, elsewhere, own zone first. Two
@@ -107,105 +103,6 @@
             REMOTE_ZONE_LOAD_GAP
         }
     }
-
-    /// Whether a server that answers is available and has capacity for a sequence.
-    fn can_decode(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
-        server.role != Role::Prefill
-            && self.is_available(now, server)
-            && self.has_capacity(now, server, sequence)
-    }
-
-    /// Combined servers take their share of sequences from the prompt on: while one is less loaded than the least loaded
-    /// decode server and has begun all that it was sent. A prefill slows its answers, so each gateway gives it one prompt
-    /// at a time.
-    pub(super) fn select_combined(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
-        if self.fleet.pool(Role::Combined, None).is_empty() {
-            return None;
-        }
-        let candidates = self.decode_candidates(sequence, None);
-        let combined = self.least_loaded(now, sequence, &candidates, |s| {
-            s.role == Role::Combined && s.in_flight.iter().all(|attempt| !attempt.awaits_first_token)
-        })?;
-        let decode = self.least_loaded(now, sequence, &candidates, |s| s.role == Role::Decode);
-        let load = |id: ServerId| self.ranked_load(now, &self.fleet[id]);
-        let is_less_loaded = decode.is_none_or(|decode| load(combined) < load(decode));
-        is_less_loaded.then(|| self.combined_selection(sequence, combined))
-    }
-
-    /// The least loaded of the available servers that have capacity for a sequence and are wanted.
-    fn least_loaded(
-        &self,
-        now: Nanos,
-        sequence: &Sequence,
-        candidates: &Candidates,
-        is_wanted: impl Fn(&Server) -> bool,
-    ) -> Option<ServerId> {
-        let rank = |s: &Server| {
-            let open = is_wanted(s) && self.can_decode(now, s, sequence);
-            open.then(|| self.ranked_load(now, s))
-        };
-        self.lowest_ranked(now, sequence, candidates, &rank)
-    }
-
-    /// Where no prefill server can be had, or no attempt would be left to decode after a prefill: a server that does both.
-    pub(super) fn select_combined_fallback(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
-        let rank = |s: &Server| {
-            let open = self.deployment.serves_combined(s.role) && self.is_available(now, s);
-            open.then(|| self.ranked_load(now, s))
-        };
-        let candidates = self.decode_candidates(sequence, None);
-        let server = self.select_lowest(now, sequence, &candidates, &DECODE_ROLES, &rank)?;
-        Some(self.combined_selection(sequence, server))
-    }
-
-    fn combined_selection(&self, sequence: &Sequence, server: ServerId) -> Selection {
-        let cached_tokens = self.expected_cached_tokens(&self.fleet[server], sequence, 0.0);
-        Selection { server, step: Step::Combined, cached_tokens }
-    }
-
-    /// Whether a sequence's KV cache and answer still fit into a server's memory.
-    fn has_capacity(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
-        self.decode_load(now, server) + self.expected_memory_tokens(sequence) / server.memory_tokens
-            <= MAX_DECODE_LOAD
-    }
-
-    /// The last reported share of memory in use. One that nothing of ours will renew decays, or a server that was once
-    /// full would never be tried again.
-    pub(super) fn reported_memory_share(&self, now: Nanos, server: &Server) -> Option<f64> {
-        let age = if server.in_flight.is_empty() { now.saturating_sub(server.reported_at) } else { 0 };
-        server.report.memory_share.map(|share| share * (-(age as f64) / MEASUREMENT_HALF_LIFE as f64).exp2())
-    }
-
-    /// The share of a server's memory in use: as reported, with own answers since, and never less than all own answers in
-    /// flight.
-    pub(super) fn decode_load(&self, now: Nanos, server: &Server) -> f64 {
-        let own = server.own_tokens_since(0) / server.memory_tokens;
-        let Some(share) = self.reported_memory_share(now, server) else { return own };
-        let not_in_report = server.reported_at.saturating_sub(LOAD_REPORT_STALENESS);
-        let since = server.own_tokens_since(not_in_report) / server.memory_tokens;
-        own.max(share + since)
-    }
-
-    /// The load by which servers that answer are ranked: one that has reported none yet counts as the mean of those that
-    /// have, one that has restarted as empty. Says nothing of capacity: a gateway that has heard from full servers only
-    /// must not take all for full.
-    fn ranked_load(&self, now: Nanos, server: &Server) -> f64 {
-        let is_known = server.report.memory_share.is_some() || server.in_slow_start(now);
-        let unreported = if is_known { 0.0 } else { self.quotas.mean_reported_memory };
-        self.decode_load(now, server) + unreported
-    }
-
-    /// Tokens of memory that a sequence will hold at a decode server: its prompt and its answer, half the most that it may
-    /// have where its length is not known.
-    pub(super) fn expected_memory_tokens(&self, sequence: &Sequence) -> f64 {
-        let token_interval = self.deployment.types[sequence.traffic.0].token_interval.max(1) as f64;
-        let max_tokens = sequence.max_output_tokens;
-        let output_tokens = match sequence.output_length_hint {
-            Some(hint) => (hint as f64 / token_interval).min(max_tokens),
-            None => max_tokens * DEFAULT_OUTPUT_SHARE,
-        };
-        sequence.prompt_tokens + output_tokens
-    }
 }
 
 /// How much a server's load report still counts: 1 when it has just come, less with its age; 0 without one.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -19,17 +19,22 @@
 
 mod admission;
 mod affinity;
+mod attempt_timeouts;
 mod attempts;
 mod candidates;
 mod cell_quota;
+mod combined;
 mod decode;
+mod decode_load;
 mod outcomes;
 mod outlier;
 mod parameters;
 mod prefill;
+mod prefill_load;
 mod prefix_cache;
 mod slow_start;
 mod start_times;
+mod waiting;
 
 use crate::fleet::{Fleet, FleetScan, InFlightAttempt, Medians, Quotas, Sampler, Server};
 use crate::interface::{
@@ -238,14 +243,6 @@
         self.select_combined_fallback(now, sequence)
     }
 
-    /// No server can take the sequence: it waits for one where that may help.
-    fn wait_or_give_up(&self, now: Nanos, sequence: &mut Sequence, has_kv_cache: bool) -> Decision {
-        if self.can_complete(sequence, has_kv_cache) && self.may_wait(now, sequence) {
-            return Decision::Wait;
-        }
-        self.reject_or_abort(now, sequence)
-    }
-
     /// Whether nothing is gained by another look: all servers were scanned, or an available one was found.
     fn is_worth_sending(&self, now: Nanos, selection: &Selection) -> bool {
         self.scans_in_full() || self.is_available(now, &self.fleet[selection.server])
