--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -4,19 +4,37 @@
 //! sequence, or not yet, or never), [`Scheduler::attempt_finished`] (what to do after an outcome) and
 //! [`Scheduler::next_timeout`] (how long to wait: for the attempt in flight, else before scheduling again). The other
 //! methods report facts. Measurements are kept in `statistics`, the known servers in `fleet`.
+//!
+//! # Rules
+//!
+//! Five rules hold whatever else is decided. Comments and tests refer to them by number.
+//!
+//! 1. A sequence gets one final answer, in time for its client, and nothing is sent after it. It has no more than one
+//!    attempt in flight.
+//! 2. An attempt that may have run is repeated only as far as the sequence's idempotency allows, and a sequence is rejected
+//!    only where a retry of its client is harmless.
+//! 3. Only servers that the endpoint list names as ready are sent anything.
+//! 4. All gateways together send a server in slow start no more than its budget.
+//! 5. A KV cache that prefill servers may hold is fetched, or its release is asked for, within the release timeout.
 
 mod admission;
 mod affinity;
+mod attempt_timeouts;
 mod attempts;
 mod candidates;
 mod cell_quota;
+mod combined;
 mod decode;
+mod decode_load;
 mod outcomes;
 mod outlier;
 mod parameters;
 mod prefill;
+mod prefill_load;
+mod prefix_cache;
 mod slow_start;
 mod start_times;
+mod waiting;
 
 use crate::fleet::{Fleet, FleetScan, InFlightAttempt, Medians, Quotas, Sampler, Server};
 use crate::interface::{
@@ -225,14 +243,6 @@
         self.select_combined_fallback(now, sequence)
     }
 
-    /// No server can take the sequence: it waits for one where that may help.
-    fn wait_or_give_up(&self, now: Nanos, sequence: &mut Sequence, has_kv_cache: bool) -> Decision {
-        if self.can_complete(sequence, has_kv_cache) && self.may_wait(now, sequence) {
-            return Decision::Wait;
-        }
-        self.reject_or_abort(now, sequence)
-    }
-
     /// Whether nothing is gained by another look: all servers were scanned, or an available one was found.
     fn is_worth_sending(&self, now: Nanos, selection: &Selection) -> bool {
         self.scans_in_full() || self.is_available(now, &self.fleet[selection.server])
