--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,6 +1,5 @@
 //! Why a command failed, as it is told on standard error.
 
-use crate::platform::ConfigurationError;
 use petrelshore_chat_gateway::ReloadError;
 use std::fmt;
 use std::io;
@@ -65,6 +64,27 @@
 
 impl std::error::Error for CommandError {}
 
+/// Why a configuration could not be had.
+#[derive(Debug)]
+pub enum ConfigurationError {
+    /// The file could not be read, which may pass.
+    Unreadable(String),
+    /// The file, or the environment, does not say what it must.
+    Malformed(String),
+}
+
+impl fmt::Display for ConfigurationError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ConfigurationError::Unreadable(message) | ConfigurationError::Malformed(message) => {
+                f.write_str(message)
+            }
+        }
+    }
+}
+
+impl std::error::Error for ConfigurationError {}
+
 fn write_lines<P: fmt::Display>(f: &mut fmt::Formatter<'_>, problems: &[P]) -> fmt::Result {
     for (index, problem) in problems.iter().enumerate() {
         if index > 0 {
--- a/cli/src/platform/configuration.rs
+++ b/cli/src/platform/configuration.rs
@@ -1,10 +1,10 @@
 //! Reads the configuration file that the environment names, at the start and on SIGHUP.
 
+use crate::error::ConfigurationError;
 use async_io::Timer;
 use petrelshore_platform_gateway::PlatformGateway;
 use petrelshore_platform_protocol::config::{self, Config};
 use std::cell::Cell;
-use std::fmt;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{info, warn};
@@ -18,27 +18,6 @@
 const SLOW_READINGS: usize = 600;
 const SLOW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a configuration could not be had.
-#[derive(Debug)]
-pub enum ConfigurationError {
-    /// The file could not be read, which may pass.
-    Unreadable(String),
-    /// The file, or the environment, does not say what it must.
-    Malformed(String),
-}
-
-impl fmt::Display for ConfigurationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConfigurationError::Unreadable(message) | ConfigurationError::Malformed(message) => {
-                f.write_str(message)
-            }
-        }
-    }
-}
-
-impl std::error::Error for ConfigurationError {}
-
 fn read() -> Result<Config, ConfigurationError> {
     let file = std::env::var(CONFIGURATION_VARIABLE)
         .map_err(|_| ConfigurationError::Malformed(format!("{CONFIGURATION_VARIABLE} is not set")))?;
--- a/cli/src/platform/mod.rs
+++ b/cli/src/platform/mod.rs
@@ -3,8 +3,6 @@
 mod configuration;
 mod shutdown;
 
-pub use configuration::ConfigurationError;
-
 use crate::error::CommandError;
 use crate::signals::{Signal, Signals};
 use async_executor::LocalExecutor;
