--- a/src/attempt_history.rs
+++ b/src/attempt_history.rs
@@ -19,7 +19,7 @@
 
 /// Since when a KV cache may be held for a sequence with no attempt in flight, once this attempt has ended (rule 5).
 /// Every prefill that ran may have left one, whatever came back; a decode server that finds none leaves those of older
-/// prefills. The time starts anew only where the server had the attempt: while connections fail to come up, or lose what
+/// prefills. The time starts again only where the server had the attempt: while connections fail to come up, or lose what
 /// is sent on them, it runs on.
 pub fn cache_held_since(
     now: Nanos,
--- a/src/fleet/hashing.rs
+++ b/src/fleet/hashing.rs
@@ -1,6 +1,6 @@
 //! Hash functions that come out the same at every gateway.
 
-/// Least share of keys that [`rendezvous_rank`] reckons with: it is divided by.
+/// Least weight in [`rendezvous_rank`], which divides by it.
 const MIN_WEIGHT: f64 = 1e-9;
 /// Least hash, as a number between 0 and 1, that [`rendezvous_rank`] takes the logarithm of.
 const MIN_UNIT_HASH: f64 = 1e-18;
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -1,4 +1,4 @@
-//! Servers by role, zone and cell, and sums over them. Built from the endpoint list; a change of the list builds it anew.
+//! Servers by role, zone and cell, and sums over them. Built from the endpoint list, and rebuilt when that changes.
 
 use super::ring::{Ring, RingMember};
 use super::server::{Server, Slot};
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -3,7 +3,7 @@
 use crate::interface::{CellId, Endpoint, ZoneId};
 use std::collections::BTreeMap;
 
-/// Least sum over all cells: it is divided by.
+/// Least sum over all cells; capacities are divided by it.
 const MIN_SUM: f64 = 1e-9;
 
 /// What one server adds to the sums of its cell.
--- a/src/fleet/registry.rs
+++ b/src/fleet/registry.rs
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Least memory of a server, in tokens: it is divided by.
+/// Least memory of a server in tokens; loads are divided by it.
 const MIN_MEMORY_TOKENS: f64 = 1.0;
 /// Least weight of a server.
 const MIN_WEIGHT: f64 = 1e-3;
@@ -119,7 +119,7 @@
         };
     }
 
-    /// Builds the index anew where a list has come since, or a server's slow start is over.
+    /// Rebuilds the index if a list has come since, or a server's slow start is over.
     pub fn refresh(&mut self, now: Nanos) {
         if self.index_is_stale || now >= self.index.valid_until() {
             let servers = self.by_id.values().map(|slot| (*slot, &self.slots[*slot]));
--- a/src/scheduler/affinity.rs
+++ b/src/scheduler/affinity.rs
@@ -40,9 +40,9 @@
 }
 
 impl Scheduler {
-    /// How far prefill servers are from being this session's replica, to which every gateway turns, and the candidates:
-    /// by a hash, weighted by the share of all prefills that each should get. Guards against prefilling prefixes again
-    /// when a gateway has restarted or a session comes through another one.
+    /// How far prefill servers are from being this session's replica, and the candidates. A hash decides, weighted by the
+    /// share of all prefills that each server should get, so that all gateways prefer the same servers. Guards against
+    /// prefilling prefixes again when a gateway has restarted or a session comes through another one.
     pub(super) fn affinity_replicas(&self, now: Nanos, sequence: &Sequence) -> AffinityReplicas {
         let session_key = sequence.session.map_or(sequence.id.0, |session| session.0);
         let prefill_servers = self.fleet.index().prefill_servers().max(1) as f64;
@@ -54,8 +54,9 @@
         }
     }
 
-    /// The share of all prefill servers that are to have a sequence's shared prefix cached: by its share of all prefills,
-    /// as far as own sends tell, rather than evicted from all of them. The more often it is not found there, the fewer.
+    /// The share of all prefill servers that are to cache a sequence's shared prefix: proportional to its share of this
+    /// gateway's sends, so that frequent prefixes do not evict all others. The more often prefixes are not found, the
+    /// fewer servers a new one gets.
     fn prefix_replica_share(&self, now: Nanos, sequence: &Sequence, prefill_servers: f64) -> f64 {
         let new_prefix =
             (self.new_prefix_replicas * PREFIX_SHARE_PRIOR / prefill_servers).min(REPLICAS_PER_SEND_SHARE);
@@ -108,7 +109,7 @@
     }
 
     /// The prefill servers that are affinity replicas of a session, or of its shared prefix: so many over the zones that
-    /// this gateway turns to.
+    /// this gateway sends prefills to.
     fn replica_slots(&self, session_key: u64, prefix: Option<PrefixId>, replicas: f64) -> Vec<Slot> {
         let zones = &self.quotas.zones;
         let per_zone = ((replicas / zones.len().max(1) as f64).ceil() as u64).max(1);
--- a/src/scheduler/attempt_timeouts.rs
+++ b/src/scheduler/attempt_timeouts.rs
@@ -6,7 +6,7 @@
 
 /// Timeout of an attempt, as a multiple of the high response time of late.
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 4.5;
-/// Least response time that timeouts are reckoned from, as a divisor of the latency objective.
+/// Least response time that a timeout is a multiple of, as a divisor of the latency objective.
 const MIN_RESPONSE_TIME_SLO_DIVISOR: f64 = 6.0;
 /// High response time of one prefill server, as a multiple of that of all together, while too little is known of them
 /// one by one.
--- a/src/scheduler/cell_quota.rs
+++ b/src/scheduler/cell_quota.rs
@@ -25,7 +25,7 @@
 const MAX_SCAN_BATCH: usize = 256;
 
 impl Scheduler {
-    /// Computes the quotas anew where they are due: over a large fleet by a batch of servers at each request.
+    /// Recomputes the quotas when they are due: over a large fleet by scanning a batch of servers at each request.
     pub(super) fn refresh_quotas(&mut self, now: Nanos) {
         let is_recent = self.quota_scan_started_at.is_some_and(|at| now < at + QUOTA_INTERVAL);
         if self.quota_scan.is_none() && is_recent {
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -14,7 +14,7 @@
 const UNAVAILABLE_PENALTY: f64 = 1e9;
 /// Multiple of that penalty for a server that is ejected.
 const EJECTED_PENALTY_FACTOR: f64 = 10.0;
-/// Highest share of failures that the expected retries at a server are reckoned from.
+/// Highest share of failures that the estimate of expected retries takes into account.
 const MAX_FAILURE_SHARE: f64 = 0.9;
 
 /// How attempts of one class of requests fare over all servers.
--- a/src/scheduler/prefix_cache.rs
+++ b/src/scheduler/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Prefix caches: what servers should have cached of sessions and shared prefixes, as far as own sends tell.
+//! Prefix caches: what servers should have cached of sessions and shared prefixes, judged by this gateway's own sends.
 
 use super::Scheduler;
 use super::parameters::PREFIX_HALF_LIFE;
@@ -29,7 +29,7 @@
             .min(sequence.prompt_tokens)
     }
 
-    /// Tokens of a prefix that a server should have cached, as far as own sends tell.
+    /// Tokens of a prefix that a server should have cached, judged by this gateway's own sends.
     fn cached_prefix_tokens(&self, server: &Server, prefix: PrefixKey) -> f64 {
         let key = ServerPrefix { generation: server.generation, prefix };
         let Some(sent) = self.statistics.cached_prefixes.get(&key) else { return 0.0 };
