--- a/engine-client/tests/attempt_ends.rs
+++ b/engine-client/tests/attempt_ends.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-fn request(address: SocketAddr, new_connection: bool) -> CompletionRequest {
+fn request(address: SocketAddr) -> CompletionRequest {
     CompletionRequest {
         address,
         request_id: "1-0".to_owned(),
@@ -21,11 +21,15 @@
         sampling: Rc::default(),
         idempotency_key: None,
         transfer_params: None,
-        new_connection,
+        new_connection: false,
         connect_timeout: Duration::from_secs(5),
     }
 }
 
+fn on_new_connection(address: SocketAddr) -> CompletionRequest {
+    CompletionRequest { new_connection: true, ..request(address) }
+}
+
 /// Reads one request's head and body from a socket; false if it ends early.
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
@@ -135,7 +139,7 @@
         run(|executor, client| async move {
             let to = scripted_server(&executor, vec![vec![text.clone()]]).await;
             let ends_well = text.contains("content-length: 9");
-            let (_, ended) = read_stream(&client, &request(to, true)).await;
+            let (_, ended) = read_stream(&client, &on_new_connection(to)).await;
             // A body that is longer than its events ends well at its `[DONE]` event.
             assert_eq!(ended.err(), if ends_well { None } else { Some(end) }, "{text:.200}");
             assert_eq!(end.proves_not_run(), proves_not_run, "{text:.200}");
@@ -149,7 +153,7 @@
         let unused = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = unused.local_addr().unwrap();
         drop(unused);
-        let (_, ended) = read_stream(&client, &request(to, false)).await;
+        let (_, ended) = read_stream(&client, &request(to)).await;
         assert_eq!(ended, Err(AttemptEnd::NotConnected));
         assert!(AttemptEnd::NotConnected.proves_not_run());
     });
@@ -159,10 +163,10 @@
 fn pooled_connection_closed_under_request_proves_nothing() {
     run(|executor, client| async move {
         let to = scripted_server(&executor, vec![vec![response("200 OK", EVENTS), String::new()]]).await;
-        assert_eq!(read_stream(&client, &request(to, false)).await, ("a".to_owned(), Ok(())));
+        assert_eq!(read_stream(&client, &request(to)).await, ("a".to_owned(), Ok(())));
         async_io::Timer::after(Duration::from_millis(30)).await;
         // The server reads the second request completely, and closes: it may have run.
-        let (_, ended) = read_stream(&client, &request(to, false)).await;
+        let (_, ended) = read_stream(&client, &request(to)).await;
         assert_eq!(ended, Err(AttemptEnd::Reset));
         assert!(!AttemptEnd::Reset.proves_not_run());
     });
@@ -174,7 +178,7 @@
         let once = || vec![response("200 OK", EVENTS)];
         let to = scripted_server(&executor, vec![once(), once(), once()]).await;
         for _ in 0..3 {
-            assert_eq!(read_stream(&client, &request(to, false)).await, ("a".to_owned(), Ok(())));
+            assert_eq!(read_stream(&client, &request(to)).await, ("a".to_owned(), Ok(())));
             async_io::Timer::after(Duration::from_millis(30)).await;
         }
     });
@@ -185,15 +189,15 @@
     run(|executor, client| async move {
         let twice = vec![response("200 OK", EVENTS), String::new()];
         let to = scripted_server(&executor, vec![twice, vec![response("200 OK", EVENTS)]]).await;
-        assert_eq!(read_stream(&client, &request(to, false)).await.1, Ok(()));
+        assert_eq!(read_stream(&client, &request(to)).await.1, Ok(()));
         async_io::Timer::after(Duration::from_millis(30)).await;
         // The first connection would break under it; the server accepts the second one only once the first has closed.
-        let on_new_connection = request(to, true);
+        let second = on_new_connection(to);
         let timeout = async {
             async_io::Timer::after(Duration::from_millis(300)).await;
             (String::new(), Err(AttemptEnd::TimedOut))
         };
-        let (_, ended) = future::or(read_stream(&client, &on_new_connection), timeout).await;
+        let (_, ended) = future::or(read_stream(&client, &second), timeout).await;
         assert_eq!(ended, Err(AttemptEnd::TimedOut));
     });
 }
@@ -205,7 +209,7 @@
     for (body, cached) in [(good, Some(7.0)), (r#"{"usage":{}}"#, None), ("[]", None)] {
         run(|executor, client| async move {
             let to = scripted_server(&executor, vec![vec![response("200 OK", body)]]).await;
-            let reply = client.prefill(&request(to, false)).await;
+            let reply = client.prefill(&request(to)).await;
             match cached {
                 Some(cached) => assert_eq!(reply.result.unwrap().cached_tokens, cached),
                 None => assert_eq!(reply.result.err(), Some(AttemptEnd::Malformed)),
--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -1,6 +1,6 @@
 //! The client: prefill, decode and release requests to model servers.
 
-use crate::connections::Connections;
+use crate::connections::{ConnectionCounts, Connections};
 use crate::exchange::{Outgoing, Route};
 use crate::request::{AttemptRequest, Reply, SendPermission};
 use crate::response::Response;
@@ -109,9 +109,9 @@
         self.0.retain(listed);
     }
 
-    /// The number of open connections, and of those among them that are idle.
-    pub fn connection_counts(&self) -> (usize, usize) {
-        (self.0.open_count(), self.0.idle_count())
+    /// How many connections are open, and how many of them are idle.
+    pub fn connection_counts(&self) -> ConnectionCounts {
+        self.0.counts()
     }
 
     async fn send(&self, request: &AttemptRequest, on_delivered: &dyn Fn()) -> Result<Response, AttemptEnd> {
--- a/platform-engine-client/src/connections.rs
+++ b/platform-engine-client/src/connections.rs
@@ -13,6 +13,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// How many connections a client has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Open ones, in use or idle.
+    pub open: usize,
+    /// Those of them that are idle.
+    pub idle: usize,
+}
+
 /// A connection, with its permit among all that this gateway may hold.
 pub(crate) struct PooledConnection {
     pub(crate) http: HttpConnection,
@@ -109,14 +118,8 @@
         self.pool.borrow_mut().remove(|address| !listed(address));
     }
 
-    /// The number of open connections.
-    pub(crate) fn open_count(&self) -> usize {
-        Rc::strong_count(&self.permits) - 1
-    }
-
-    /// The number of idle connections.
-    pub(crate) fn idle_count(&self) -> usize {
-        self.pool.borrow().idle()
+    pub(crate) fn counts(&self) -> ConnectionCounts {
+        ConnectionCounts { open: Rc::strong_count(&self.permits) - 1, idle: self.pool.borrow().idle() }
     }
 
     /// The load that the head of a response reports.
--- a/platform-engine-client/src/lib.rs
+++ b/platform-engine-client/src/lib.rs
@@ -12,5 +12,6 @@
 mod stream;
 
 pub use client::Client;
+pub use connections::ConnectionCounts;
 pub use request::{AttemptRequest, OVERRIDDEN_FIELDS, Reply, SendCheck, SendPermission};
 pub use stream::Stream;
--- a/platform-engine-client/tests/server_behaviour/responses.rs
+++ b/platform-engine-client/tests/server_behaviour/responses.rs
@@ -4,6 +4,7 @@
 use petrelshore::interface::Outcome;
 use petrelshore_emulator::platform::{Manner, ModelServer, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
+use petrelshore_platform_engine_client::ConnectionCounts;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 
@@ -17,7 +18,10 @@
             let_it_idle().await;
         }
     });
-    assert_eq!((server.connections(), client.connection_counts()), (1, (1, 1)));
+    assert_eq!(
+        (server.connections(), client.connection_counts()),
+        (1, ConnectionCounts { open: 1, idle: 1 })
+    );
     assert_eq!(server.seen()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
 }
 
@@ -45,10 +49,10 @@
         (Manner::Noise, AttemptEnd::Malformed),
         (Manner::EndlessHead, AttemptEnd::Malformed),
     ];
-    for (manner, end) in cases {
-        server.set(manner);
+    for (behavior, end) in cases {
+        server.set(behavior);
         let result = async_io::block_on(read_stream(&client, server.address));
-        assert_eq!(result, (String::new(), Err(end)), "{manner:?}");
+        assert_eq!(result, (String::new(), Err(end)), "{behavior:?}");
     }
     let closed = TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap();
     let result = async_io::block_on(read_stream(&client, closed));
@@ -59,12 +63,12 @@
 fn malformed_stream_forwards_complete_events_and_closes_connection() {
     let server = ModelServer::start(false, Manner::Good).unwrap();
     let client = client(4);
-    for manner in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream] {
-        server.set(manner);
+    for behavior in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream] {
+        server.set(behavior);
         let (forwarded, ended) = async_io::block_on(read_stream(&client, server.address));
-        assert_eq!(ended, Err(AttemptEnd::Malformed), "{manner:?}");
-        assert!(events().starts_with(&forwarded), "{manner:?}: {forwarded}");
-        assert_eq!(client.connection_counts().0, 0, "{manner:?}");
+        assert_eq!(ended, Err(AttemptEnd::Malformed), "{behavior:?}");
+        assert!(events().starts_with(&forwarded), "{behavior:?}: {forwarded}");
+        assert_eq!(client.connection_counts().open, 0, "{behavior:?}");
     }
 }
 
--- a/platform-engine-client/tests/server_behaviour/reuse.rs
+++ b/platform-engine-client/tests/server_behaviour/reuse.rs
@@ -4,7 +4,7 @@
 use futures_lite::future;
 use petrelshore_emulator::platform::{Manner, ModelServer, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
-use petrelshore_platform_engine_client::SendPermission;
+use petrelshore_platform_engine_client::{ConnectionCounts, SendPermission};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
@@ -23,12 +23,12 @@
 
 #[test]
 fn longest_idle_connection_is_closed_at_the_limit() {
-    let servers = [Manner::Good; 3].map(|manner| ModelServer::start(false, manner).unwrap());
+    let servers = [Manner::Good; 3].map(|behavior| ModelServer::start(false, behavior).unwrap());
     let client = client(2);
     for server in &servers {
         assert_eq!(async_io::block_on(read_stream(&client, server.address)).1, Ok(()));
     }
-    assert_eq!(client.connection_counts(), (2, 2));
+    assert_eq!(client.connection_counts(), ConnectionCounts { open: 2, idle: 2 });
     let released =
         client.release(servers[0].address, "00000000000000aa", TEST_TIMEOUT, &|| SendPermission::Granted);
     assert_eq!(async_io::block_on(released), Ok(()));
@@ -41,7 +41,7 @@
     let client = client(4);
     async_io::block_on(async {
         assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
-        assert_eq!(client.connection_counts(), (1, 1), "pooled for the next");
+        assert_eq!(client.connection_counts(), ConnectionCounts { open: 1, idle: 1 }, "pooled for the next");
         let_it_idle().await;
         let (forwarded, ended) = read_stream(&client, server.address).await;
         assert_eq!(
--- a/platform-engine-client/tests/server_behaviour/sending.rs
+++ b/platform-engine-client/tests/server_behaviour/sending.rs
@@ -9,7 +9,7 @@
 use petrelshore::interface::Outcome;
 use petrelshore_emulator::platform::{Manner, ModelServer, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
-use petrelshore_platform_engine_client::{AttemptRequest, SendPermission};
+use petrelshore_platform_engine_client::{AttemptRequest, ConnectionCounts, SendPermission};
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -104,7 +104,7 @@
             assert_eq!(reply.result, Err(AttemptEnd::NotConnected));
         }
     });
-    assert_eq!(client.connection_counts(), (0, 0));
+    assert_eq!(client.connection_counts(), ConnectionCounts { open: 0, idle: 0 });
 }
 
 #[test]
@@ -184,7 +184,7 @@
         assert_eq!(pooled.prefill(&first, &|| {}).await.result, Ok(0.0));
         let_it_idle().await;
     });
-    assert_eq!(pooled.connection_counts(), (1, 1));
+    assert_eq!(pooled.connection_counts(), ConnectionCounts { open: 1, idle: 1 });
     let (ended, delivered) = prefill_within(&pooled, &stuck, Duration::from_secs(2));
     assert!(ended.is_some_and(AttemptEnd::proves_not_run) && !delivered, "{ended:?}, {delivered}");
     drop(finished.0);
--- a/platform-gateway/src/service.rs
+++ b/platform-gateway/src/service.rs
@@ -191,8 +191,8 @@
 
     /// Connections to model servers that are open, and those of them that are idle; releases owed.
     pub fn connection_counts(&self) -> (usize, usize, usize) {
-        let (open, idle) = self.0.client.connection_counts();
-        (open, idle, self.0.requests.borrow().pending_releases())
+        let connections = self.0.client.connection_counts();
+        (connections.open, connections.idle, self.0.requests.borrow().pending_releases())
     }
 
     pub fn names(&self) -> &Names {
