--- a/platform-gateway/src/gateway.rs
+++ b/platform-gateway/src/gateway.rs
@@ -100,7 +100,8 @@
 
     /// How many connections to model servers there are, and how many pending releases.
     pub fn connection_counts(&self) -> ConnectionCounts {
-        let (open, idle) = self.0.client.connection_counts();
+        let petrelshore_platform_engine_client::ConnectionCounts { open, idle } =
+            self.0.client.connection_counts();
         let pending_releases = self.0.event_loop.requests().pending_releases();
         ConnectionCounts { open, idle, pending_releases }
     }
