--- a/soak/src/trouble.rs
+++ b/soak/src/fault.rs
@@ -1,6 +1,6 @@
 //! Troubles: drawn from the seed, several at once, each with a beginning and an end.
 
-use crate::agent::ADDRESSES;
+use crate::discovery::ADDRESSES;
 use crate::process::Gateway;
 use crate::record::{Event, Role, Status};
 use crate::shim::Fault;
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -1,10 +1,10 @@
 //! Judges a run from its record alone.
 
-mod sorted;
+mod history;
 
 use crate::record::{Class, Event, Outcome, Process, Role, Seen, Status, Time};
 use crate::world::{Terms, ZONES};
-use sorted::{Arrival, Life, Request, Run, sort};
+use history::{Arrival, Life, Request, Run, sort};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,12 +1,12 @@
 //! One run from its plan to its report.
 
+use crate::fault::Troubles;
 use crate::oracle::{self, RULES, Violation, judge};
 use crate::process::Gateway;
 use crate::record::{Event, Seen, Time};
 use crate::shim::Library;
-use crate::trouble::Troubles;
 use crate::world::{Terms, World};
-use crate::{agent, client, server};
+use crate::{client, discovery, server};
 use async_io::Timer;
 use std::collections::BTreeMap;
 use std::io;
@@ -103,9 +103,9 @@
             let own = world.clone();
             world.spawn(async move { note(&own.clone(), server::serve(own, gateway, server).await) });
         }
-        for which in 0..agent::ADDRESSES {
+        for which in 0..discovery::ADDRESSES {
             let own = world.clone();
-            world.spawn(async move { note(&own.clone(), agent::serve(own, gateway, which).await) });
+            world.spawn(async move { note(&own.clone(), discovery::serve(own, gateway, which).await) });
         }
     }
     let own = world.clone();
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -1,6 +1,6 @@
 //! What all parties of a soak share: the plan's sizes, addresses, conditions of servers and links, what is held.
 
-use crate::chance::Chance;
+use crate::random::Chance;
 use crate::record::{Event, Record, Role, Status};
 use async_executor::LocalExecutor;
 use event_listener::Event as Changed;
