--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,27 +1,40 @@
-//! Clients: those that wait for their answers, those that leave, and those that send what can't be served.
+//! Clients: those that wait for their responses, those that disconnect, and those that send invalid requests.
 
-use crate::message::{Connection, chunk, head, within};
-use crate::record::{Class, Event, Process, Seen};
-use crate::world::World;
+use crate::message::{Connection, read_chunk, read_head, with_timeout};
+use crate::record::{Class, ClientOutcome, Event, Process};
+use crate::testbed::Testbed;
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::io::BufReader;
-use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two requests of a client.
-const THINKS: (u64, u64) = (20, 250);
-const CONNECTS_WITHIN: Duration = Duration::from_secs(3);
-/// Parts of the clients that do not wait for their answer, or send what can't be served.
-const LEAVES: f64 = 0.12;
-const BAD: f64 = 0.04;
-const WRITES_SLOWLY: f64 = 0.05;
-/// What a bad client is owed an error or a close within, and some slack.
-const BAD_WITHIN: Duration = Duration::from_millis(3_400);
-/// A stream or an answer from which nothing comes for so long has fallen silent.
-const SILENCE: Duration = Duration::from_millis(8_000);
-const DEADLINES: (u64, u64) = (1_200, 3_000);
+/// Pause between two requests of a client, in milliseconds.
+const PAUSE_MS: (u64, u64) = (20, 250);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// The share of requests whose client does not wait for the response.
+const DISCONNECT_SHARE: f64 = 0.12;
+/// When such a client disconnects, in milliseconds.
+const DISCONNECT_AFTER_MS: (u64, u64) = (0, 400);
+/// The share of requests that are invalid.
+const INVALID_SHARE: f64 = 0.04;
+const SLOW_WRITE_SHARE: f64 = 0.05;
+/// Pause between two parts of a slowly written request, in milliseconds.
+const SLOW_WRITE_PAUSE_MS: (u64, u64) = (1, 120);
+/// The share of requests for which a connection is used again.
+const REUSE_SHARE: f64 = 0.8;
+/// The share of complete responses after which a client closes its connection.
+const CLOSE_SHARE: f64 = 0.02;
+/// An invalid request gets an error or a close within this, with some slack.
+const INVALID_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_400);
+/// A response from which nothing arrives for this long has stalled.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(8_000);
+/// Deadlines of requests, in milliseconds.
+const DEADLINES_MS: (u64, u64) = (1_200, 3_000);
+const MAX_BODY_BYTES: usize = 4_000;
+/// Idempotency keys that requests share.
+const KEYS: u64 = 64;
 
 struct Request {
     id: u64,
@@ -31,185 +44,220 @@
 }
 
 impl Request {
-    fn new(world: &World, id: u64) -> Request {
-        let (class, kind) = match world.chance.below(4) {
-            0 => (Class::OnceOnly, "unlock"),
-            1 => (Class::Tokened, "order"),
-            _ => (Class::Repeatable, "chat"),
+    fn new(testbed: &Testbed, id: u64) -> Request {
+        let (class, kind) = match testbed.random.below(4) {
+            0 => (Class::AtMostOnce, "unlock"),
+            1 => (Class::Keyed, "order"),
+            _ => (Class::Idempotent, "chat"),
         };
-        let deadline = world.chance.time(DEADLINES.0, DEADLINES.1);
-        let body = format!("{{\"messages\":\"{}\"}}", "x".repeat(world.chance.below(4_000)));
+        let deadline = testbed.random.duration_ms(DEADLINES_MS.0, DEADLINES_MS.1);
+        let body = format!("{{\"messages\":\"{}\"}}", "x".repeat(testbed.random.below(MAX_BODY_BYTES)));
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nReq-Id: {id:016x}\r\nReq-Kind: {kind}\r\n\
              Req-Key: {:016x}\r\nReq-Deadline-Ms: {}\r\n\
              Req-Extra: prompt_len=1000,prefix_len=0,max_out=200\r\nContent-Length: {}\r\n\r\n{body}",
-            id % 64,
+            id % KEYS,
             deadline.as_millis(),
             body.len()
         );
         Request { id, class, deadline, text }
     }
+
+    /// A text that can't be served.
+    fn spoil(&self, testbed: &Testbed) -> String {
+        match testbed.random.below(6) {
+            0 => self.text[..self.text.len() / 2].to_owned(),
+            1 => self.text[..40].to_owned(),
+            2 => self.text.replace("Req-Deadline-Ms: ", "Req-Deadline-Ms: soon"),
+            3 => self.text.replace("Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: "),
+            4 => self.text.replace("Req-Kind: ", "Req-Kind: no-"),
+            _ => "\u{1}\u{2}\u{3}\r\n\r\n".to_owned(),
+        }
+    }
 }
 
-/// A connection to a gateway's process, and whether it has served a request.
-struct Kept {
+/// A connection to a gateway's process.
+struct GatewayConnection {
     connection: Connection,
-    to: Process,
+    process: Process,
+    /// It has served a request.
     reused: bool,
 }
 
-/// One client after the other, for as long as it is polled.
-pub async fn serve(world: Rc<World>, number: usize) {
-    let mut kept: Option<Kept> = None;
+/// What follows a request on a connection.
+enum Next {
+    /// The connection may serve another request.
+    Reuse(GatewayConnection),
+    /// The same request is sent again, on a new connection.
+    Resend(GatewayConnection),
+    /// The next request takes a new connection.
+    Close,
+}
+
+/// Sends one request after the other, for as long as the run lasts.
+pub async fn run(testbed: Rc<Testbed>, number: usize) {
+    let mut idle: Option<GatewayConnection> = None;
     for count in 0.. {
-        Timer::after(world.chance.time(THINKS.0, THINKS.1)).await;
-        if world.over.get() {
+        Timer::after(testbed.random.duration_ms(PAUSE_MS.0, PAUSE_MS.1)).await;
+        if testbed.finished.get() {
             return;
         }
-        let id = (world.seed << 40) | ((number as u64) << 24) | count;
-        let request = Request::new(&world, id);
-        if world.chance.hits(BAD) {
-            bad(&world, &request).await;
+        let id = (testbed.seed << 40) | ((number as u64) << 24) | count;
+        let request = Request::new(&testbed, id);
+        if testbed.random.happens(INVALID_SHARE) {
+            send_invalid(&testbed, &request).await;
             continue;
         }
-        let stays = kept.take().filter(|_| world.chance.hits(0.8));
-        let connection = match stays {
-            Some(kept) => Some(kept),
-            None => connect(&world).await,
+        let connection = match idle.take().filter(|_| testbed.random.happens(REUSE_SHARE)) {
+            Some(connection) => Some(connection),
+            None => connect(&testbed).await,
         };
         let Some(connection) = connection else { continue };
-        kept = ask(&world, &request, connection).await;
-        // The end of a connection may cross a request that was not read: it is sent once more, on a new one.
-        if kept.as_ref().is_some_and(|kept| !kept.reused)
-            && let Some(again) = kept.take()
-        {
-            kept = ask(&world, &request, again).await.filter(|kept| kept.reused);
-        }
+        idle = send_with_retry(&testbed, &request, connection).await;
+    }
+}
+
+/// Sends a request, and once more where the end of a connection crossed a request that was not read. Returns the
+/// connection where it may be used again.
+async fn send_with_retry(
+    testbed: &Testbed,
+    request: &Request,
+    connection: GatewayConnection,
+) -> Option<GatewayConnection> {
+    let next = match send(testbed, request, connection).await {
+        Next::Resend(connection) => send(testbed, request, connection).await,
+        next => next,
+    };
+    match next {
+        Next::Reuse(connection) => Some(connection),
+        Next::Resend(_) | Next::Close => None,
     }
 }
 
-async fn connect(world: &World) -> Option<Kept> {
-    let to = {
-        let open = world.open.borrow();
-        let at = world.chance.below(open.len());
-        open.iter().nth(at).map(|(gateway, run)| Process { gateway: *gateway, run: *run })?
+async fn connect(testbed: &Testbed) -> Option<GatewayConnection> {
+    let process = {
+        let open = testbed.open_gateways.borrow();
+        let index = testbed.random.below(open.len());
+        open.iter().nth(index).map(|(gateway, run)| Process { gateway: *gateway, run: *run })?
     };
-    let stream = within(CONNECTS_WITHIN, TcpStream::connect(world.gateway_address(to.gateway))).await?;
-    let stream = stream.ok()?;
+    let connecting = TcpStream::connect(testbed.gateway_address(process.gateway));
+    let stream = with_timeout(CONNECT_TIMEOUT, connecting).await?.ok()?;
     let _ = stream.set_nodelay(true);
-    Some(Kept { connection: BufReader::new(stream), to, reused: false })
+    Some(GatewayConnection { connection: BufReader::new(stream), process, reused: false })
 }
 
-/// Sends a request and follows its answer. Gives the connection back where it may serve another request, or a new one
-/// (not reused) where the request is to be sent once more.
-async fn ask(world: &World, request: &Request, mut kept: Kept) -> Option<Kept> {
-    let began = world.record.now();
-    let written = write(world, &mut kept.connection, &request.text).await;
-    let asked = Event::Asked {
+/// Sends a request and reads its response.
+async fn send(testbed: &Testbed, request: &Request, mut gateway: GatewayConnection) -> Next {
+    let started_at = testbed.record.now();
+    if !write_request(testbed, &mut gateway.connection, &request.text).await {
+        // Its last byte was never written: it was not accepted.
+        return if gateway.reused { resend(testbed).await } else { Next::Close };
+    }
+    testbed.record.write(Event::RequestSent {
         request: request.id,
-        to: kept.to,
+        process: gateway.process,
         class: request.class,
         deadline: request.deadline,
-        began,
-    };
-    if !written {
-        // Its last byte was never written: it was not taken.
-        return if kept.reused { connect(world).await } else { None };
-    }
-    world.record.write(asked);
-    let leaves = world.chance.hits(LEAVES);
-    let answer = answer(world, request.id, &mut kept.connection, kept.reused);
-    let seen = match leaves {
-        false => Some(answer.await),
-        true => within(world.chance.time(0, 400), answer).await,
+        started_at,
+    });
+    let disconnects = testbed.random.happens(DISCONNECT_SHARE);
+    let response = read_response(testbed, request.id, &mut gateway.connection, gateway.reused);
+    let outcome = if disconnects {
+        let after = testbed.random.duration_ms(DISCONNECT_AFTER_MS.0, DISCONNECT_AFTER_MS.1);
+        with_timeout(after, response).await
+    } else {
+        Some(response.await)
     };
-    let Some(seen) = seen else {
-        drop(kept);
-        world.record.write(Event::Left { request: request.id });
-        return None;
+    let Some(outcome) = outcome else {
+        drop(gateway);
+        testbed.record.write(Event::ClientDisconnected { request: request.id });
+        return Next::Close;
     };
-    world.record.write(Event::Answered { request: request.id, seen });
-    match seen {
-        Seen::Whole(_) if !world.chance.hits(0.02) => {
-            kept.reused = true;
-            Some(kept)
+    testbed.record.write(Event::ResponseEnded { request: request.id, outcome });
+    match outcome {
+        ClientOutcome::Complete(_) if !testbed.random.happens(CLOSE_SHARE) => {
+            gateway.reused = true;
+            Next::Reuse(gateway)
         }
-        // One that was sent on may have run: only its gateway knew.
-        Seen::Nothing { reused: true } if !world.was_sent_on(request.id) => connect(world).await,
-        _ => None,
+        // One that was forwarded may have been executed: only its gateway knew.
+        ClientOutcome::NoResponse { reused: true } if !testbed.was_forwarded(request.id) => {
+            resend(testbed).await
+        }
+        _ => Next::Close,
     }
 }
 
-async fn write(world: &World, connection: &mut Connection, text: &str) -> bool {
+async fn resend(testbed: &Testbed) -> Next {
+    connect(testbed).await.map_or(Next::Close, Next::Resend)
+}
+
+async fn write_request(testbed: &Testbed, connection: &mut Connection, text: &str) -> bool {
     let bytes = text.as_bytes();
     let stream = connection.get_mut();
-    if !world.chance.hits(WRITES_SLOWLY) {
+    if !testbed.random.happens(SLOW_WRITE_SHARE) {
         return stream.write_all(bytes).await.is_ok();
     }
-    for piece in bytes.chunks(bytes.len() / 4 + 1) {
-        if stream.write_all(piece).await.is_err() {
+    for part in bytes.chunks(bytes.len() / 4 + 1) {
+        if stream.write_all(part).await.is_err() {
             return false;
         }
-        Timer::after(world.chance.time(1, 120)).await;
+        Timer::after(testbed.random.duration_ms(SLOW_WRITE_PAUSE_MS.0, SLOW_WRITE_PAUSE_MS.1)).await;
     }
     true
 }
 
-async fn answer(world: &World, request: u64, connection: &mut Connection, reused: bool) -> Seen {
-    let head = match within(SILENCE, head(connection)).await {
-        None => return Seen::Silence,
+async fn read_response(
+    testbed: &Testbed,
+    request: u64,
+    connection: &mut Connection,
+    reused: bool,
+) -> ClientOutcome {
+    let head = match with_timeout(IDLE_TIMEOUT, read_head(connection)).await {
+        None => return ClientOutcome::TimedOut,
         Some(Ok(Some(head))) => head,
-        Some(_) => return Seen::Nothing { reused },
+        Some(_) => return ClientOutcome::NoResponse { reused },
     };
-    world.record.write(Event::AnswerBegan { request });
+    testbed.record.write(Event::ResponseStarted { request });
     let status = head.status();
     if let Some(length) = head.field("Content-Length").and_then(|length| length.parse().ok()) {
         let mut body = vec![0; length];
-        let whole = within(SILENCE, connection.read_exact(&mut body)).await;
-        return if matches!(whole, Some(Ok(_))) { Seen::Whole(status) } else { Seen::CutShort };
+        let read = with_timeout(IDLE_TIMEOUT, connection.read_exact(&mut body)).await;
+        return match read {
+            Some(Ok(_)) => ClientOutcome::Complete(status),
+            _ => ClientOutcome::Truncated,
+        };
     }
     loop {
-        match within(SILENCE, chunk(connection)).await {
-            None => return Seen::Silence,
-            Some(Err(_)) => return Seen::CutShort,
-            Some(Ok(data)) if data.is_empty() => return Seen::Whole(status),
-            Some(Ok(data)) => note_events(world, request, &data),
+        match with_timeout(IDLE_TIMEOUT, read_chunk(connection)).await {
+            None => return ClientOutcome::TimedOut,
+            Some(Err(_)) => return ClientOutcome::Truncated,
+            Some(Ok(data)) if data.is_empty() => return ClientOutcome::Complete(status),
+            Some(Ok(data)) => record_events(testbed, request, &data),
         }
     }
 }
 
-/// How long each event was on its way, by the time in it.
-fn note_events(world: &World, request: u64, data: &[u8]) {
-    let now = world.record.now();
+/// Records how long each event was in transit, by the time in it.
+fn record_events(testbed: &Testbed, request: u64, data: &[u8]) {
+    let now = testbed.record.now();
     for event in String::from_utf8_lossy(data).split("\"t\":").skip(1) {
         let digits: String = event.chars().take_while(char::is_ascii_digit).collect();
         if let Ok(micros) = digits.parse() {
-            let late = now.saturating_sub(Duration::from_micros(micros));
-            world.record.write(Event::EventCame { request, late });
+            let delay = now.saturating_sub(Duration::from_micros(micros));
+            testbed.record.write(Event::StreamEventReceived { request, delay });
         }
     }
 }
 
-/// Sends what can't be served, and sees whether that is answered with an error or a close.
-async fn bad(world: &World, request: &Request) {
-    let Some(mut kept) = connect(world).await else { return };
-    let text = match world.chance.below(6) {
-        // Half a request, and then nothing.
-        0 => request.text[..request.text.len() / 2].to_owned(),
-        1 => request.text[..40].to_owned(),
-        2 => request.text.replace("Req-Deadline-Ms: ", "Req-Deadline-Ms: soon"),
-        3 => request.text.replace("Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: "),
-        4 => request.text.replace("Req-Kind: ", "Req-Kind: no-"),
-        _ => "\u{1}\u{2}\u{3}\r\n\r\n".to_owned(),
-    };
-    let began = world.record.now();
-    let _ = kept.connection.get_mut().write_all(text.as_bytes()).await;
-    let told = async { head(&mut kept.connection).await };
-    let silent = async {
-        Timer::after(BAD_WITHIN.saturating_sub(world.record.now().saturating_sub(began))).await;
-        None
-    };
-    let told = future::or(async { Some(told.await) }, silent).await;
-    let served = matches!(&told, Some(Ok(Some(head))) if head.status() == 200);
-    world.record.write(Event::BadClient { to: kept.to, answered: told.is_some(), served });
+/// Sends an invalid request, and records whether it is answered with an error or a close.
+async fn send_invalid(testbed: &Testbed, request: &Request) {
+    let Some(mut gateway) = connect(testbed).await else { return };
+    let text = request.spoil(testbed);
+    let began = testbed.record.now();
+    let _ = gateway.connection.get_mut().write_all(text.as_bytes()).await;
+    let left = INVALID_REQUEST_TIMEOUT.saturating_sub(testbed.record.now().saturating_sub(began));
+    let answer = with_timeout(left, read_head(&mut gateway.connection)).await;
+    let served = matches!(&answer, Some(Ok(Some(head))) if head.status() == 200);
+    let answered = answer.is_some();
+    testbed.record.write(Event::InvalidRequestFinished { process: gateway.process, answered, served });
 }
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery's agents: one on each gateway's machine, at one of several addresses.
+//! Discovery agents: one on each gateway's host, at one of several addresses.
 
-use crate::message::{Connection, body, head, say, within};
-use crate::world::World;
+use crate::message::{Connection, Head, read_body, read_head, with_timeout, write_text};
+use crate::testbed::Testbed;
 use async_io::Timer;
 use async_net::TcpListener;
 use futures_lite::future;
@@ -12,70 +12,88 @@
 
 /// Addresses that an agent may move between.
 pub const ADDRESSES: usize = 2;
-/// An address that discovery has moved away from closes what is open there after this.
-const CLOSED_AFTER: Duration = Duration::from_millis(1_500);
+/// An address that an agent has moved away from closes its connections after this.
+const MOVED_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
+const MOVED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-pub async fn serve(world: Rc<World>, gateway: usize, which: usize) -> io::Result<()> {
-    let listener = TcpListener::bind(world.agent_address(gateway, which)).await?;
+/// What a gateway asks for.
+struct Query<'a>(Option<&'a str>);
+
+impl<'a> Query<'a> {
+    fn of(head: &'a Head) -> Query<'a> {
+        let path = head.start_line.split(' ').nth(1);
+        Query(path.and_then(|path| path.split_once('?')).map(|(_, query)| query))
+    }
+
+    fn number(&self, name: &str) -> Option<u64> {
+        let mut pairs = self.0?.split('&').filter_map(|pair| pair.split_once('='));
+        pairs.find(|(key, _)| *key == name)?.1.parse().ok()
+    }
+}
+
+/// Serves one address of a gateway's agent, for as long as it is polled.
+pub async fn serve(testbed: Rc<Testbed>, gateway: usize, address: usize) -> io::Result<()> {
+    let listener = TcpListener::bind(testbed.agent_address(gateway, address)).await?;
     loop {
         let (stream, _) = listener.accept().await?;
-        if world.agents[gateway].address.get() != which {
+        if testbed.agents[gateway].address.get() != address {
             continue;
         }
-        let own = world.clone();
-        world.spawn(async move {
+        let own = testbed.clone();
+        testbed.spawn(async move {
             let moved = async {
-                while own.agents[gateway].address.get() == which {
-                    Timer::after(Duration::from_millis(100)).await;
+                while own.agents[gateway].address.get() == address {
+                    Timer::after(MOVED_CHECK_INTERVAL).await;
                 }
-                Timer::after(CLOSED_AFTER).await;
+                Timer::after(MOVED_CLOSE_DELAY).await;
                 Ok(())
             };
-            let _ = future::or(answers(&own, gateway, BufReader::new(stream)), moved).await;
+            let _ = future::or(serve_connection(&own, gateway, BufReader::new(stream)), moved).await;
         });
     }
 }
 
-async fn answers(world: &World, gateway: usize, mut connection: Connection) -> io::Result<()> {
-    let agent = &world.agents[gateway];
-    let (mut changes_from, fell_silent) = (u64::MAX, agent.watches_fell_silent.get());
-    while let Some(head) = head(&mut connection).await? {
-        body(&mut connection, &head).await?;
-        // What was asked while it is silent is not answered later either.
+async fn serve_connection(testbed: &Testbed, gateway: usize, mut connection: Connection) -> io::Result<()> {
+    let agent = &testbed.agents[gateway];
+    let stalls = agent.stalls.get();
+    let mut known_version = None;
+    while let Some(head) = read_head(&mut connection).await? {
+        read_body(&mut connection, &head).await?;
+        // What is requested while the agent is silent is not answered later either.
         if agent.silent.get() {
             return future::pending().await;
         }
-        let query =
-            head.first.split(' ').nth(1).and_then(|path| path.split_once('?')).map(|(_, query)| query);
-        let value = |name: &str| -> Option<u64> {
-            let pair =
-                query?.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
-            pair?.1.parse().ok()
-        };
-        if let Some(since) = value("since") {
-            changes_from = since;
-            let wait = Duration::from_millis(value("timeout_ms").unwrap_or(0));
-            let news = async {
-                loop {
-                    let changed = world.list_changed.listen();
-                    if world.index.get() > since {
-                        return;
-                    }
-                    changed.await;
-                }
-            };
-            within(wait, news).await;
+        let query = Query::of(&head);
+        if let Some(since) = query.number("since") {
+            known_version = Some(since);
+            let wait = Duration::from_millis(query.number("timeout_ms").unwrap_or(0));
+            with_timeout(wait, newer_list(testbed, since)).await;
         }
-        if agent.silent.get() || agent.watches_fell_silent.get() != fell_silent {
+        if agent.silent.get() || agent.stalls.get() != stalls {
             return future::pending().await;
         }
-        Timer::after(agent.slow.get()).await;
-        let index = world.index.get();
-        let whole = changes_from == u64::MAX || index > changes_from;
-        let endpoints = if whole { world.endpoints(gateway) } else { String::new() };
-        let text = format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{endpoints}]}}");
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-        say(&mut connection, &answer).await?;
+        Timer::after(agent.delay.get()).await;
+        write_text(&mut connection, &list_response(testbed, gateway, known_version)).await?;
     }
     Ok(())
 }
+
+/// Completes once the endpoint list is newer than a version.
+async fn newer_list(testbed: &Testbed, version: u64) {
+    loop {
+        let changed = testbed.list_changed.listen();
+        if testbed.list_version.get() > version {
+            return;
+        }
+        changed.await;
+    }
+}
+
+/// The full endpoint list, or none where the gateway has it already.
+fn list_response(testbed: &Testbed, gateway: usize, known_version: Option<u64>) -> String {
+    let version = testbed.list_version.get();
+    let full = known_version.is_none_or(|known| version > known);
+    let endpoints = if full { testbed.endpoints(gateway) } else { String::new() };
+    let body = format!("{{\"index\":{version},\"snapshot\":{full},\"endpoints\":[{endpoints}]}}");
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,272 +1,373 @@
-//! Troubles: drawn from the seed, several at once, each with a beginning and an end.
+//! Faults: drawn from the seed, several at once, each with a beginning and an end.
 
 use crate::discovery::ADDRESSES;
 use crate::process::Gateway;
-use crate::record::{Event, Role, Status};
-use crate::shim::Fault;
-use crate::world::{Manner, World, ZONES};
+use crate::record::{EndpointStatus, Event, Role};
+use crate::shim::Fault as CallFault;
+use crate::testbed::{ServerBehavior, Testbed, ZONES};
 use async_io::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between the beginnings of two troubles.
-const BETWEEN: (u64, u64) = (150, 1_200);
-const LASTS: (u64, u64) = (300, 4_000);
-/// The most by which a wall clock is stepped.
-const STEP_MOST_MS: i64 = 3_600_000;
-const HELD_UP: Duration = Duration::from_millis(150);
-const MOST_IMPAIRED: usize = 2;
+/// Pause between the beginnings of two faults, in milliseconds.
+const PAUSE_MS: (u64, u64) = (150, 1_200);
+/// How long a fault lasts, in milliseconds.
+const DURATION_MS: (u64, u64) = (300, 4_000);
+/// Faults that fail every call or so last this much shorter.
+const SEVERE_FAULT_DIVISOR: u32 = 8;
+/// How long a crashed gateway or a restarting server is down, in milliseconds.
+const GATEWAY_DOWNTIME_MS: (u64, u64) = (50, 2_000);
+const SERVER_DOWNTIME_MS: (u64, u64) = (100, 1_500);
+/// How long a restarted server takes until it is listed, in milliseconds.
+const LISTING_DELAY_MS: (u64, u64) = (1, 200);
+/// Pause between two reloads, in milliseconds.
+const RELOAD_PAUSE_MS: (u64, u64) = (20, 1_500);
+/// How long a slow discovery agent delays its responses, in milliseconds.
+const DISCOVERY_DELAY_MS: (u64, u64) = (100, 1_500);
+const MAX_CLOCK_STEP_MS: i64 = 3_600_000;
+const NANOS_PER_MS: i64 = 1_000_000;
+const SEND_DELAY: Duration = Duration::from_millis(150);
+/// So many servers of a role may have a fault at once.
+const MAX_FAULTY_SERVERS: usize = 2;
 
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
-    Restart,
-    Crash,
+enum Fault {
+    GatewayRestart,
+    GatewayCrash,
     Reloads,
     WallClockEverywhere,
-    WallClockOfOne,
-    Interrupted,
+    WallClockOfOneGateway,
+    InterruptedCalls,
     ShortTransfers,
-    ConnectFails,
-    SocketFails,
-    AcceptFails,
+    FailedConnects,
+    FailedSockets,
+    FailedAccepts,
     NoMemory,
-    Broken,
-    HeldUp,
+    BrokenConnections,
+    DelayedSends,
     ZoneCut,
     ServerCut,
-    ServerManner(Manner),
+    Server(ServerBehavior),
     ServerRestart,
-    Drain,
+    ServerDrain,
     AgentSilent,
     AllAgentsSilent,
-    WatchesSilent,
+    WatchesStalled,
     AgentSlow,
 }
 
-const TROUBLES: [Trouble; 26] = [
-    Trouble::Restart,
-    Trouble::Restart,
-    Trouble::Crash,
-    Trouble::Reloads,
-    Trouble::WallClockEverywhere,
-    Trouble::WallClockOfOne,
-    Trouble::Interrupted,
-    Trouble::ShortTransfers,
-    Trouble::ConnectFails,
-    Trouble::SocketFails,
-    Trouble::AcceptFails,
-    Trouble::NoMemory,
-    Trouble::Broken,
-    Trouble::HeldUp,
-    Trouble::ZoneCut,
-    Trouble::ServerCut,
-    Trouble::ServerManner(Manner::Hangs),
-    Trouble::ServerManner(Manner::Bad),
-    Trouble::ServerManner(Manner::Slow),
-    Trouble::ServerManner(Manner::ForgetsIdle),
-    Trouble::ServerRestart,
-    Trouble::Drain,
-    Trouble::AgentSilent,
-    Trouble::AllAgentsSilent,
-    Trouble::WatchesSilent,
-    Trouble::AgentSlow,
+/// The faults that are drawn from; one that stands twice is twice as likely.
+const FAULTS: [Fault; 26] = [
+    Fault::GatewayRestart,
+    Fault::GatewayRestart,
+    Fault::GatewayCrash,
+    Fault::Reloads,
+    Fault::WallClockEverywhere,
+    Fault::WallClockOfOneGateway,
+    Fault::InterruptedCalls,
+    Fault::ShortTransfers,
+    Fault::FailedConnects,
+    Fault::FailedSockets,
+    Fault::FailedAccepts,
+    Fault::NoMemory,
+    Fault::BrokenConnections,
+    Fault::DelayedSends,
+    Fault::ZoneCut,
+    Fault::ServerCut,
+    Fault::Server(ServerBehavior::Hanging),
+    Fault::Server(ServerBehavior::Faulty),
+    Fault::Server(ServerBehavior::Slow),
+    Fault::Server(ServerBehavior::ClosesIdleConnections),
+    Fault::ServerRestart,
+    Fault::ServerDrain,
+    Fault::AgentSilent,
+    Fault::AllAgentsSilent,
+    Fault::WatchesStalled,
+    Fault::AgentSlow,
 ];
 
-impl Trouble {
-    fn name(self) -> String {
+impl Fault {
+    /// The name in records and reports.
+    fn name(self) -> &'static str {
         match self {
-            Trouble::ServerManner(manner) => format!("Server{manner:?}"),
-            other => format!("{other:?}"),
+            Fault::GatewayRestart => "Restart",
+            Fault::GatewayCrash => "Crash",
+            Fault::Reloads => "Reloads",
+            Fault::WallClockEverywhere => "WallClockEverywhere",
+            Fault::WallClockOfOneGateway => "WallClockOfOne",
+            Fault::InterruptedCalls => "Interrupted",
+            Fault::ShortTransfers => "ShortTransfers",
+            Fault::FailedConnects => "ConnectFails",
+            Fault::FailedSockets => "SocketFails",
+            Fault::FailedAccepts => "AcceptFails",
+            Fault::NoMemory => "NoMemory",
+            Fault::BrokenConnections => "Broken",
+            Fault::DelayedSends => "HeldUp",
+            Fault::ZoneCut => "ZoneCut",
+            Fault::ServerCut => "ServerCut",
+            Fault::Server(ServerBehavior::Healthy) => "ServerGood",
+            Fault::Server(ServerBehavior::Hanging) => "ServerHangs",
+            Fault::Server(ServerBehavior::Faulty) => "ServerBad",
+            Fault::Server(ServerBehavior::Slow) => "ServerSlow",
+            Fault::Server(ServerBehavior::ClosesIdleConnections) => "ServerForgetsIdle",
+            Fault::Server(ServerBehavior::Down) => "ServerDown",
+            Fault::ServerRestart => "ServerRestart",
+            Fault::ServerDrain => "Drain",
+            Fault::AgentSilent => "AgentSilent",
+            Fault::AllAgentsSilent => "AllAgentsSilent",
+            Fault::WatchesStalled => "WatchesSilent",
+            Fault::AgentSlow => "AgentSlow",
         }
     }
 }
 
-/// The troubles of a run.
-pub struct Troubles {
-    world: Rc<World>,
+/// One drawn fault.
+#[derive(Clone, Copy)]
+struct Injection {
+    fault: Fault,
+    /// The gateway that it concerns, where it is one gateway's.
+    gateway: usize,
+    duration: Duration,
+}
+
+/// Injects the faults of a run.
+pub struct FaultInjector {
+    testbed: Rc<Testbed>,
     gateways: Vec<Rc<Gateway>>,
-    begun: Cell<usize>,
+    injected: Cell<usize>,
 }
 
-impl Troubles {
-    pub fn new(world: &Rc<World>, gateways: Vec<Rc<Gateway>>) -> Rc<Troubles> {
-        Rc::new(Troubles { world: world.clone(), gateways, begun: Cell::new(0) })
+impl FaultInjector {
+    /// An injector that has injected nothing yet.
+    pub fn new(testbed: &Rc<Testbed>, gateways: Vec<Rc<Gateway>>) -> Rc<FaultInjector> {
+        Rc::new(FaultInjector { testbed: testbed.clone(), gateways, injected: Cell::new(0) })
     }
 
-    /// Begins one after the other until that time; they may end later.
-    pub async fn play(self: Rc<Self>, until: Duration) {
-        let world = &self.world;
-        while world.record.now() < until {
-            Timer::after(world.chance.time(BETWEEN.0, BETWEEN.1)).await;
-            let trouble = TROUBLES[world.chance.below(TROUBLES.len())];
-            let number = self.begun.get();
-            self.begun.set(number + 1);
+    /// Begins one fault after the other until that time; they may end later.
+    pub async fn run(self: Rc<Self>, until: Duration) {
+        let testbed = &self.testbed;
+        while testbed.record.now() < until {
+            Timer::after(testbed.random.duration_ms(PAUSE_MS.0, PAUSE_MS.1)).await;
+            let fault = FAULTS[testbed.random.below(FAULTS.len())];
+            let number = self.injected.get();
+            self.injected.set(number + 1);
             let own = self.clone();
-            world.spawn(async move {
-                let gateway = own.world.chance.below(own.gateways.len());
-                let note = |began| {
-                    let kind = trouble.name();
-                    own.world.record.write(Event::Trouble { kind, gateway, number, began });
-                };
-                note(true);
-                own.bring(trouble, gateway).await;
-                note(false);
-            });
+            testbed.spawn(async move { own.inject(fault, number).await });
         }
     }
 
-    async fn bring(&self, trouble: Trouble, at: usize) {
-        let world = &self.world;
-        let (chance, gateway) = (&world.chance, &self.gateways[at]);
-        let lasts = chance.time(LASTS.0, LASTS.1);
-        match trouble {
-            Trouble::Restart => gateway.restart().await,
-            Trouble::Crash => gateway.crash(chance.time(50, 2_000)).await,
-            Trouble::Reloads => {
-                for _ in 0..=chance.below(3) {
-                    gateway.reload(chance.below(ADDRESSES));
-                    Timer::after(chance.time(20, 1_500)).await;
-                }
-            }
-            Trouble::WallClockEverywhere => {
-                let step = self.step();
-                world.wall_step.set(step);
-                self.gateways.iter().for_each(|gateway| set_wall(gateway, step));
-            }
-            Trouble::WallClockOfOne => set_wall(gateway, self.step()),
-            Trouble::Interrupted => {
-                self.suffer(gateway, Fault::Interrupted, 5 + chance.below(195), lasts).await
-            }
-            Trouble::ShortTransfers => {
-                self.suffer(gateway, Fault::ShortTransfer, 2 + chance.below(50), lasts).await
-            }
-            Trouble::ConnectFails => {
-                self.suffer(gateway, Fault::ConnectFails, 1 + chance.below(8), lasts / 8).await
-            }
-            Trouble::SocketFails => {
-                self.suffer(gateway, Fault::SocketFails, 1 + chance.below(8), lasts / 8).await
-            }
-            Trouble::AcceptFails => {
-                self.suffer(gateway, Fault::AcceptFails, 1 + chance.below(8), lasts / 8).await
+    /// Injects one fault and records its beginning and its end.
+    async fn inject(&self, fault: Fault, number: usize) {
+        let random = &self.testbed.random;
+        let gateway = random.below(self.gateways.len());
+        let record = |began| {
+            let kind = fault.name().to_owned();
+            self.testbed.record.write(Event::Fault { kind, gateway, number, began });
+        };
+        record(true);
+        let duration = random.duration_ms(DURATION_MS.0, DURATION_MS.1);
+        self.apply(Injection { fault, gateway, duration }).await;
+        record(false);
+    }
+
+    async fn apply(&self, injection: Injection) {
+        match injection.fault {
+            Fault::GatewayRestart
+            | Fault::GatewayCrash
+            | Fault::Reloads
+            | Fault::WallClockEverywhere
+            | Fault::WallClockOfOneGateway => self.apply_to_process(injection).await,
+            Fault::InterruptedCalls
+            | Fault::ShortTransfers
+            | Fault::FailedConnects
+            | Fault::FailedSockets
+            | Fault::FailedAccepts
+            | Fault::NoMemory
+            | Fault::BrokenConnections
+            | Fault::DelayedSends => self.apply_to_calls(injection).await,
+            Fault::ZoneCut | Fault::ServerCut => self.apply_to_links(injection).await,
+            Fault::Server(_) | Fault::ServerRestart | Fault::ServerDrain => {
+                self.apply_to_server(injection).await;
             }
-            Trouble::NoMemory => self.suffer(gateway, Fault::NoMemory, 5 + chance.below(195), lasts).await,
-            Trouble::Broken => {
-                world.record.write(Event::Breaks { gateway: at, breaks: true });
-                self.suffer(gateway, Fault::Broken, 30 + chance.below(300), lasts).await;
-                world.record.write(Event::Breaks { gateway: at, breaks: false });
+            Fault::AgentSilent | Fault::AllAgentsSilent | Fault::WatchesStalled | Fault::AgentSlow => {
+                self.apply_to_discovery(injection).await;
             }
-            Trouble::HeldUp => {
-                let _ = gateway.faults.set(Fault::HeldUpFor, HELD_UP.as_nanos() as i64);
-                self.suffer(gateway, Fault::HeldUp, 20 + chance.below(200), lasts).await;
+        }
+    }
+
+    async fn apply_to_process(&self, injection: Injection) {
+        let random = &self.testbed.random;
+        let gateway = &self.gateways[injection.gateway];
+        match injection.fault {
+            Fault::GatewayRestart => gateway.restart().await,
+            Fault::GatewayCrash => {
+                gateway.crash(random.duration_ms(GATEWAY_DOWNTIME_MS.0, GATEWAY_DOWNTIME_MS.1)).await;
             }
-            Trouble::ZoneCut => {
-                let zone = chance.below(ZONES.len());
-                let apart = |n: &usize| n % ZONES.len() != zone;
-                let gateways: Vec<usize> = (0..self.gateways.len()).filter(apart).collect();
-                let servers = (0..world.servers.len()).filter(|n| world.servers[*n].zone == zone).collect();
-                self.cut(gateways, servers, lasts).await;
+            Fault::Reloads => {
+                for _ in 0..=random.below(3) {
+                    gateway.reload(random.below(ADDRESSES));
+                    Timer::after(random.duration_ms(RELOAD_PAUSE_MS.0, RELOAD_PAUSE_MS.1)).await;
+                }
             }
-            Trouble::ServerCut => {
-                let server = chance.below(world.servers.len());
-                self.cut((0..self.gateways.len()).collect(), vec![server], lasts).await;
+            Fault::WallClockEverywhere => {
+                let step_ms = self.clock_step_ms();
+                self.testbed.wall_step_ms.set(step_ms);
+                self.gateways.iter().for_each(|gateway| set_wall_clock(gateway, step_ms));
             }
-            Trouble::ServerManner(manner) => {
-                let Some(server) = self.sound_server() else { return };
-                world.set_manner(server, manner);
-                Timer::after(lasts).await;
-                world.set_manner(server, Manner::Good);
+            Fault::WallClockOfOneGateway => set_wall_clock(gateway, self.clock_step_ms()),
+            _ => {}
+        }
+    }
+
+    async fn apply_to_calls(&self, injection: Injection) {
+        let random = &self.testbed.random;
+        let Injection { fault, gateway, duration } = injection;
+        let short = duration / SEVERE_FAULT_DIVISOR;
+        let faults = &self.gateways[gateway].faults;
+        let (call_fault, one_in, duration) = match fault {
+            Fault::InterruptedCalls => (CallFault::Interrupted, 5 + random.below(195), duration),
+            Fault::ShortTransfers => (CallFault::ShortTransfer, 2 + random.below(50), duration),
+            Fault::FailedConnects => (CallFault::ConnectFails, 1 + random.below(8), short),
+            Fault::FailedSockets => (CallFault::SocketFails, 1 + random.below(8), short),
+            Fault::FailedAccepts => (CallFault::AcceptFails, 1 + random.below(8), short),
+            Fault::NoMemory => (CallFault::NoMemory, 5 + random.below(195), duration),
+            Fault::BrokenConnections => (CallFault::Broken, 30 + random.below(300), duration),
+            Fault::DelayedSends => {
+                let _ = faults.set(CallFault::HeldUpFor, SEND_DELAY.as_nanos() as i64);
+                (CallFault::HeldUp, 20 + random.below(200), duration)
             }
-            Trouble::ServerRestart => {
-                let Some(server) = self.sound_server() else { return };
-                self.server_restart(server).await;
+            _ => return,
+        };
+        let breaking = fault == Fault::BrokenConnections;
+        if breaking {
+            self.testbed.record.write(Event::ConnectionsBreaking { gateway, active: true });
+        }
+        let _ = faults.set(call_fault, one_in as i64);
+        Timer::after(duration).await;
+        let _ = faults.set(call_fault, 0);
+        if breaking {
+            self.testbed.record.write(Event::ConnectionsBreaking { gateway, active: false });
+        }
+    }
+
+    async fn apply_to_links(&self, injection: Injection) {
+        let random = &self.testbed.random;
+        let all_gateways = 0..self.gateways.len();
+        let servers = &self.testbed.servers;
+        if injection.fault == Fault::ServerCut {
+            let server = random.below(servers.len());
+            return self.cut_links(all_gateways.collect(), vec![server], injection.duration).await;
+        }
+        let zone = random.below(ZONES.len());
+        let other_gateways = all_gateways.filter(|gateway| gateway % ZONES.len() != zone).collect();
+        let zone_servers = (0..servers.len()).filter(|server| servers[*server].zone == zone).collect();
+        self.cut_links(other_gateways, zone_servers, injection.duration).await;
+    }
+
+    async fn apply_to_server(&self, injection: Injection) {
+        let testbed = &self.testbed;
+        let Some(server) = self.healthy_server() else { return };
+        match injection.fault {
+            Fault::Server(behavior) => {
+                testbed.set_behavior(server, behavior);
+                Timer::after(injection.duration).await;
+                testbed.set_behavior(server, ServerBehavior::Healthy);
             }
-            Trouble::Drain => {
-                let Some(server) = self.sound_server() else { return };
-                world.relist(server, Status::Leaving);
-                Timer::after(lasts + world.terms.drain_grace).await;
-                world.relist(server, Status::Left);
-                Timer::after(world.terms.drain_grace).await;
-                self.server_restart(server).await;
+            Fault::ServerRestart => self.restart_server(server).await,
+            Fault::ServerDrain => {
+                let grace = testbed.parameters.drain_grace;
+                testbed.publish(server, EndpointStatus::Draining);
+                Timer::after(injection.duration + grace).await;
+                testbed.publish(server, EndpointStatus::Removed);
+                Timer::after(grace).await;
+                self.restart_server(server).await;
             }
-            Trouble::AgentSilent => {
-                world.silence(at, true);
-                Timer::after(lasts).await;
-                world.silence(at, false);
+            _ => {}
+        }
+    }
+
+    async fn apply_to_discovery(&self, injection: Injection) {
+        let testbed = &self.testbed;
+        let Injection { fault, gateway, duration } = injection;
+        let agent = &testbed.agents[gateway];
+        match fault {
+            Fault::AgentSilent => {
+                testbed.set_agent_silent(gateway, true);
+                Timer::after(duration).await;
+                testbed.set_agent_silent(gateway, false);
             }
-            Trouble::AllAgentsSilent => {
-                (0..self.gateways.len()).for_each(|gateway| world.silence(gateway, true));
-                Timer::after(lasts).await;
-                (0..self.gateways.len()).for_each(|gateway| world.silence(gateway, false));
+            Fault::AllAgentsSilent => {
+                (0..self.gateways.len()).for_each(|gateway| testbed.set_agent_silent(gateway, true));
+                Timer::after(duration).await;
+                (0..self.gateways.len()).for_each(|gateway| testbed.set_agent_silent(gateway, false));
             }
-            Trouble::WatchesSilent => {
-                let agent = &world.agents[at];
-                agent.watches_fell_silent.set(agent.watches_fell_silent.get() + 1);
-                world.record.write(Event::WatchesSilent { gateway: at });
+            Fault::WatchesStalled => {
+                agent.stalls.set(agent.stalls.get() + 1);
+                testbed.record.write(Event::WatchesStalled { gateway });
             }
-            Trouble::AgentSlow => {
-                let slow = &world.agents[at].slow;
-                slow.set(chance.time(100, 1_500));
-                world.record.write(Event::AgentSlow { gateway: at, slow: slow.get() });
-                Timer::after(lasts).await;
-                slow.set(Duration::ZERO);
-                world.record.write(Event::AgentSlow { gateway: at, slow: Duration::ZERO });
+            Fault::AgentSlow => {
+                let delay = testbed.random.duration_ms(DISCOVERY_DELAY_MS.0, DISCOVERY_DELAY_MS.1);
+                agent.delay.set(delay);
+                testbed.record.write(Event::DiscoveryDelayed { gateway, delay });
+                Timer::after(duration).await;
+                agent.delay.set(Duration::ZERO);
+                testbed.record.write(Event::DiscoveryDelayed { gateway, delay: Duration::ZERO });
             }
+            _ => {}
         }
     }
 
-    fn step(&self) -> i64 {
-        let most = self.world.chance.below(STEP_MOST_MS as usize) as i64;
-        if self.world.chance.hits(0.5) { most } else { -most }
-    }
-
-    async fn suffer(&self, gateway: &Gateway, fault: Fault, rate: usize, lasts: Duration) {
-        let _ = gateway.faults.set(fault, rate as i64);
-        Timer::after(lasts).await;
-        let _ = gateway.faults.set(fault, 0);
+    fn clock_step_ms(&self) -> i64 {
+        let step = self.testbed.random.below(MAX_CLOCK_STEP_MS as usize) as i64;
+        if self.testbed.random.happens(0.5) { step } else { -step }
     }
 
-    async fn cut(&self, gateways: Vec<usize>, servers: Vec<usize>, lasts: Duration) {
-        let each = |cut: bool| {
+    async fn cut_links(&self, gateways: Vec<usize>, servers: Vec<usize>, duration: Duration) {
+        let set_all = |cut: bool| {
             for gateway in &gateways {
-                servers.iter().for_each(|server| self.world.cut(*gateway, *server, cut));
+                servers.iter().for_each(|server| self.testbed.set_link_cut(*gateway, *server, cut));
             }
         };
-        each(true);
-        self.world.record.write(Event::Cut { servers: servers.clone(), cut: true });
-        Timer::after(lasts).await;
-        each(false);
-        self.world.record.write(Event::Cut { servers, cut: false });
+        set_all(true);
+        self.testbed.record.write(Event::LinksCut { servers: servers.clone(), cut: true });
+        Timer::after(duration).await;
+        set_all(false);
+        self.testbed.record.write(Event::LinksCut { servers, cut: false });
     }
 
-    /// A server that nothing is wrong with, where not too many of its role are impaired.
-    fn sound_server(&self) -> Option<usize> {
-        let sound = |n: &usize| {
-            let server = &self.world.servers[*n];
-            server.manner.get() == Manner::Good && server.status.get() == Status::Active
+    /// A server without a fault, where not too many of its role have one.
+    fn healthy_server(&self) -> Option<usize> {
+        let (servers, random) = (&self.testbed.servers, &self.testbed.random);
+        let role = if random.happens(0.5) { Role::Prefill } else { Role::Decode };
+        let is_healthy = |number: &usize| {
+            let server = &servers[*number];
+            server.behavior.get() == ServerBehavior::Healthy && server.status.get() == EndpointStatus::Active
         };
-        let role = if self.world.chance.hits(0.5) { Role::Prefill } else { Role::Decode };
-        let of_role: Vec<usize> =
-            (0..self.world.servers.len()).filter(|n| self.world.servers[*n].role == role).collect();
-        let good: Vec<usize> = of_role.iter().copied().filter(sound).collect();
-        let enough = of_role.len() - good.len() < MOST_IMPAIRED;
-        enough.then(|| good.get(self.world.chance.below(good.len())).copied())?
+        let of_role: Vec<usize> = (0..servers.len()).filter(|number| servers[*number].role == role).collect();
+        let healthy: Vec<usize> = of_role.iter().copied().filter(is_healthy).collect();
+        if of_role.len() - healthy.len() >= MAX_FAULTY_SERVERS {
+            return None;
+        }
+        healthy.get(random.below(healthy.len())).copied()
     }
 
-    async fn server_restart(&self, server: usize) {
-        let (world, state) = (&self.world, &self.world.servers[server]);
-        world.set_manner(server, Manner::Down);
-        world.forget(server);
-        Timer::after(world.chance.time(100, 1_500)).await;
-        state.starts.set(state.starts.get() + 1);
-        state.stamp.set(world.wall_ms());
-        world.record.write(Event::Started { server });
-        world.set_manner(server, Manner::Good);
-        Timer::after(world.chance.time(1, 200)).await;
-        world.relist(server, Status::Active);
+    async fn restart_server(&self, server: usize) {
+        let (testbed, random) = (&self.testbed, &self.testbed.random);
+        let state = &testbed.servers[server];
+        testbed.set_behavior(server, ServerBehavior::Down);
+        testbed.drop_cache(server);
+        Timer::after(random.duration_ms(SERVER_DOWNTIME_MS.0, SERVER_DOWNTIME_MS.1)).await;
+        state.restarts.set(state.restarts.get() + 1);
+        state.started_ms.set(testbed.wall_ms());
+        testbed.record.write(Event::ServerStarted { server });
+        testbed.set_behavior(server, ServerBehavior::Healthy);
+        Timer::after(random.duration_ms(LISTING_DELAY_MS.0, LISTING_DELAY_MS.1)).await;
+        testbed.publish(server, EndpointStatus::Active);
     }
 }
 
-fn set_wall(gateway: &Gateway, step_ms: i64) {
-    let _ = gateway.faults.set(Fault::WallOffset, step_ms * 1_000_000);
+fn set_wall_clock(gateway: &Gateway, step_ms: i64) {
+    let _ = gateway.faults.set(CallFault::WallOffset, step_ms * NANOS_PER_MS);
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,19 +1,22 @@
-//! Randomized faults against `petrelshore platform` processes, judged by what passed on their sockets.
+//! Randomized faults against `petrelshore platform` processes, judged by what was observed on their sockets.
 //!
-//! One run plays clients, model servers, discovery and the network for real gateway processes on loopback, brings
-//! troubles that overlap in time, and judges by the record of what passed: [`oracle`] knows nothing else.
+//! One run provides clients, model servers, discovery and the network for real gateway processes on loopback, injects
+//! faults that overlap in time, and judges by the record of what was observed: [`oracle`] uses nothing else.
 
-pub mod client;
-pub mod discovery;
-pub mod fault;
-pub mod message;
+mod client;
+mod discovery;
+mod fault;
+mod gateway_config;
+mod message;
 pub mod oracle;
-pub mod process;
-pub mod random;
+mod process;
+mod random;
 pub mod record;
+mod report;
 mod run;
-pub mod server;
+mod server;
 pub mod shim;
-pub mod world;
+pub mod testbed;
 
-pub use run::{Plan, Report, run};
+pub use report::{FaultPair, Report};
+pub use run::{Plan, run};
--- a/soak/src/message.rs
+++ b/soak/src/message.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages as the parties of a soak read them: heads, bodies by length, chunks.
+//! HTTP/1.1 messages as clients and servers of a run read and write them: heads, bodies by length, chunks.
 
 use async_io::Timer;
 use async_net::TcpStream;
@@ -7,61 +7,62 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// A head may have so many lines.
-const MOST_LINES: usize = 256;
+const MAX_HEAD_LINES: usize = 256;
 
 /// One end of a connection.
 pub type Connection = BufReader<TcpStream>;
 
-/// A request line or status line with the fields behind it.
+/// The head of a request or a response.
 pub struct Head {
-    pub first: String,
+    /// The request line or status line.
+    pub start_line: String,
     fields: Vec<(String, String)>,
 }
 
 impl Head {
+    /// The value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
-        let found = self.fields.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
-        found.map(|(_, value)| value.as_str())
+        let field = self.fields.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
+        field.map(|(_, value)| value.as_str())
     }
 
-    /// The number behind the protocol's name in a status line.
+    /// The status code of a status line; zero where there is none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 }
 
-/// The next head; none where the connection ends before its first byte.
-pub async fn head(connection: &mut Connection) -> io::Result<Option<Head>> {
-    let mut first = String::new();
-    if connection.read_line(&mut first).await? == 0 {
+/// Reads the next head; `None` where the connection ends before its first byte.
+pub async fn read_head(connection: &mut Connection) -> io::Result<Option<Head>> {
+    let mut start_line = String::new();
+    if connection.read_line(&mut start_line).await? == 0 {
         return Ok(None);
     }
     let mut fields = Vec::new();
-    for _ in 0..MOST_LINES {
+    for _ in 0..MAX_HEAD_LINES {
         let mut line = String::new();
         if connection.read_line(&mut line).await? == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
         match line.trim_end().split_once(':') {
             Some((name, value)) => fields.push((name.to_owned(), value.trim().to_owned())),
-            None if line.trim().is_empty() => return Ok(Some(Head { first, fields })),
+            None if line.trim().is_empty() => return Ok(Some(Head { start_line, fields })),
             None => return Err(ErrorKind::InvalidData.into()),
         }
     }
     Err(ErrorKind::InvalidData.into())
 }
 
-/// The body that a head tells by its length.
-pub async fn body(connection: &mut Connection, head: &Head) -> io::Result<Vec<u8>> {
+/// Reads the body whose length a head announces.
+pub async fn read_body(connection: &mut Connection, head: &Head) -> io::Result<Vec<u8>> {
     let length = head.field("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     connection.read_exact(&mut body).await?;
     Ok(body)
 }
 
-/// The next chunk; empty for the last.
-pub async fn chunk(connection: &mut Connection) -> io::Result<Vec<u8>> {
+/// Reads the next chunk; the last one is empty.
+pub async fn read_chunk(connection: &mut Connection) -> io::Result<Vec<u8>> {
     let mut line = String::new();
     if connection.read_line(&mut line).await? == 0 {
         return Err(ErrorKind::UnexpectedEof.into());
@@ -73,20 +74,22 @@
     Ok(data)
 }
 
-pub async fn say(connection: &mut Connection, text: &str) -> io::Result<()> {
+/// Writes and flushes a text.
+pub async fn write_text(connection: &mut Connection, text: &str) -> io::Result<()> {
     connection.get_mut().write_all(text.as_bytes()).await?;
     connection.get_mut().flush().await
 }
 
-pub fn as_chunk(text: &str) -> String {
+/// A text as one chunk.
+pub fn encode_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What comes within the time.
-pub async fn within<T>(time: Duration, what: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+/// The output of a future that completes within `time`.
+pub async fn with_timeout<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
+    let expired = async {
         Timer::after(time).await;
         None
     };
-    future::or(async { Some(what.await) }, late).await
+    future::or(async { Some(work.await) }, expired).await
 }
--- a/soak/src/oracle/history.rs
+++ b/soak/src/oracle/history.rs
@@ -1,161 +1,249 @@
-//! A run's record, sorted by who it is about.
+//! A run's record, sorted by request, exchange, process and gateway.
 
-use super::{EVENT_LATE, Rule, Violation};
-use crate::record::{Class, Event, Exchange, Outcome, Process, Role, Seen, Status, Time};
+use super::{Rule, Violation};
+use crate::record::{
+    Class, ClientOutcome, EndpointStatus, Event, Exchange, ExchangeOutcome, Process, Role, Time,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// An event of a stream that was in transit for longer counts as held back.
+const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
+
+/// A value that holds from some time on, or that was observed then.
+#[derive(Clone, Copy)]
+pub(super) struct Timed<T> {
+    pub(super) at: Time,
+    pub(super) value: T,
+}
+
+/// A request, as its client saw it.
 #[derive(Default)]
 pub(super) struct Request {
-    pub(super) to: Option<Process>,
+    pub(super) process: Option<Process>,
     pub(super) class: Option<Class>,
     pub(super) deadline: Duration,
-    /// Its last byte was written: each time, where it was sent once more.
-    pub(super) asked: Vec<Time>,
-    pub(super) answer_began: Option<Time>,
-    pub(super) answered: Option<(Time, Seen)>,
-    pub(super) left: Option<Time>,
+    /// When its last byte was written, each time that it was sent.
+    pub(super) sent: Vec<Time>,
+    pub(super) response_started: Option<Time>,
+    pub(super) response: Option<Timed<ClientOutcome>>,
+    pub(super) disconnected: Option<Time>,
     pub(super) exchanges: Vec<Exchange>,
-    pub(super) held: Vec<(usize, Time, Option<Time>)>,
-    pub(super) late_event: bool,
+    pub(super) reservations: Vec<Reservation>,
+    pub(super) has_late_event: bool,
     pub(super) streamed: bool,
 }
 
+/// KV cache that a server held for a request.
+pub(super) struct Reservation {
+    pub(super) server: usize,
+    pub(super) from: Time,
+    pub(super) until: Option<Time>,
+}
+
+/// A request that arrived at a model server.
 pub(super) struct Arrival {
     pub(super) request: u64,
     pub(super) server: usize,
     pub(super) role: Role,
-    pub(super) from: usize,
-    pub(super) began: Time,
+    pub(super) gateway: usize,
+    pub(super) started_at: Time,
     pub(super) at: Time,
-    pub(super) told: Duration,
-    pub(super) ended: Option<(Time, Outcome)>,
+    pub(super) deadline: Duration,
+    pub(super) end: Option<Timed<ExchangeOutcome>>,
 }
 
+/// What happened to one gateway process.
 #[derive(Default)]
-pub(super) struct Life {
+pub(super) struct ProcessHistory {
     pub(super) spawned: Time,
-    pub(super) ready: Option<Duration>,
-    pub(super) told_to_stop: Option<Time>,
-    pub(super) over: Option<Time>,
+    pub(super) startup_time: Option<Duration>,
+    pub(super) stop_signal: Option<Time>,
+    pub(super) ended: Option<Time>,
     pub(super) killed: Option<Time>,
 }
 
+/// What happened around one gateway, over all of its processes.
+#[derive(Default)]
+pub(super) struct GatewayHistory {
+    pub(super) stalled_watches: Vec<Time>,
+    pub(super) reloads: Vec<Time>,
+    pub(super) discovery_delays: Vec<Timed<Duration>>,
+    /// Since when its outgoing connections break, or do so no more.
+    pub(super) connections_breaking: Vec<Timed<bool>>,
+}
+
+/// A start of a model server.
+pub(super) struct ServerStart {
+    pub(super) server: usize,
+    pub(super) at: Time,
+}
+
+/// Identifies what one gateway's discovery agent knows of one model server.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EndpointView {
+    pub(super) gateway: usize,
+    pub(super) server: usize,
+}
+
+/// A whole run.
 #[derive(Default)]
-pub(super) struct Run {
+pub(super) struct History {
     pub(super) requests: BTreeMap<u64, Request>,
     pub(super) arrivals: BTreeMap<Exchange, Arrival>,
-    pub(super) lives: BTreeMap<Process, Life>,
-    /// Word of servers that gateways' agents have had.
-    pub(super) had: BTreeMap<(usize, usize), Vec<(Time, Status)>>,
-    pub(super) watches_silent: BTreeMap<usize, Vec<Time>>,
-    pub(super) reloads: BTreeMap<usize, Vec<Time>>,
-    pub(super) slow: BTreeMap<usize, Vec<(Time, Duration)>>,
-    pub(super) breaks: BTreeMap<usize, Vec<(Time, bool)>>,
-    pub(super) started: Vec<(usize, Time)>,
-    pub(super) lags: Vec<(Time, Duration)>,
+    pub(super) processes: BTreeMap<Process, ProcessHistory>,
+    pub(super) gateways: BTreeMap<usize, GatewayHistory>,
+    /// The endpoint updates that gateways' discovery agents had.
+    pub(super) endpoint_updates: BTreeMap<EndpointView, Vec<Timed<EndpointStatus>>>,
+    pub(super) server_starts: Vec<ServerStart>,
+    pub(super) scheduling_delays: Vec<Timed<Duration>>,
     pub(super) end: Time,
 }
 
-/// Sorts a record; violations that single events show come along.
-pub(super) fn sort(events: &[(Time, Event)]) -> (Run, Vec<Violation>) {
-    let (mut run, mut violations) = (Run::default(), Vec::new());
-    for (at, event) in events {
-        let at = *at;
-        run.end = at;
-        match event.clone() {
-            Event::Asked { request, to, class, deadline, began: _ } => {
-                let request = run.requests.entry(request).or_default();
-                (request.to, request.class, request.deadline) = (Some(to), Some(class), deadline);
-                request.asked.push(at);
-                request.answered = None;
-            }
-            Event::AnswerBegan { request } => {
-                run.requests.entry(request).or_default().answer_began.get_or_insert(at);
-            }
-            Event::Answered { request, seen } => {
-                run.requests.entry(request).or_default().answered = Some((at, seen));
-            }
-            Event::Left { request } => run.requests.entry(request).or_default().left = Some(at),
-            Event::EventCame { request, late } => {
-                let request = run.requests.entry(request).or_default();
+impl History {
+    /// Sorts a record; violations that single events prove come along.
+    pub(super) fn from_events(events: &[(Time, Event)]) -> (History, Vec<Violation>) {
+        let (mut history, mut violations) = (History::default(), Vec::new());
+        for (at, event) in events {
+            history.end = *at;
+            history.add_client_event(*at, event);
+            history.add_server_event(*at, event);
+            history.add_discovery_event(*at, event);
+            history.add_process_event(*at, event);
+            if let Event::SchedulingDelay { delay } = event {
+                history.scheduling_delays.push(Timed { at: *at, value: *delay });
+            }
+            violations.extend(history.violation_by(*at, event));
+        }
+        (history, violations)
+    }
+
+    fn request(&mut self, id: u64) -> &mut Request {
+        self.requests.entry(id).or_default()
+    }
+
+    fn process(&mut self, process: Process) -> &mut ProcessHistory {
+        self.processes.entry(process).or_default()
+    }
+
+    fn gateway(&mut self, gateway: usize) -> &mut GatewayHistory {
+        self.gateways.entry(gateway).or_default()
+    }
+
+    fn add_client_event(&mut self, at: Time, event: &Event) {
+        match *event {
+            Event::RequestSent { request, process, class, deadline, started_at: _ } => {
+                let request = self.request(request);
+                request.process = Some(process);
+                request.class = Some(class);
+                request.deadline = deadline;
+                request.sent.push(at);
+                request.response = None;
+            }
+            Event::ResponseStarted { request } => {
+                self.request(request).response_started.get_or_insert(at);
+            }
+            Event::ResponseEnded { request, outcome } => {
+                self.request(request).response = Some(Timed { at, value: outcome });
+            }
+            Event::ClientDisconnected { request } => self.request(request).disconnected = Some(at),
+            Event::StreamEventReceived { request, delay } => {
+                let own_delay = self.scheduling_delays.last().map_or(Duration::ZERO, |last| last.value);
+                let request = self.request(request);
                 request.streamed = true;
-                request.late_event |= late > EVENT_LATE + run.lags.last().map_or(Duration::ZERO, |lag| lag.1);
-            }
-            Event::BadClient { to, answered, served } => {
-                if !answered || served {
-                    run.lives.entry(to).or_default();
-                    let what = format!("a bad client: answered {answered}, served {served}");
-                    violations.push(Violation {
-                        rule: Rule::BadClient,
-                        at,
-                        request: None,
-                        process: Some(to),
-                        what,
-                    });
-                }
+                request.has_late_event |= delay > MAX_EVENT_DELAY + own_delay;
             }
-            Event::Arrived { exchange, request, server, role, from, began, told } => {
-                let arrival = Arrival { request, server, role, from, began, at, told, ended: None };
-                run.arrivals.insert(exchange, arrival);
-                run.requests.entry(request).or_default().exchanges.push(exchange);
+            Event::InvalidRequestFinished { process, answered, served } if !answered || served => {
+                self.process(process);
             }
-            Event::Ended { exchange, outcome } => {
-                if let Some(arrival) = run.arrivals.get_mut(&exchange) {
-                    arrival.ended = Some((at, outcome));
+            _ => {}
+        }
+    }
+
+    fn add_server_event(&mut self, at: Time, event: &Event) {
+        match *event {
+            Event::ExchangeStarted { exchange, request, server, role, gateway, started_at, deadline } => {
+                let arrival = Arrival { request, server, role, gateway, started_at, at, deadline, end: None };
+                self.arrivals.insert(exchange, arrival);
+                self.request(request).exchanges.push(exchange);
+            }
+            Event::ExchangeEnded { exchange, outcome } => {
+                if let Some(arrival) = self.arrivals.get_mut(&exchange) {
+                    arrival.end = Some(Timed { at, value: outcome });
                 }
             }
-            Event::Held { request, server } => {
-                run.requests.entry(request).or_default().held.push((server, at, None));
+            Event::CacheReserved { request, server } => {
+                self.request(request).reservations.push(Reservation { server, from: at, until: None });
             }
-            Event::Freed { request, server } => {
-                let held = &mut run.requests.entry(request).or_default().held;
-                if let Some(held) = held.iter_mut().rev().find(|held| held.0 == server && held.2.is_none()) {
-                    held.2 = Some(at);
+            Event::CacheReleased { request, server } => {
+                let mut reservations = self.request(request).reservations.iter_mut();
+                let open = reservations.rfind(|held| held.server == server && held.until.is_none());
+                if let Some(reservation) = open {
+                    reservation.until = Some(at);
                 }
             }
-            Event::Started { server } => run.started.push((server, at)),
-            Event::Had { gateway, server, status } => {
-                run.had.entry((gateway, server)).or_default().push((at, status));
-            }
-            Event::WatchesSilent { gateway } => run.watches_silent.entry(gateway).or_default().push(at),
-            Event::AgentSlow { gateway, slow } => run.slow.entry(gateway).or_default().push((at, slow)),
-            Event::Breaks { gateway, breaks } => run.breaks.entry(gateway).or_default().push((at, breaks)),
-            Event::Spawned { process } => run.lives.entry(process).or_default().spawned = at,
-            Event::Ready { process, took } => run.lives.entry(process).or_default().ready = Some(took),
-            Event::NotReady { process } => {
-                let what = "it did not get ready".to_owned();
-                violations.push(Violation {
-                    rule: Rule::Crash,
-                    at,
-                    request: None,
-                    process: Some(process),
-                    what,
-                });
-            }
-            Event::ToldToStop { process } => run.lives.entry(process).or_default().told_to_stop = Some(at),
-            Event::ToldToReload { process } => run.reloads.entry(process.gateway).or_default().push(at),
-            Event::Killed { process } => {
-                let life = run.lives.entry(process).or_default();
-                (life.killed, life.over) = (Some(at), Some(at));
-            }
-            Event::Exited { process, clean } => {
-                let life = run.lives.entry(process).or_default();
-                life.over = Some(at);
-                if !clean || life.told_to_stop.is_none() {
-                    let what = format!("its process ended by itself, cleanly: {clean}");
-                    violations.push(Violation {
-                        rule: Rule::Crash,
-                        at,
-                        request: None,
-                        process: Some(process),
-                        what,
-                    });
+            Event::ServerStarted { server } => self.server_starts.push(ServerStart { server, at }),
+            _ => {}
+        }
+    }
+
+    fn add_discovery_event(&mut self, at: Time, event: &Event) {
+        match *event {
+            Event::EndpointUpdated { gateway, server, status } => {
+                let updates = self.endpoint_updates.entry(EndpointView { gateway, server }).or_default();
+                updates.push(Timed { at, value: status });
+            }
+            Event::WatchesStalled { gateway } => self.gateway(gateway).stalled_watches.push(at),
+            Event::DiscoveryDelayed { gateway, delay } => {
+                self.gateway(gateway).discovery_delays.push(Timed { at, value: delay });
+            }
+            Event::ConnectionsBreaking { gateway, active } => {
+                self.gateway(gateway).connections_breaking.push(Timed { at, value: active });
+            }
+            _ => {}
+        }
+    }
+
+    fn add_process_event(&mut self, at: Time, event: &Event) {
+        match *event {
+            Event::ProcessSpawned { process } => self.process(process).spawned = at,
+            Event::ProcessReady { process, startup_time } => {
+                self.process(process).startup_time = Some(startup_time);
+            }
+            Event::StopSignalSent { process } => self.process(process).stop_signal = Some(at),
+            Event::ReloadSignalSent { process } => self.gateway(process.gateway).reloads.push(at),
+            Event::ProcessKilled { process } => {
+                let process = self.process(process);
+                process.killed = Some(at);
+                process.ended = Some(at);
+            }
+            Event::ProcessExited { process, clean: _ } => self.process(process).ended = Some(at),
+            _ => {}
+        }
+    }
+
+    /// The violation that an event proves by itself, with what was before it.
+    fn violation_by(&self, at: Time, event: &Event) -> Option<Violation> {
+        let violation = |rule: Rule, process: Process, description: String| {
+            Some(Violation { rule, at, request: None, process: Some(process), description })
+        };
+        match *event {
+            Event::InvalidRequestFinished { process, answered, served } if !answered || served => {
+                let description = format!("a bad client: answered {answered}, served {served}");
+                violation(Rule::BadClient, process, description)
+            }
+            Event::ProcessNotReady { process } => {
+                violation(Rule::Crash, process, "it did not get ready".to_owned())
+            }
+            Event::ProcessExited { process, clean } => {
+                let stopping = self.processes.get(&process).is_some_and(|known| known.stop_signal.is_some());
+                if clean && stopping {
+                    return None;
                 }
+                let description = format!("its process ended by itself, cleanly: {clean}");
+                violation(Rule::Crash, process, description)
             }
-            Event::Lag { late } => run.lags.push((at, late)),
-            Event::Agent { .. } | Event::Cut { .. } | Event::Trouble { .. } => {}
+            _ => None,
         }
     }
-    (run, violations)
 }
--- /dev/null
+++ b/soak/src/oracle/responses.rs
@@ -0,0 +1,137 @@
+//! Rule `lost`: each accepted request gets one final response in time.
+
+use super::history::{Request, Timed};
+use super::{Oracle, Rule, TRANSIT_SLACK, Violation};
+use crate::record::{ClientOutcome, ExchangeOutcome, Process, Role, Time};
+use std::time::Duration;
+
+/// A response that starts this long after its client's deadline counts as lost.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// Requests sent later than this after the stop signal have to be answered before the process is killed.
+const STOP_SLACK: Duration = Duration::from_millis(700);
+/// A stream whose server wrote its end has to reach its end at the client this soon.
+const STREAM_END_TIMEOUT: Duration = Duration::from_secs(1);
+/// A stream without an event for this long counts as dead.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
+
+/// A lost response.
+struct Loss {
+    at: Time,
+    description: String,
+}
+
+impl Oracle<'_> {
+    /// Checks that a request got one final response in time.
+    pub(super) fn check_response(&self, id: u64, request: &Request, violations: &mut Vec<Violation>) {
+        let (Some(process), Some(&sent)) = (request.process, request.sent.last()) else { return };
+        let due = sent + request.deadline + RESPONSE_SLACK;
+        let slack = self.slack(sent, due);
+        let until = request.response.map_or(due, |response| response.at);
+        let crashed = self.crashed_by(process, until.max(due) + slack);
+        if request.disconnected.is_some() || crashed || due + slack > self.history.end {
+            return;
+        }
+        let loss = match request.response {
+            None => Some(Loss { at: due, description: "no answer at all".to_owned() }),
+            Some(response) => self.loss(request, process, response, due + slack, due),
+        };
+        if let Some(Loss { at, description }) = loss {
+            let (request, process) = (Some(id), Some(process));
+            violations.push(Violation { rule: Rule::Lost, at, request, process, description });
+        }
+    }
+
+    /// Why a response counts as lost, if it does. It has to start by `limit`, and counts as late from `due` on.
+    fn loss(
+        &self,
+        request: &Request,
+        process: Process,
+        response: Timed<ClientOutcome>,
+        limit: Time,
+        due: Time,
+    ) -> Option<Loss> {
+        let at = response.at;
+        match response.value {
+            ClientOutcome::TimedOut => {
+                Some(Loss { at, description: "its connection fell silent".to_owned() })
+            }
+            ClientOutcome::NoResponse { reused } => {
+                let forwarded = !request.exchanges.is_empty();
+                let description =
+                    format!("closed without an answer, connection reused: {reused}, sent on: {forwarded}");
+                (!reused || forwarded).then_some(Loss { at, description })
+            }
+            ClientOutcome::Truncated => self.truncation(request, process, at),
+            ClientOutcome::Complete(status) => {
+                let started = request.response_started.unwrap_or(at);
+                (started > limit).then(|| {
+                    let description = format!("{status} came {:?} late", started - due);
+                    Loss { at: started, description }
+                })
+            }
+        }
+    }
+
+    /// Whether a process was killed by that time without a stop signal.
+    fn crashed_by(&self, process: Process, at: Time) -> bool {
+        self.process(process).is_some_and(|process| {
+            process.stop_signal.is_none() && process.killed.is_some_and(|killed| killed <= at)
+        })
+    }
+
+    /// A stream whose server wrote its end has to be forwarded to its end; others may be truncated where their own
+    /// connection broke.
+    fn truncation(&self, request: &Request, process: Process, at: Time) -> Option<Loss> {
+        let last = self.arrivals_of(request).rfind(|arrival| arrival.role == Role::Decode);
+        let end = last.and_then(|arrival| arrival.end);
+        let to_blame = match end {
+            // The end may have been in transit as its connection broke.
+            Some(Timed { at: ended, value: ExchangeOutcome::Completed | ExchangeOutcome::Abandoned })
+                if self.connections_broke(process.gateway, ended) =>
+            {
+                false
+            }
+            Some(Timed { value: ExchangeOutcome::Completed, .. }) => true,
+            // The gateway abandoned a stream that was still coming.
+            Some(Timed { at: abandoned, value: ExchangeOutcome::Abandoned }) => {
+                abandoned + STREAM_END_TIMEOUT >= at && !is_idle(request, at)
+            }
+            _ => false,
+        };
+        if !to_blame || self.truncated_by_stop(request, process, at) {
+            return None;
+        }
+        let end = match end {
+            Some(Timed { at, value }) => format!("Some(({at:?}, {value}))"),
+            None => "None".to_owned(),
+        };
+        Some(Loss { at, description: format!("its stream was cut, at its server: {end}") })
+    }
+
+    /// Whether a graceful shutdown excuses a truncated stream: what was accepted early enough before the kill may be in
+    /// flight then, and clients that resume streams move to another gateway.
+    fn truncated_by_stop(&self, request: &Request, process: Process, at: Time) -> bool {
+        let Some(process) = self.process(process) else { return false };
+        let Some(stop) = process.stop_signal else { return false };
+        let accepted_early = request.sent.iter().all(|sent| *sent <= stop + STOP_SLACK);
+        let killed = process.killed.is_some_and(|killed| at >= killed);
+        self.parameters.resume_streams || (accepted_early && killed)
+    }
+
+    /// Whether outgoing connections of a gateway were being broken just then: their servers see that as an end by the
+    /// gateway.
+    fn connections_broke(&self, gateway: usize, at: Time) -> bool {
+        let Some(gateway) = self.history.gateways.get(&gateway) else { return false };
+        let changes = &gateway.connections_breaking;
+        let breaking = changes.iter().rfind(|change| change.at <= at).is_some_and(|change| change.value);
+        let just_ended =
+            changes.iter().any(|change| !change.value && change.at <= at && at <= change.at + TRANSIT_SLACK);
+        breaking || just_ended
+    }
+}
+
+/// Whether nothing had come from its server for so long that the stream counts as dead. A server that hangs, or a link
+/// that is cut, shows as a stream that is abandoned some seconds after its last event.
+fn is_idle(request: &Request, at: Time) -> bool {
+    request.response_started.is_some_and(|started| at.saturating_sub(started) >= STREAM_IDLE_TIMEOUT)
+}
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,8 +1,9 @@
-//! The gateways' processes: started, told, killed, watched.
+//! The gateways' processes: spawned, signalled, killed, supervised.
 
+use crate::message::with_timeout;
 use crate::record::{Event, Process};
 use crate::shim::{Faults, Library};
-use crate::world::World;
+use crate::testbed::Testbed;
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -15,44 +16,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const LOOK: Duration = Duration::from_millis(10);
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// Clients still come to a gateway that was told to stop for so long.
-const STILL_COMING: Duration = Duration::from_millis(300);
-/// The kill comes this long after the longest deadline.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-const DEADLINE_LEAST: Duration = Duration::from_secs(3);
-const LOGGED: &str = "info,petrelshore_platform_gateway=debug,petrelshore_platform_ingress=debug";
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Clients still connect to a gateway for this long after its stop signal.
+const CONNECTING_AFTER_STOP: Duration = Duration::from_millis(300);
+/// A stopping process is killed this long after the longest deadline.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+const MIN_STOP_TIME: Duration = Duration::from_secs(3);
+const LOG_FILTER: &str = "info,petrelshore_platform_gateway=debug,petrelshore_platform_ingress=debug";
 
 /// One gateway, over all of its processes.
 pub struct Gateway {
-    world: Rc<World>,
+    testbed: Rc<Testbed>,
     program: PathBuf,
     number: usize,
+    /// The faults in its system calls.
     pub faults: Faults,
     child: RefCell<Option<Child>>,
     run: Cell<usize>,
-    /// A stop or a start is under way.
-    busy: Cell<bool>,
+    /// A stop or a start is in progress.
+    transitioning: Cell<bool>,
 }
 
 impl Gateway {
+    /// A gateway without a process; `number` tells its addresses and files.
     pub fn new(
-        world: &Rc<World>,
+        testbed: &Rc<Testbed>,
         program: PathBuf,
         library: &Library,
         number: usize,
     ) -> io::Result<Rc<Gateway>> {
-        let words = world.folder.join(format!("n{number}.words"));
-        let faults = Faults::new(library, words, world.seed.wrapping_add(number as u64 + 1))?;
+        let settings = testbed.folder.join(format!("n{number}.words"));
+        let faults = Faults::new(library, settings, testbed.seed.wrapping_add(number as u64 + 1))?;
         Ok(Rc::new(Gateway {
-            world: world.clone(),
+            testbed: testbed.clone(),
             program,
             number,
             faults,
             child: RefCell::default(),
             run: Cell::new(0),
-            busy: Cell::new(false),
+            transitioning: Cell::new(false),
         }))
     }
 
@@ -61,74 +65,83 @@
     }
 
     fn config_file(&self) -> PathBuf {
-        self.world.folder.join(format!("n{}.json", self.number))
+        self.testbed.folder.join(format!("n{}.json", self.number))
     }
 
+    /// The log of one of its processes.
     pub fn log_file(&self, run: usize) -> PathBuf {
-        self.world.folder.join(format!("n{}-{run}.log", self.number))
+        self.testbed.folder.join(format!("n{}-{run}.log", self.number))
     }
 
     fn write_config(&self) -> io::Result<()> {
-        let beside = self.config_file().with_extension("new");
-        std::fs::write(&beside, self.world.config(self.number, self.run.get()))?;
-        std::fs::rename(beside, self.config_file())
+        let new_file = self.config_file().with_extension("new");
+        std::fs::write(&new_file, self.testbed.gateway_config(self.number, self.run.get()))?;
+        std::fs::rename(new_file, self.config_file())
     }
 
-    /// Starts a process, and says when it is ready; clients come from then on.
+    /// Starts a process and waits until it is ready; clients connect to it from then on.
     pub async fn start(&self) -> io::Result<()> {
         self.run.set(self.run.get() + 1);
         let process = self.process();
         self.write_config()?;
-        let mut command = Command::new(&self.program);
-        command.arg("--log-filter").arg(LOGGED).arg("platform").env("LB_CONFIG", self.config_file());
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(self.log_file(process.run))?);
-        self.faults.preload(&mut command);
-        *self.child.borrow_mut() = Some(command.spawn()?);
-        self.world.record.write(Event::Spawned { process });
-        for (server, state) in self.world.servers.iter().enumerate() {
-            if !self.world.agents[self.number].silent.get() {
-                let status = state.status.get();
-                self.world.record.write(Event::Had { gateway: self.number, server, status });
+        *self.child.borrow_mut() = Some(self.spawn(process)?);
+        self.testbed.record.write(Event::ProcessSpawned { process });
+        if !self.testbed.agents[self.number].silent.get() {
+            self.testbed.record_endpoint_list(self.number);
+        }
+        match self.wait_until_ready().await {
+            Some(startup_time) => {
+                self.testbed.record.write(Event::ProcessReady { process, startup_time });
+                self.testbed.open_gateways.borrow_mut().insert(self.number, process.run);
             }
+            None => self.testbed.record.write(Event::ProcessNotReady { process }),
         }
-        let began = self.world.record.now();
-        while self.world.record.now() - began < READY_WITHIN {
+        Ok(())
+    }
+
+    fn spawn(&self, process: Process) -> io::Result<Child> {
+        let log = File::create(self.log_file(process.run))?;
+        let mut command = Command::new(&self.program);
+        command.arg("--log-filter").arg(LOG_FILTER).arg("platform").env("LB_CONFIG", self.config_file());
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        self.faults.preload(&mut command);
+        command.spawn()
+    }
+
+    /// How long the process took to become ready; `None` where it ended or took too long.
+    async fn wait_until_ready(&self) -> Option<Duration> {
+        let began = self.testbed.record.now();
+        while self.testbed.record.now() - began < STARTUP_TIMEOUT {
             if self.is_ready().await {
-                let took = self.world.record.now() - began;
-                self.world.record.write(Event::Ready { process, took });
-                self.world.open.borrow_mut().insert(self.number, process.run);
-                return Ok(());
+                return Some(self.testbed.record.now() - began);
             }
             if self.has_exited() {
-                break;
+                return None;
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
-        self.world.record.write(Event::NotReady { process });
-        Ok(())
+        None
     }
 
     async fn is_ready(&self) -> bool {
-        let asked = async {
-            let mut stream = TcpStream::connect(self.world.gateway_address(self.number)).await?;
+        let check = async {
+            let mut stream = TcpStream::connect(self.testbed.gateway_address(self.number)).await?;
             stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n").await?;
             let mut answer = [0; 12];
             stream.read_exact(&mut answer).await?;
             Ok::<_, io::Error>(answer.ends_with(b"200"))
         };
-        crate::message::within(Duration::from_millis(500), asked)
-            .await
-            .is_some_and(|told| told.unwrap_or(false))
+        matches!(with_timeout(HEALTH_CHECK_TIMEOUT, check).await, Some(Ok(true)))
     }
 
-    /// Whether its process has ended; says so once.
+    /// Whether its process has ended; records that once.
     fn has_exited(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let Some(running) = child.as_mut() else { return true };
         let Ok(Some(status)) = running.try_wait() else { return false };
         let clean = status.success();
-        self.world.open.borrow_mut().remove(&self.number);
-        self.world.record.write(Event::Exited { process: self.process(), clean });
+        self.testbed.open_gateways.borrow_mut().remove(&self.number);
+        self.testbed.record.write(Event::ProcessExited { process: self.process(), clean });
         *child = None;
         true
     }
@@ -141,86 +154,87 @@
         }
     }
 
+    /// Clients connect to it no more.
     fn close(&self) {
-        self.world.open.borrow_mut().remove(&self.number);
+        self.testbed.open_gateways.borrow_mut().remove(&self.number);
     }
 
     fn kill(&self) {
         let Some(mut child) = self.child.borrow_mut().take() else { return };
-        self.world.record.write(Event::Killed { process: self.process() });
+        self.testbed.record.write(Event::ProcessKilled { process: self.process() });
         let _ = child.kill();
         let _ = child.wait();
     }
 
-    /// Kills it outright and starts it again after a while.
-    pub async fn crash(&self, away: Duration) {
-        if self.busy.replace(true) {
+    /// Kills the process without a stop signal and starts another after a while.
+    pub async fn crash(&self, downtime: Duration) {
+        if self.transitioning.replace(true) {
             return;
         }
-        // A process that ended before is not to be taken for one that was killed.
+        // A process that has ended by itself must not count as killed.
         if !self.has_exited() {
             self.close();
             self.kill();
         }
-        Timer::after(away).await;
+        Timer::after(downtime).await;
         let _ = self.start().await;
-        self.busy.set(false);
+        self.transitioning.set(false);
     }
 
-    /// Tells it to stop, kills it when its time is over, and starts it again.
+    /// Sends the stop signal, kills the process once its time is over, and starts another.
     pub async fn restart(&self) {
-        if self.busy.replace(true) {
+        if self.transitioning.replace(true) {
             return;
         }
         self.stop().await;
         let _ = self.start().await;
-        self.busy.set(false);
+        self.transitioning.set(false);
     }
 
     async fn stop(&self) {
-        self.world.record.write(Event::ToldToStop { process: self.process() });
+        let record = &self.testbed.record;
+        record.write(Event::StopSignalSent { process: self.process() });
         self.signal(Signal::TERM);
-        let kill_at =
-            self.world.record.now() + self.world.terms.longest_deadline.max(DEADLINE_LEAST) + KILL_AFTER;
-        let coming_until = self.world.record.now() + STILL_COMING;
-        while self.world.record.now() < kill_at && !self.has_exited() {
-            if self.world.record.now() >= coming_until {
+        let kill_at = record.now() + self.testbed.parameters.max_deadline.max(MIN_STOP_TIME) + KILL_DELAY;
+        let close_at = record.now() + CONNECTING_AFTER_STOP;
+        while record.now() < kill_at && !self.has_exited() {
+            if record.now() >= close_at {
                 self.close();
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         self.close();
         self.kill();
     }
 
-    /// Moves its discovery by a new configuration.
+    /// Moves its discovery agent to another address, by a new configuration.
     pub fn reload(&self, address: usize) {
-        if self.busy.get() || self.child.borrow().is_none() {
+        if self.transitioning.get() || self.child.borrow().is_none() {
             return;
         }
-        self.world.agents[self.number].address.set(address);
+        self.testbed.agents[self.number].address.set(address);
         if self.write_config().is_ok() {
-            self.world.record.write(Event::ToldToReload { process: self.process() });
+            self.testbed.record.write(Event::ReloadSignalSent { process: self.process() });
             self.signal(Signal::HUP);
         }
     }
 
-    /// Watches for a process that ends by itself, for as long as it is polled.
-    pub async fn watch(&self) {
+    /// Restarts a process that ends by itself, for as long as it is polled.
+    pub async fn supervise(&self) {
         loop {
-            Timer::after(LOOK).await;
-            if !self.busy.get() && self.child.borrow().is_some() && self.has_exited() {
+            Timer::after(POLL_INTERVAL).await;
+            if !self.transitioning.get() && self.child.borrow().is_some() && self.has_exited() {
                 let _ = self.start().await;
             }
         }
     }
 
     /// Stops it for good.
-    pub async fn end(&self) {
-        while self.busy.get() {
-            Timer::after(LOOK).await;
+    pub async fn shut_down(&self) {
+        while self.transitioning.get() {
+            Timer::after(POLL_INTERVAL).await;
         }
-        self.busy.set(true);
+        self.transitioning.set(true);
         if self.child.borrow().is_some() {
             self.stop().await;
         }
--- a/soak/src/random.rs
+++ b/soak/src/random.rs
@@ -1,33 +1,35 @@
-//! Seeded randomness that all parties of one thread draw from.
+//! Seeded randomness that all tasks of a run draw from.
 
 use oorandom::Rand64;
 use std::cell::RefCell;
 use std::time::Duration;
 
-pub struct Chance(RefCell<Rand64>);
+/// A seeded generator that is shared within one thread.
+pub struct Random(RefCell<Rand64>);
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        Chance(RefCell::new(Rand64::new(seed.into())))
+impl Random {
+    /// A generator that draws the same sequence for the same seed.
+    pub fn new(seed: u64) -> Random {
+        Random(RefCell::new(Rand64::new(seed.into())))
     }
 
-    /// Below one.
-    pub fn part(&self) -> f64 {
+    /// A number from zero up to, but not including, one.
+    pub fn fraction(&self) -> f64 {
         self.0.borrow_mut().rand_float()
     }
 
-    /// True once in `1 / part` times.
-    pub fn hits(&self, part: f64) -> bool {
-        self.part() < part
+    /// True with this probability.
+    pub fn happens(&self, probability: f64) -> bool {
+        self.fraction() < probability
     }
 
-    /// A number below `most`.
-    pub fn below(&self, most: usize) -> usize {
-        self.0.borrow_mut().rand_range(0..most.max(1) as u64) as usize
+    /// A number below `limit`; zero where `limit` is zero.
+    pub fn below(&self, limit: usize) -> usize {
+        self.0.borrow_mut().rand_range(0..limit.max(1) as u64) as usize
     }
 
-    /// A time between two, in milliseconds.
-    pub fn time(&self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(least + self.below((most - least) as usize) as u64)
+    /// A duration within a range of milliseconds.
+    pub fn duration_ms(&self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(min + self.below((max - min) as usize) as u64)
     }
 }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -1,201 +1,315 @@
-//! What passed on the sockets, and what was done to the world, with one clock. The oracle judges from this alone.
+//! The record of a run: what was observed on sockets and which faults were injected, all on one clock.
+//!
+//! The oracle judges from this record alone.
 
 use std::cell::RefCell;
+use std::fmt;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// Time since the start of a run.
 pub type Time = Duration;
 
-/// A gateway by its number, and which of its processes.
+/// One of a gateway's processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Process {
+    /// The gateway's number.
     pub gateway: usize,
+    /// Counts the gateway's processes from one.
     pub run: usize,
 }
 
-/// One exchange at a model server.
+/// Identifies one exchange at a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Exchange(pub u64);
 
-/// What a class of requests allows.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    Repeatable,
-    OnceOnly,
-    /// Repeats are known within one zone, for a while.
-    Tokened,
+    /// Any number of times.
+    Idempotent,
+    /// At most once.
+    AtMostOnce,
+    /// Servers of one zone recognize a retry by its idempotency key, for a limited time.
+    Keyed,
 }
 
+impl fmt::Display for Class {
+    /// Writes the word that reports use.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Class::Idempotent => "Repeatable",
+            Class::AtMostOnce => "OnceOnly",
+            Class::Keyed => "Tokened",
+        })
+    }
+}
+
+/// The step of a request that a model server executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Processes prompts.
     Prefill,
+    /// Generates answers.
     Decode,
 }
 
 /// How an exchange ended, as its server saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// Answered to the end, whatever the answer was worth.
-    Answered,
-    /// Declined with the mark that proves that nothing ran.
+pub enum ExchangeOutcome {
+    /// The server sent a complete response, of whatever status.
+    Completed,
+    /// The server rejected the request with the header that proves that nothing was executed.
     Declined,
     /// The server or the network broke the connection.
     Broken,
-    /// The gateway closed its connection, or ended its sending.
-    GivenUp,
+    /// The gateway closed the connection, or its sending half.
+    Abandoned,
 }
 
-/// What a client saw of its answer.
+impl fmt::Display for ExchangeOutcome {
+    /// Writes the word that reports use.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            ExchangeOutcome::Completed => "Answered",
+            ExchangeOutcome::Declined => "Declined",
+            ExchangeOutcome::Broken => "Broken",
+            ExchangeOutcome::Abandoned => "GivenUp",
+        })
+    }
+}
+
+/// How a request ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// The whole answer, with this status.
-    Whole(u16),
-    /// The stream ended without its last chunk.
-    CutShort,
-    /// The connection ended before any byte of an answer; whether it had served a request before.
-    Nothing { reused: bool },
-    /// Nothing more came for a long time.
-    Silence,
+pub enum ClientOutcome {
+    /// A complete response of this status.
+    Complete(u16),
+    /// The response ended before its end was announced.
+    Truncated,
+    /// The connection ended before the first byte of a response.
+    NoResponse {
+        /// Whether the connection had served a request before.
+        reused: bool,
+    },
+    /// Nothing arrived for a long time.
+    TimedOut,
 }
 
-/// The condition of a server in a list.
+impl fmt::Display for ClientOutcome {
+    /// Writes the words that reports use.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ClientOutcome::Complete(status) => write!(formatter, "Whole({status})"),
+            ClientOutcome::Truncated => formatter.write_str("CutShort"),
+            ClientOutcome::NoResponse { reused } => write!(formatter, "Nothing {{ reused: {reused} }}"),
+            ClientOutcome::TimedOut => formatter.write_str("Silence"),
+        }
+    }
+}
+
+/// The state of a model server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum EndpointStatus {
+    /// Accepts new requests.
     Active,
-    Leaving,
-    Left,
+    /// Listed, but accepts no new requests.
+    Draining,
+    /// Not listed.
+    Removed,
 }
 
+/// One observation or one injected fault.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The last byte of a request was written on a connection that its gateway's machine had taken.
-    Asked {
+    /// A client wrote the last byte of a request on a connection that a gateway's host had accepted.
+    RequestSent {
+        /// The request.
         request: u64,
-        to: Process,
+        /// The process that received it.
+        process: Process,
+        /// How often it may be executed.
         class: Class,
+        /// How long its client waits.
         deadline: Duration,
-        began: Time,
+        /// When its first byte was written.
+        started_at: Time,
     },
-    /// The first byte of an answer.
-    AnswerBegan {
+    /// A client read the first byte of a response.
+    ResponseStarted {
+        /// The request.
         request: u64,
     },
-    Answered {
+    /// A client has its response, or the end of its connection.
+    ResponseEnded {
+        /// The request.
         request: u64,
-        seen: Seen,
+        /// What the client saw.
+        outcome: ClientOutcome,
     },
-    /// The client closed its connection without waiting for the end.
-    Left {
+    /// A client closed its connection without waiting for the response.
+    ClientDisconnected {
+        /// The request.
         request: u64,
     },
-    /// How long an event of a stream was on its way.
-    EventCame {
+    /// A client read one event of a stream.
+    StreamEventReceived {
+        /// The request.
         request: u64,
-        late: Duration,
+        /// How long the event was in transit.
+        delay: Duration,
     },
-    /// What a bad client was told within its time: an error or a close, or nothing.
-    BadClient {
-        to: Process,
+    /// A client that sent an invalid request has finished.
+    InvalidRequestFinished {
+        /// The process that received it.
+        process: Process,
+        /// Whether an error or a close arrived in time.
         answered: bool,
+        /// Whether the request was served.
         served: bool,
     },
-    /// The last byte of a request was read at a server.
-    Arrived {
+    /// A model server read the last byte of a request.
+    ExchangeStarted {
+        /// The exchange.
         exchange: Exchange,
+        /// The request.
         request: u64,
+        /// The model server.
         server: usize,
+        /// The step that it executes.
         role: Role,
-        from: usize,
+        /// The gateway that sent it.
+        gateway: usize,
         /// When its first byte was read.
-        began: Time,
-        /// The deadline that it was told.
-        told: Duration,
+        started_at: Time,
+        /// The time left, as the server was notified.
+        deadline: Duration,
     },
-    Ended {
+    /// An exchange ended.
+    ExchangeEnded {
+        /// The exchange.
         exchange: Exchange,
-        outcome: Outcome,
+        /// How it ended.
+        outcome: ExchangeOutcome,
     },
-    /// A state is held for a request, or not any more.
-    Held {
+    /// A model server reserved KV cache for a request.
+    CacheReserved {
+        /// The request.
         request: u64,
+        /// The model server.
         server: usize,
     },
-    Freed {
+    /// A model server released the KV cache of a request.
+    CacheReleased {
+        /// The request.
         request: u64,
+        /// The model server.
         server: usize,
     },
-    /// A server started anew, cold.
-    Started {
+    /// A model server restarted and is warming up.
+    ServerStarted {
+        /// The model server.
         server: usize,
     },
-    /// A gateway's agent has word of a server.
-    Had {
+    /// A gateway's discovery agent has a new state of a model server.
+    EndpointUpdated {
+        /// The gateway.
         gateway: usize,
+        /// The model server.
         server: usize,
-        status: Status,
+        /// Its state.
+        status: EndpointStatus,
     },
-    /// A gateway's agent has stopped answering, or answers again.
-    Agent {
+    /// A gateway's discovery agent stopped responding, or responds again.
+    DiscoveryAvailability {
+        /// The gateway.
         gateway: usize,
-        up: bool,
+        /// Whether it responds.
+        available: bool,
     },
-    /// A gateway's agent answers so late from now on.
-    AgentSlow {
+    /// A gateway's discovery agent delays its responses from now on.
+    DiscoveryDelayed {
+        /// The gateway.
         gateway: usize,
-        slow: Duration,
+        /// The delay; zero ends it.
+        delay: Duration,
     },
-    /// Connections that a gateway has made break under it from now on, or do so no more.
-    Breaks {
+    /// A gateway's outgoing connections break from now on, or do so no more.
+    ConnectionsBreaking {
+        /// The gateway.
         gateway: usize,
-        breaks: bool,
+        /// Whether they break.
+        active: bool,
     },
-    /// Ways to these servers are cut, or open again.
-    Cut {
+    /// Links to model servers were cut, or restored.
+    LinksCut {
+        /// The model servers.
         servers: Vec<usize>,
+        /// Whether they are cut.
         cut: bool,
     },
-    /// A gateway's open watches have fallen silent.
-    WatchesSilent {
+    /// A gateway's open discovery polls will never be answered.
+    WatchesStalled {
+        /// The gateway.
         gateway: usize,
     },
-    Spawned {
+    /// A gateway process was spawned.
+    ProcessSpawned {
+        /// The process.
         process: Process,
     },
-    Ready {
+    /// A gateway process passed its first health check.
+    ProcessReady {
+        /// The process.
         process: Process,
-        took: Duration,
+        /// How long its start took.
+        startup_time: Duration,
     },
-    NotReady {
+    /// A gateway process did not become ready.
+    ProcessNotReady {
+        /// The process.
         process: Process,
     },
-    ToldToStop {
+    /// A gateway process was sent the stop signal.
+    StopSignalSent {
+        /// The process.
         process: Process,
     },
-    ToldToReload {
+    /// A gateway process was sent the reload signal.
+    ReloadSignalSent {
+        /// The process.
         process: Process,
     },
-    Killed {
+    /// A gateway process was killed.
+    ProcessKilled {
+        /// The process.
         process: Process,
     },
-    Exited {
+    /// A gateway process ended by itself.
+    ProcessExited {
+        /// The process.
         process: Process,
+        /// Whether it reported success.
         clean: bool,
     },
-    /// A trouble begins, or has ended; `gateway` is whose it is, where it is one gateway's.
-    Trouble {
+    /// A fault began or ended.
+    Fault {
+        /// The kind, by its name in reports.
         kind: String,
+        /// The gateway that it was drawn for.
         gateway: usize,
+        /// Identifies the fault within the run.
         number: usize,
+        /// Whether it began.
         began: bool,
     },
-    /// The soak itself was held up for so long.
-    Lag {
-        late: Duration,
+    /// The soak itself was delayed.
+    SchedulingDelay {
+        /// By how much.
+        delay: Duration,
     },
 }
 
-/// All that passed, in order.
+/// All events of a run, in order.
 #[derive(Clone)]
 pub struct Record {
     started: Instant,
@@ -209,15 +323,18 @@
 }
 
 impl Record {
+    /// Time since the start of the run.
     pub fn now(&self) -> Time {
         self.started.elapsed()
     }
 
+    /// Appends an event, as of now.
     pub fn write(&self, event: Event) {
         let now = self.now();
         self.events.borrow_mut().push((now, event));
     }
 
+    /// A copy of all events so far.
     pub fn events(&self) -> Vec<(Time, Event)> {
         self.events.borrow().clone()
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,245 +1,177 @@
-//! One run from its plan to its report.
+//! One run, from its plan to its report.
 
-use crate::fault::Troubles;
-use crate::oracle::{self, RULES, Violation, judge};
+use crate::client;
+use crate::discovery;
+use crate::fault::FaultInjector;
+use crate::oracle::judge;
 use crate::process::Gateway;
-use crate::record::{Event, Seen, Time};
+use crate::record::Event;
+use crate::report::Report;
+use crate::server;
 use crate::shim::Library;
-use crate::world::{Terms, World};
-use crate::{client, discovery, server};
+use crate::testbed::{Parameters, Testbed};
 use async_io::Timer;
-use std::collections::BTreeMap;
 use std::io;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Troubles begin after this, and none begins this long before the end.
-const QUIET: Duration = Duration::from_secs(1);
-const LAST: Duration = Duration::from_secs(4);
-/// After the last request has been asked its time and what is held are waited for.
-const SETTLE: Duration = Duration::from_millis(4_500);
-const HEARTBEAT: Duration = Duration::from_millis(5);
-/// Delays of the soak's own that are noted.
-const LAG: Duration = Duration::from_millis(10);
-/// Lines of the record that are printed around a violation.
-const MOST_LINES: usize = 60;
-const AROUND: Duration = Duration::from_secs(3);
+/// Faults begin after this.
+const FAULTS_AFTER: Duration = Duration::from_secs(1);
+/// No fault begins this long before clients stop.
+const FAULTS_END_BEFORE: Duration = Duration::from_secs(4);
+/// After the last request, its response and the release of its KV cache are awaited.
+const SETTLE_TIME: Duration = Duration::from_millis(4_500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
+/// Delays of the soak itself that are recorded.
+const MIN_SCHEDULING_DELAY: Duration = Duration::from_millis(10);
 
-/// What a run plays.
+/// What a run consists of.
 pub struct Plan {
+    /// Draws faults, traffic and parameters.
     pub seed: u64,
+    /// How long clients send requests.
     pub seconds: u64,
+    /// Gateway processes.
     pub gateways: usize,
+    /// Model servers.
     pub servers: usize,
+    /// Clients.
     pub clients: usize,
     /// The `petrelshore` command.
     pub program: PathBuf,
-    /// A new folder for configurations and logs; removed where nothing is broken.
+    /// A new folder for configurations and logs; removed where no rule is broken.
     pub folder: PathBuf,
 }
 
-/// What came of a run.
-pub struct Report {
-    pub requests: usize,
-    pub served: usize,
-    pub faults: usize,
-    /// How often troubles of two kinds overlapped.
-    pub overlaps: BTreeMap<(String, String), usize>,
-    pub violations: Vec<Violation>,
-    events: Vec<(Time, Event)>,
-}
-
-/// Plays a run to its end.
+/// Executes a run to its end and judges it.
 pub fn run(plan: &Plan) -> io::Result<Report> {
     std::fs::create_dir_all(&plan.folder)?;
     let library = Library::build(&plan.folder)?;
-    let terms = terms(plan);
-    let world = World::new(terms, plan.seed, plan.folder.clone())?;
-    async_io::block_on(world.executor.run(play(&world, plan, &library)))?;
-    if let Some(error) = world.failed.take() {
+    let parameters = plan.parameters();
+    let testbed = Testbed::new(parameters, plan.seed, plan.folder.clone())?;
+    async_io::block_on(testbed.executor.run(execute(&testbed, plan, &library)))?;
+    if let Some(error) = testbed.failure.take() {
         return Err(error);
     }
-    let events = world.record.events();
-    let violations = judge(&terms, &events);
+    let events = testbed.record.events();
+    let violations = judge(&parameters, &events);
     if violations.is_empty() {
         let _ = std::fs::remove_dir_all(&plan.folder);
     }
-    let asked = |event: &&(Time, Event)| matches!(event.1, Event::Asked { .. });
-    let served = |event: &&(Time, Event)| matches!(event.1, Event::Answered { seen: Seen::Whole(200), .. });
-    let began = |event: &&(Time, Event)| matches!(event.1, Event::Trouble { began: true, .. });
-    Ok(Report {
-        requests: events.iter().filter(asked).count(),
-        served: events.iter().filter(served).count(),
-        faults: events.iter().filter(began).count(),
-        overlaps: oracle::overlaps(&events),
-        violations,
-        events,
-    })
+    Ok(Report::new(violations, events))
+}
+
+impl Plan {
+    /// The deployment of the run: its timeouts differ from seed to seed.
+    fn parameters(&self) -> Parameters {
+        let choose = |millis: [u64; 3], divisor: u64| {
+            Duration::from_millis(millis[(self.seed / divisor % 3) as usize])
+        };
+        Parameters {
+            gateways: self.gateways,
+            servers: self.servers,
+            clients: self.clients,
+            drain_grace: choose([250, 1_000, 2_000], 1),
+            release_timeout: choose([300, 500, 1_000], 3),
+            idempotency_window: choose([800, 1_500, 2_500], 9),
+            warm_up: Duration::from_secs(5),
+            initial_capacity: 0.3,
+            overload_factor: 2.5,
+            overload_window: Duration::from_millis(1_500),
+            max_deadline: Duration::from_secs(3),
+            resume_streams: self.seed % 2 == 1,
+        }
+    }
 }
 
-/// The deployment of a run: its short times differ from seed to seed.
-fn terms(plan: &Plan) -> Terms {
-    let of = |times: [u64; 3], place: u64| Duration::from_millis(times[(plan.seed / place % 3) as usize]);
-    Terms {
-        gateways: plan.gateways,
-        servers: plan.servers,
-        clients: plan.clients,
-        drain_grace: of([250, 1_000, 2_000], 1),
-        release_within: of([300, 500, 1_000], 3),
-        token_window: of([800, 1_500, 2_500], 9),
-        cold_for: Duration::from_secs(5),
-        cold_from: 0.3,
-        overload_factor: 2.5,
-        overload_for: Duration::from_millis(1_500),
-        longest_deadline: Duration::from_secs(3),
-        resume: plan.seed % 2 == 1,
+async fn execute(testbed: &Rc<Testbed>, plan: &Plan, library: &Library) -> io::Result<()> {
+    spawn_servers(testbed);
+    let own = testbed.clone();
+    testbed.spawn(async move { record_scheduling_delays(&own).await });
+    let gateways = start_gateways(testbed, plan, library).await?;
+    for number in 0..plan.clients {
+        testbed.spawn(client::run(testbed.clone(), number));
     }
+    let end = testbed.record.now() + Duration::from_secs(plan.seconds);
+    Timer::after(FAULTS_AFTER).await;
+    FaultInjector::new(testbed, gateways.clone()).run(end.saturating_sub(FAULTS_END_BEFORE)).await;
+    Timer::after(FAULTS_END_BEFORE).await;
+    testbed.finished.set(true);
+    Timer::after(SETTLE_TIME).await;
+    shut_down(testbed, &gateways).await;
+    Ok(())
 }
 
-async fn play(world: &Rc<World>, plan: &Plan, library: &Library) -> io::Result<()> {
-    for gateway in 0..plan.gateways {
-        for server in 0..plan.servers {
-            let own = world.clone();
-            world.spawn(async move { note(&own.clone(), server::serve(own, gateway, server).await) });
+/// Spawns the model servers and discovery agents that each gateway reaches.
+fn spawn_servers(testbed: &Rc<Testbed>) {
+    for gateway in 0..testbed.parameters.gateways {
+        for server in 0..testbed.parameters.servers {
+            let own = testbed.clone();
+            testbed.spawn(async move {
+                let ended = server::serve(own.clone(), gateway, server).await;
+                record_failure(&own, ended);
+            });
         }
-        for which in 0..discovery::ADDRESSES {
-            let own = world.clone();
-            world.spawn(async move { note(&own.clone(), discovery::serve(own, gateway, which).await) });
+        for address in 0..discovery::ADDRESSES {
+            let own = testbed.clone();
+            testbed.spawn(async move {
+                let ended = discovery::serve(own.clone(), gateway, address).await;
+                record_failure(&own, ended);
+            });
         }
     }
-    let own = world.clone();
-    world.spawn(async move { heartbeat(&own).await });
-    let made: io::Result<Vec<Rc<Gateway>>> =
-        (0..plan.gateways).map(|number| Gateway::new(world, plan.program.clone(), library, number)).collect();
-    let gateways = made?;
+}
+
+/// Starts all gateways at once, waits until they are ready, and supervises them from then on.
+async fn start_gateways(
+    testbed: &Rc<Testbed>,
+    plan: &Plan,
+    library: &Library,
+) -> io::Result<Vec<Rc<Gateway>>> {
+    let gateways = (0..plan.gateways)
+        .map(|number| Gateway::new(testbed, plan.program.clone(), library, number))
+        .collect::<io::Result<Vec<_>>>()?;
     let starts = gateways.iter().map(|gateway| {
         let own = gateway.clone();
-        world.executor.spawn(async move { own.start().await })
+        testbed.executor.spawn(async move { own.start().await })
     });
     for start in starts.collect::<Vec<_>>() {
         start.await?;
     }
     for gateway in &gateways {
         let own = gateway.clone();
-        world.spawn(async move { own.watch().await });
-    }
-    for number in 0..plan.clients {
-        let own = world.clone();
-        world.spawn(async move { client::serve(own, number).await });
+        testbed.spawn(async move { own.supervise().await });
     }
-    let lasts = world.record.now() + Duration::from_secs(plan.seconds);
-    Timer::after(QUIET).await;
-    Troubles::new(world, gateways.clone()).play(lasts.saturating_sub(LAST)).await;
-    Timer::after(LAST).await;
-    world.over.set(true);
-    Timer::after(SETTLE).await;
+    Ok(gateways)
+}
+
+/// Stops all gateways at once.
+async fn shut_down(testbed: &Rc<Testbed>, gateways: &[Rc<Gateway>]) {
     let ends = gateways.iter().map(|gateway| {
         let own = gateway.clone();
-        world.executor.spawn(async move { own.end().await })
+        testbed.executor.spawn(async move { own.shut_down().await })
     });
     for end in ends.collect::<Vec<_>>() {
         end.await;
     }
-    Ok(())
 }
 
-/// Notes that a party could not serve.
-fn note(world: &World, ended: io::Result<()>) {
+/// Records that a server could not listen.
+fn record_failure(testbed: &Testbed, ended: io::Result<()>) {
     if let Err(error) = ended {
-        world.failed.borrow_mut().get_or_insert(error);
+        testbed.failure.borrow_mut().get_or_insert(error);
     }
 }
 
-/// Notes by how much the soak itself is held up.
-async fn heartbeat(world: &World) {
+/// Records by how much the soak itself is delayed.
+async fn record_scheduling_delays(testbed: &Testbed) {
     loop {
-        let due = world.record.now() + HEARTBEAT;
-        Timer::after(HEARTBEAT).await;
-        let late = world.record.now().saturating_sub(due);
-        if late > LAG {
-            world.record.write(Event::Lag { late });
-        }
-    }
-}
-
-impl Report {
-    /// One line of JSON: counts, and violations by rule.
-    pub fn json(&self) -> String {
-        let count = |rule| self.violations.iter().filter(|violation| violation.rule == rule).count();
-        let by_rule: serde_json::Map<String, serde_json::Value> =
-            RULES.iter().map(|(rule, name)| ((*name).to_owned(), count(*rule).into())).collect();
-        serde_json::json!({
-            "requests": self.requests,
-            "served": self.served,
-            "faults": self.faults,
-            "overlaps": self.overlaps.values().sum::<usize>(),
-            "violations": by_rule,
-        })
-        .to_string()
-    }
-
-    /// The first violation of each rule, with what passed for its request and around it.
-    pub fn explain(&self, seed: u64, folder: &Path) -> String {
-        let mut text = String::new();
-        for (rule, name) in RULES {
-            let of_rule: Vec<&Violation> = self.violations.iter().filter(|v| v.rule == rule).collect();
-            let Some(first) = of_rule.first() else { continue };
-            text.push_str(&format!(
-                "{name}: {} times; seed {seed}, logs in {}\n",
-                of_rule.len(),
-                folder.display()
-            ));
-            for violation in of_rule.iter().take(3) {
-                text.push_str(&format!(
-                    "  at {:?}, request {}, {:?}: {}\n",
-                    violation.at,
-                    violation.request.map_or("-".to_owned(), |id| format!("{id:016x}")),
-                    violation.process,
-                    violation.what
-                ));
-            }
-            text.push_str(&self.timeline(first));
-        }
-        text
-    }
-
-    fn timeline(&self, violation: &Violation) -> String {
-        let about = |event: &Event| match event {
-            Event::Trouble { .. }
-            | Event::Killed { .. }
-            | Event::ToldToStop { .. }
-            | Event::Started { .. } => true,
-            Event::Ended { exchange, .. } => self.exchanges(violation.request).contains(&exchange.0),
-            other => self.request_of(other).is_some_and(|id| Some(id) == violation.request),
-        };
-        let from = violation.at.saturating_sub(AROUND);
-        let near = |at: &Time| *at >= from && *at <= violation.at + Duration::from_secs(1);
-        let lines = self.events.iter().filter(|(at, event)| near(at) && about(event));
-        lines
-            .take(MOST_LINES)
-            .map(|(at, event)| format!("    {:9.4} {event:?}\n", at.as_secs_f64()))
-            .collect()
-    }
-
-    fn exchanges(&self, request: Option<u64>) -> Vec<u64> {
-        let of = |(_, event): &(Time, Event)| match event {
-            Event::Arrived { exchange, request: id, .. } if Some(*id) == request => Some(exchange.0),
-            _ => None,
-        };
-        self.events.iter().filter_map(of).collect()
-    }
-
-    fn request_of(&self, event: &Event) -> Option<u64> {
-        match event {
-            Event::Asked { request, .. }
-            | Event::AnswerBegan { request }
-            | Event::Answered { request, .. }
-            | Event::Left { request }
-            | Event::Arrived { request, .. }
-            | Event::Held { request, .. }
-            | Event::Freed { request, .. } => Some(*request),
-            _ => None,
+        let due = testbed.record.now() + HEARTBEAT_INTERVAL;
+        Timer::after(HEARTBEAT_INTERVAL).await;
+        let delay = testbed.record.now().saturating_sub(due);
+        if delay > MIN_SCHEDULING_DELAY {
+            testbed.record.write(Event::SchedulingDelay { delay });
         }
     }
 }
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -1,9 +1,11 @@
-//! Model servers, and the ways to them. Each gateway reaches each server at an address of its own, so that a way can be
-//! cut: connections on it fall silent, and new ones never come up.
+//! Model servers and the network links to them.
+//!
+//! Each gateway reaches each server at an address of its own, so that a link can be cut: nothing is transmitted on its
+//! connections, and new ones are never established.
 
-use crate::message::{Connection, as_chunk, body, head, say};
-use crate::record::{Event, Exchange, Outcome, Role};
-use crate::world::{Manner, World};
+use crate::message::{Connection, Head, encode_chunk, read_body, read_head, write_text};
+use crate::record::{Event, Exchange, ExchangeOutcome, Role, Time};
+use crate::testbed::{ServerBehavior, Testbed};
 use async_io::{Async, Timer};
 use async_net::TcpStream;
 use futures_lite::io::BufReader;
@@ -13,56 +15,62 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that may wait to be taken while a way is open.
-const WAITING: i32 = 128;
-/// Connections that fill the system's queue of a way that is cut, so that no other comes up.
+/// The listen backlog while a link is up.
+const BACKLOG: i32 = 128;
+/// Connections that fill the backlog of a link that is cut, so that no other is established.
 const FILLERS: usize = 4;
-const PROMPT_WORK: (u64, u64) = (5, 40);
-const FIRST_EVENT: (u64, u64) = (10, 50);
-const EVENT_GAP: (u64, u64) = (5, 60);
-const MOST_EVENTS: usize = 25;
-const SLOWER: Duration = Duration::from_millis(500);
-const PROMPT_READ: &str =
+/// Duration of a prefill, in milliseconds.
+const PREFILL_MS: (u64, u64) = (5, 40);
+/// Time to the first event of a stream, in milliseconds.
+const FIRST_EVENT_MS: (u64, u64) = (10, 50);
+/// Pause between two events, in milliseconds.
+const EVENT_INTERVAL_MS: (u64, u64) = (5, 60);
+const MAX_EVENTS: usize = 25;
+/// The share of idle connections that close as their next request arrives.
+const CLOSE_IDLE_SHARE: f64 = 0.3;
+/// How much longer a slow server takes.
+const SLOW_DELAY: Duration = Duration::from_millis(500);
+const PREFILL_RESPONSE: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nSrv-Load: x0=0.25\r\n\r\n{\"cached_tokens\":4}";
-const STREAM: &str =
+const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 const STREAM_END: &str =
     "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9}}\n\ndata: [DONE]\n\n: Srv-Load: x0=0.5\n\n";
 const DECLINED: &str = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-const STATE_GONE: &str = "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+const CACHE_MISSING: &str = "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 const FAILED: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-const LET_GO: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// An exchange that has arrived. Dropped without an end, its connection was broken.
-struct Open {
-    world: Rc<World>,
+/// An exchange in progress. One that is dropped without an end has a broken connection.
+struct OpenExchange {
+    testbed: Rc<Testbed>,
     exchange: Exchange,
     ended: bool,
 }
 
-impl Open {
-    fn end(mut self, outcome: Outcome) {
+impl OpenExchange {
+    fn end(mut self, outcome: ExchangeOutcome) {
         self.ended = true;
-        self.world.record.write(Event::Ended { exchange: self.exchange, outcome });
+        self.testbed.record.write(Event::ExchangeEnded { exchange: self.exchange, outcome });
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenExchange {
     fn drop(&mut self) {
         if !self.ended {
-            let outcome = Outcome::Broken;
-            self.world.record.write(Event::Ended { exchange: self.exchange, outcome });
+            let outcome = ExchangeOutcome::Broken;
+            self.testbed.record.write(Event::ExchangeEnded { exchange: self.exchange, outcome });
         }
     }
 }
 
 /// Serves what one gateway sends to one server, for as long as it is polled.
-pub async fn serve(world: Rc<World>, gateway: usize, server: usize) -> io::Result<()> {
-    let address = world.server_address(gateway, server);
+pub async fn serve(testbed: Rc<Testbed>, gateway: usize, server: usize) -> io::Result<()> {
+    let address = testbed.server_address(gateway, server);
     loop {
-        let state = &world.servers[server];
+        let state = &testbed.servers[server];
         let changed = state.changed.listen();
-        if state.manner.get() == Manner::Down {
+        if state.behavior.get() == ServerBehavior::Down {
             changed.await;
             continue;
         }
@@ -70,47 +78,46 @@
         let down = async {
             loop {
                 let changed = state.changed.listen();
-                if state.manner.get() == Manner::Down {
+                if state.behavior.get() == ServerBehavior::Down {
                     return Ok(());
                 }
                 changed.await;
             }
         };
-        future::or(down, accept(&world, gateway, server, &listener)).await?;
+        future::or(down, accept(&testbed, gateway, server, &listener)).await?;
     }
 }
 
 async fn accept(
-    world: &Rc<World>,
+    testbed: &Rc<Testbed>,
     gateway: usize,
     server: usize,
     listener: &Async<TcpListener>,
 ) -> io::Result<()> {
-    let link = world.link(gateway, server);
+    let link = testbed.link(gateway, server);
     loop {
         let changed = link.changed.listen();
         if link.cut.get() {
-            let _fillers = fill(listener, world.server_address(gateway, server))?;
+            let _fillers = fill_backlog(listener, testbed.server_address(gateway, server))?;
             changed.await;
             continue;
         }
-        rustix::net::listen(listener, WAITING)?;
-        let taken = async { Some(listener.accept().await) };
+        rustix::net::listen(listener, BACKLOG)?;
+        let accepted = async { Some(listener.accept().await) };
         let cut = async {
             changed.await;
             None
         };
-        let Some(taken) = future::or(taken, cut).await else { continue };
-        let Ok((stream, _)) = taken else { continue };
+        let Some(Ok((stream, _))) = future::or(accepted, cut).await else { continue };
         let stream = TcpStream::from(stream);
         let _ = stream.set_nodelay(true);
-        let own = world.clone();
-        world.spawn(async move { connection(own, gateway, server, stream).await });
+        let own = testbed.clone();
+        testbed.spawn(async move { serve_connection(own, gateway, server, stream).await });
     }
 }
 
-/// Fills the system's queue: connections beyond it are not answered.
-fn fill(listener: &Async<TcpListener>, address: SocketAddr) -> io::Result<Vec<rustix::fd::OwnedFd>> {
+/// Fills the backlog: connections beyond it are not established.
+fn fill_backlog(listener: &Async<TcpListener>, address: SocketAddr) -> io::Result<Vec<rustix::fd::OwnedFd>> {
     use rustix::net::{AddressFamily, SocketFlags, SocketType, connect, socket_with};
     rustix::net::listen(listener, 0)?;
     let mut fillers = Vec::new();
@@ -123,203 +130,244 @@
     Ok(fillers)
 }
 
-/// Why a connection can't be used any more.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Over {
-    /// Served to its end.
-    Served,
-    Reset,
-}
-
-async fn connection(world: Rc<World>, gateway: usize, server: usize, stream: TcpStream) {
+async fn serve_connection(testbed: Rc<Testbed>, gateway: usize, server: usize, stream: TcpStream) {
     let mut connection = BufReader::new(stream);
-    let starts = world.servers[server].starts.get();
-    let over = {
+    let restarts = testbed.servers[server].restarts.get();
+    let peer = Peer { testbed: &testbed, gateway, server };
+    let reset = {
         let served = async {
-            let _ = exchanges(&world, gateway, server, &mut connection).await;
-            Over::Served
+            let _ = peer.serve_exchanges(&mut connection).await;
+            false
+        };
+        let reset = async {
+            peer.wait_for_reset(restarts).await;
+            true
         };
-        future::or(served, broken(&world, gateway, server, starts)).await
+        future::or(served, reset).await
     };
-    if over == Over::Reset {
+    if reset {
         let _ = rustix::net::sockopt::set_socket_linger(connection.get_ref(), Some(Duration::ZERO));
     }
 }
 
-/// Returns once a connection is to be reset: its server has gone, or its way was cut and is back.
-async fn broken(world: &World, gateway: usize, server: usize, starts: u64) -> Over {
-    let (state, link) = (&world.servers[server], world.link(gateway, server));
-    loop {
-        let (server_changed, link_changed) = (state.changed.listen(), link.changed.listen());
-        if state.manner.get() == Manner::Down || state.starts.get() != starts {
-            return Over::Reset;
-        }
-        if link.cut.get() {
-            link_changed.await;
-            return Over::Reset;
-        }
-        future::or(server_changed, link_changed).await;
-    }
+/// A request for work, as its head announces it.
+struct WorkRequest {
+    id: u64,
+    deadline: Duration,
 }
 
-/// Returns while nothing is cut; for as long as it is, not at all.
-async fn passes(world: &World, gateway: usize, server: usize) {
-    if world.link(gateway, server).cut.get() {
-        future::pending::<()>().await;
+impl WorkRequest {
+    fn of(head: &Head) -> Option<WorkRequest> {
+        let id = u64::from_str_radix(head.field("Req-Id")?, 16).ok()?;
+        let deadline = head.field("Req-Deadline-Ms")?.parse().ok()?;
+        Some(WorkRequest { id, deadline: Duration::from_millis(deadline) })
     }
 }
 
-async fn exchanges(
-    world: &Rc<World>,
+/// The request that a release request names.
+fn released_request(head: &Head) -> Option<u64> {
+    let mut words = head.start_line.split(' ');
+    let method = words.next()?;
+    let path = words.next().unwrap_or_default();
+    let id = path.rsplit('/').next().and_then(|id| u64::from_str_radix(id, 16).ok());
+    (method == "DELETE").then_some(id.unwrap_or(0))
+}
+
+/// One server as one gateway sees it.
+#[derive(Clone, Copy)]
+struct Peer<'a> {
+    testbed: &'a Rc<Testbed>,
     gateway: usize,
     server: usize,
-    connection: &mut Connection,
-) -> io::Result<()> {
-    let mut served = 0;
-    loop {
-        if connection.fill_buf().await?.is_empty() {
-            return Ok(());
+}
+
+impl Peer<'_> {
+    fn behavior(self) -> ServerBehavior {
+        self.testbed.servers[self.server].behavior.get()
+    }
+
+    /// Completes once a connection is to be reset: its server is down, or its link was cut and is restored.
+    async fn wait_for_reset(self, restarts: u64) {
+        let server = &self.testbed.servers[self.server];
+        let link = self.testbed.link(self.gateway, self.server);
+        loop {
+            let (server_changed, link_changed) = (server.changed.listen(), link.changed.listen());
+            if self.behavior() == ServerBehavior::Down || server.restarts.get() != restarts {
+                return;
+            }
+            if link.cut.get() {
+                return link_changed.await;
+            }
+            future::or(server_changed, link_changed).await;
         }
-        passes(world, gateway, server).await;
-        let began = world.record.now();
-        if served > 0 && world.servers[server].manner.get() == Manner::ForgetsIdle && world.chance.hits(0.3) {
-            return Ok(());
+    }
+
+    /// Never completes where the link is cut.
+    async fn transmit(self) {
+        if self.testbed.link(self.gateway, self.server).cut.get() {
+            future::pending::<()>().await;
         }
-        let Some(head) = head(connection).await? else { return Ok(()) };
-        body(connection, &head).await?;
-        passes(world, gateway, server).await;
-        served += 1;
-        let mut words = head.first.split(' ');
-        let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        if method == "DELETE" {
-            let request = path.rsplit('/').next().and_then(|id| u64::from_str_radix(id, 16).ok());
-            world.free(request.unwrap_or(0));
-            say(connection, LET_GO).await?;
-            continue;
+    }
+
+    async fn serve_exchanges(self, connection: &mut Connection) -> io::Result<()> {
+        let testbed = self.testbed;
+        let mut served = 0;
+        loop {
+            if connection.fill_buf().await?.is_empty() {
+                return Ok(());
+            }
+            self.transmit().await;
+            let started_at = testbed.record.now();
+            let closes = served > 0 && self.behavior() == ServerBehavior::ClosesIdleConnections;
+            if closes && testbed.random.happens(CLOSE_IDLE_SHARE) {
+                return Ok(());
+            }
+            let Some(head) = read_head(connection).await? else { return Ok(()) };
+            read_body(connection, &head).await?;
+            self.transmit().await;
+            served += 1;
+            if let Some(request) = released_request(&head) {
+                testbed.release_cache(request);
+                write_text(connection, RELEASED).await?;
+                continue;
+            }
+            let Some(request) = WorkRequest::of(&head) else {
+                write_text(connection, FAILED).await?;
+                continue;
+            };
+            if !self.execute(request, started_at, connection).await {
+                return Ok(());
+            }
+            self.transmit().await;
         }
-        let id = head.field("Req-Id").and_then(|id| u64::from_str_radix(id, 16).ok());
-        let told = head.field("Req-Deadline-Ms").and_then(|told| told.parse().ok());
-        let (Some(request), Some(told)) = (id, told) else {
-            say(connection, FAILED).await?;
-            continue;
-        };
-        world.note_sent_on(request);
-        let exchange = Exchange(world.exchange());
-        world.record.write(Event::Arrived {
+    }
+
+    /// Executes one request; whether its connection may serve another.
+    async fn execute(self, request: WorkRequest, started_at: Time, connection: &mut Connection) -> bool {
+        let testbed = self.testbed;
+        let role = testbed.servers[self.server].role;
+        testbed.note_forwarded(request.id);
+        let exchange = testbed.next_exchange();
+        testbed.record.write(Event::ExchangeStarted {
             exchange,
-            request,
-            server,
-            role: world.servers[server].role,
-            from: gateway,
-            began,
-            told: Duration::from_millis(told),
+            request: request.id,
+            server: self.server,
+            role,
+            gateway: self.gateway,
+            started_at,
+            deadline: request.deadline,
         });
-        let open = Open { world: world.clone(), exchange, ended: false };
-        let outcome = match world.servers[server].role {
-            Role::Prefill => prefill(world, server, request, connection).await,
-            Role::Decode => decode(world, request, connection, server).await,
+        let open = OpenExchange { testbed: testbed.clone(), exchange, ended: false };
+        let outcome = match role {
+            Role::Prefill => prefill(testbed, self.server, request.id, connection).await,
+            Role::Decode => decode(testbed, self.server, request.id, connection).await,
         };
-        match outcome {
-            Ok(outcome) => open.end(outcome),
-            Err(_) => {
-                open.end(Outcome::GivenUp);
-                return Ok(());
-            }
-        }
-        passes(world, gateway, server).await;
+        open.end(outcome.as_ref().copied().unwrap_or(ExchangeOutcome::Abandoned));
+        outcome.is_ok()
     }
 }
 
-/// Works for a while; an error where the gateway gives the exchange up meanwhile.
-async fn work(world: &World, server: usize, time: Duration, connection: &mut Connection) -> io::Result<()> {
-    let state = &world.servers[server];
-    let slower = if state.manner.get() == Manner::Slow { SLOWER } else { Duration::ZERO };
+/// Works for a while; an error where the gateway abandons the exchange meanwhile.
+async fn work(
+    testbed: &Testbed,
+    server: usize,
+    time: Duration,
+    connection: &mut Connection,
+) -> io::Result<()> {
+    let state = &testbed.servers[server];
+    let slower = if state.behavior.get() == ServerBehavior::Slow { SLOW_DELAY } else { Duration::ZERO };
     let worked = async {
         Timer::after(time + slower).await;
         loop {
             let changed = state.changed.listen();
-            if state.manner.get() != Manner::Hangs {
+            if state.behavior.get() != ServerBehavior::Hanging {
                 return Ok(());
             }
             changed.await;
         }
     };
-    let given_up = async {
+    let abandoned = async {
         match connection.fill_buf().await {
             Ok([]) | Err(_) => Err(io::ErrorKind::ConnectionAborted.into()),
             Ok(_) => future::pending().await,
         }
     };
-    future::or(given_up, worked).await
+    future::or(abandoned, worked).await
 }
 
 async fn prefill(
-    world: &World,
+    testbed: &Testbed,
     server: usize,
     request: u64,
     connection: &mut Connection,
-) -> io::Result<Outcome> {
-    let time = world.chance.time(PROMPT_WORK.0, PROMPT_WORK.1);
-    let worked = work(world, server, time, connection).await;
-    if worked.is_err() && world.chance.hits(0.5) {
-        // It had ended well just then.
-        world.hold(request, server);
+) -> io::Result<ExchangeOutcome> {
+    let time = testbed.random.duration_ms(PREFILL_MS.0, PREFILL_MS.1);
+    let worked = work(testbed, server, time, connection).await;
+    if worked.is_err() && testbed.random.happens(0.5) {
+        // It was completed just then.
+        testbed.reserve_cache(request, server);
     }
     worked?;
-    if world.servers[server].manner.get() == Manner::Bad {
-        return misbehave(world, connection).await;
+    if testbed.servers[server].behavior.get() == ServerBehavior::Faulty {
+        return respond_wrongly(testbed, connection).await;
     }
-    world.hold(request, server);
-    say(connection, PROMPT_READ).await?;
-    Ok(Outcome::Answered)
+    testbed.reserve_cache(request, server);
+    write_text(connection, PREFILL_RESPONSE).await?;
+    Ok(ExchangeOutcome::Completed)
 }
 
-async fn misbehave(world: &World, connection: &mut Connection) -> io::Result<Outcome> {
-    let text = match world.chance.below(5) {
+async fn respond_wrongly(testbed: &Testbed, connection: &mut Connection) -> io::Result<ExchangeOutcome> {
+    let text = match testbed.random.below(5) {
         0 => FAILED,
         1 => "\u{1}\u{2} no answer\r\n\r\n",
         2 => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
         3 => {
-            say(connection, DECLINED).await?;
-            return Ok(Outcome::Declined);
+            write_text(connection, DECLINED).await?;
+            return Ok(ExchangeOutcome::Declined);
         }
         _ => return Err(io::ErrorKind::ConnectionReset.into()),
     };
-    say(connection, text).await?;
-    Ok(Outcome::Answered)
+    write_text(connection, text).await?;
+    Ok(ExchangeOutcome::Completed)
 }
 
 async fn decode(
-    world: &World,
+    testbed: &Testbed,
+    server: usize,
     request: u64,
     connection: &mut Connection,
-    server: usize,
-) -> io::Result<Outcome> {
-    let manner = world.servers[server].manner.get();
-    if manner == Manner::Bad && world.chance.hits(0.5) {
-        return misbehave(world, connection).await;
+) -> io::Result<ExchangeOutcome> {
+    let behavior = testbed.servers[server].behavior.get();
+    if behavior == ServerBehavior::Faulty && testbed.random.happens(0.5) {
+        return respond_wrongly(testbed, connection).await;
     }
-    work(world, server, world.chance.time(FIRST_EVENT.0, FIRST_EVENT.1), connection).await?;
-    if !world.free(request) {
-        say(connection, STATE_GONE).await?;
-        return Ok(Outcome::Declined);
+    work(testbed, server, testbed.random.duration_ms(FIRST_EVENT_MS.0, FIRST_EVENT_MS.1), connection).await?;
+    if !testbed.release_cache(request) {
+        write_text(connection, CACHE_MISSING).await?;
+        return Ok(ExchangeOutcome::Declined);
     }
-    let events = 1 + world.chance.below(MOST_EVENTS);
-    let mut text = STREAM.to_owned();
+    let events = 1 + testbed.random.below(MAX_EVENTS);
+    let mut text = STREAM_HEAD.to_owned();
     for number in 0..events {
-        let micros = world.record.now().as_micros();
+        let micros = testbed.record.now().as_micros();
         let event = format!(
             "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{number}\"}}}}],\"t\":{micros}}}\n\n"
         );
-        text.push_str(&as_chunk(&event));
-        say(connection, &text).await?;
+        text.push_str(&encode_chunk(&event));
+        write_text(connection, &text).await?;
         text.clear();
-        if manner == Manner::Bad && world.chance.hits(0.1) {
-            say(connection, "zz\r\nspoilt\r\n").await?;
-            return Ok(Outcome::Broken);
+        if behavior == ServerBehavior::Faulty && testbed.random.happens(0.1) {
+            write_text(connection, "zz\r\nspoilt\r\n").await?;
+            return Ok(ExchangeOutcome::Broken);
         }
-        work(world, server, world.chance.time(EVENT_GAP.0, EVENT_GAP.1), connection).await?;
+        work(
+            testbed,
+            server,
+            testbed.random.duration_ms(EVENT_INTERVAL_MS.0, EVENT_INTERVAL_MS.1),
+            connection,
+        )
+        .await?;
     }
-    say(connection, &(as_chunk(STREAM_END) + "0\r\n\r\n")).await?;
-    Ok(Outcome::Answered)
+    write_text(connection, &(encode_chunk(STREAM_END) + "0\r\n\r\n")).await?;
+    Ok(ExchangeOutcome::Completed)
 }
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -1,8 +1,8 @@
 //! Faults in a process's system calls and wall clock, by a library that is preloaded into it.
 //!
 //! The library is C (`shim/faults.c`), since it takes the place of functions of the C library; it is built with the
-//! system's `cc`, which every Rust toolchain here links with. What it does is told by words in a file that the process
-//! has mapped, so that faults begin and end while it runs.
+//! system's `cc`, which every Rust toolchain here links with. Its settings stand in a file that the process has
+//! mapped, so that faults begin and end while it runs.
 
 use std::fs::File;
 use std::io;
@@ -11,29 +11,39 @@
 use std::process::Command;
 
 const SOURCE: &str = include_str!("../shim/faults.c");
-/// Names the file of words to the library.
-const VARIABLE: &str = "PETRELSHORE_FAULTS";
-const WORDS: usize = 13;
+/// The environment variable that names the file of settings to the library.
+const SETTINGS_VARIABLE: &str = "PETRELSHORE_FAULTS";
+const SETTINGS: usize = 13;
+const SETTING_BYTES: usize = 8;
 
-/// What the library is told, in the order of its words. Rates mean one call in so many; zero is never.
+/// A setting or counter of the library, by its place in the file. Rates mean one call in so many; zero is never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// The seed that calls are drawn by.
     Seed,
     /// Nanoseconds added to the wall clock.
     WallOffset,
+    /// Calls fail with `EINTR`.
     Interrupted,
+    /// Transfers move one to a few bytes.
     ShortTransfer,
+    /// `accept` fails.
     AcceptFails,
+    /// `socket` fails.
     SocketFails,
+    /// `connect` fails.
     ConnectFails,
     /// An established connection ends with an error.
     Broken,
+    /// Writes to files fail.
     DiskFails,
-    /// How long a send is held up, in nanoseconds.
+    /// How long a send is delayed, in nanoseconds.
     HeldUpFor,
+    /// Sends are delayed.
     HeldUp,
-    /// Counted by the library.
+    /// Failed calls, counted by the library.
     CallsFailed,
+    /// Transfers fail for want of memory.
     NoMemory,
 }
 
@@ -41,7 +51,7 @@
 pub struct Library(PathBuf);
 
 impl Library {
-    /// Builds the library. Each caller names a folder of its own.
+    /// Builds the library. Each caller provides a folder of its own.
     pub fn build(folder: &Path) -> io::Result<Library> {
         let (source, built) = (folder.join("faults.c"), folder.join("faults.so"));
         std::fs::write(&source, SOURCE)?;
@@ -58,39 +68,45 @@
     }
 }
 
-/// The faults of one process.
+/// The settings of one process's faults.
 pub struct Faults {
-    words: File,
+    settings: File,
     file: PathBuf,
     library: PathBuf,
 }
 
 impl Faults {
-    /// No faults yet.
+    /// Creates the file of settings; no fault is set.
     pub fn new(library: &Library, file: PathBuf, seed: u64) -> io::Result<Faults> {
-        let words = File::options().read(true).write(true).create(true).truncate(true).open(&file)?;
-        words.write_all_at(&[0; WORDS * 8], 0)?;
-        let faults = Faults { words, file, library: library.0.clone() };
+        let settings = File::options().read(true).write(true).create(true).truncate(true).open(&file)?;
+        settings.write_all_at(&[0; SETTINGS * SETTING_BYTES], 0)?;
+        let faults = Faults { settings, file, library: library.0.clone() };
         faults.set(Fault::Seed, seed as i64)?;
         Ok(faults)
     }
 
-    /// Has a command's process suffer these faults.
+    /// Injects these faults into a command's process.
     pub fn preload(&self, command: &mut Command) {
-        command.env("LD_PRELOAD", &self.library).env(VARIABLE, &self.file);
+        command.env("LD_PRELOAD", &self.library).env(SETTINGS_VARIABLE, &self.file);
     }
 
+    /// Changes a setting.
     pub fn set(&self, fault: Fault, value: i64) -> io::Result<()> {
-        self.words.write_all_at(&value.to_ne_bytes(), fault as u64 * 8)
+        self.settings.write_all_at(&value.to_ne_bytes(), offset(fault))
     }
 
+    /// Reads a setting or counter.
     pub fn get(&self, fault: Fault) -> io::Result<i64> {
-        let mut word = [0; 8];
-        self.words.read_exact_at(&mut word, fault as u64 * 8)?;
-        Ok(i64::from_ne_bytes(word))
+        let mut value = [0; SETTING_BYTES];
+        self.settings.read_exact_at(&mut value, offset(fault))?;
+        Ok(i64::from_ne_bytes(value))
     }
 }
 
+fn offset(fault: Fault) -> u64 {
+    fault as u64 * SETTING_BYTES as u64
+}
+
 impl Drop for Faults {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.file);
