--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -7,9 +7,9 @@
 use petrelshore_chat_gateway::Chooser;
 use petrelshore_e2e::rehearse::Outcome;
 use petrelshore_e2e::{fleet, load, rehearse, script};
-use petrelshore_emulator::model::{Build, Role};
+use petrelshore_emulator::profile::{Profile, Role};
 use petrelshore_emulator::record::Record;
-use petrelshore_emulator::server::{StandIn, usual_build};
+use petrelshore_emulator::server::{EmulatedServer, Identity, StartState};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -69,26 +69,28 @@
     token_ms: u64,
 ) -> Result<(), String> {
     let role = match role {
-        RoleName::Reader => Role::Reader,
-        RoleName::Writer => Role::Writer,
-        RoleName::Mixed => Role::Mixed,
+        RoleName::Reader => Role::Prefill,
+        RoleName::Writer => Role::Decode,
+        RoleName::Mixed => Role::Combined,
     };
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
         let record = Record::default();
         // Nobody reads what a lone stand-in writes down, and it may run for long.
-        record.forget();
-        let usual = usual_build(role);
-        let build = Build {
+        record.disable();
+        let usual = Profile::default_for(role);
+        let build = Profile {
             slots,
-            token_nanos: token_ms * 1_000_000,
+            token_interval: token_ms * 1_000_000,
             memory_tokens: usual.memory_tokens.max(slots as u64 * 4_000),
             queue: usual.queue.max(slots),
             ..usual
         };
-        let stand_in = StandIn::start(&executor, &record, (name, ""), build, listen, cold).await;
+        let identity = Identity { name: name.to_owned(), cell: String::new() };
+        let start = if cold { StartState::Cold } else { StartState::Warm };
+        let stand_in = EmulatedServer::start(&executor, &record, identity, build, listen, start).await;
         let stand_in = stand_in.map_err(|error| format!("{listen}: {error}"))?;
-        println!("stand-in {name} ready on {}", stand_in.address);
+        println!("stand-in {name} ready on {}", stand_in.address());
         stopped().await
     };
     future::block_on(executor.run(run))
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Helpers of the tests that run the gateway as a process.
 #![allow(dead_code)] // Each test file uses its own part.
 
-use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry};
+use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, config, entry};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
@@ -17,7 +17,7 @@
     process: Gateway,
     pub reader: ModelServer,
     pub writer: ModelServer,
-    pub agent: Agent,
+    pub agent: DiscoveryAgent,
 }
 
 impl Deref for World {
@@ -55,7 +55,7 @@
     }
 
     pub fn start_as(name: &str, command: impl Fn(&PathBuf) -> Command) -> World {
-        let reader = ModelServer::start(true, Manner::Good).unwrap();
+        let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
         Self::start_with(name, command, reader, ["reader", "writer"], |text| text)
     }
 
@@ -67,10 +67,10 @@
         kinds: [&str; 2],
         change: impl Fn(String) -> String,
     ) -> World {
-        let writer = ModelServer::start(false, Manner::Good).unwrap();
+        let writer = ModelServer::start(false, ServerBehavior::Good).unwrap();
         let entries =
             [entry("r", reader.address, kinds[0], "active"), entry("w", writer.address, kinds[1], "active")];
-        let agent = Agent::start(&entries.join(",")).unwrap();
+        let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
         World {
             process: Gateway::start_as(name, command, agent.address, &entries, change),
             reader,
--- a/cli/tests/daemon.rs
+++ b/cli/tests/daemon.rs
@@ -3,7 +3,7 @@
 use futures_lite::future;
 use petrelshore_e2e::client::{Question, Seen};
 use petrelshore_e2e::grpc_client;
-use petrelshore_emulator::record::FinalSeen;
+use petrelshore_emulator::record::FinalOutcome;
 use petrelshore_soak::shim::{Fault, Faults, Library};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -228,7 +228,7 @@
         future::or(asked, drive).await;
     };
     future::block_on(exchange);
-    assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 100), "{seen:?}");
+    assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 100), "{seen:?}");
     assert_eq!(ended(&mut gateway), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use petrelshore_emulator::platform::{Agent, Manner, ModelServer, entry};
+use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, entry};
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -16,14 +16,14 @@
     gateway: Gateway,
     reader: Held,
     writer: Held,
-    _agent: Agent,
+    _agent: DiscoveryAgent,
 }
 
 fn both(name: &str, change: impl Fn(String) -> String) -> Both {
     let (reader, writer) = (Held::start(), Held::start());
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
-    let agent = Agent::start(&entries.join(",")).unwrap();
+    let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     Both { gateway: Gateway::start(name, agent.address, &entries, change), reader, writer, _agent: agent }
 }
 
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_request_on_a_connection_that_waits_to_be_taken_as_the_gateway_stops_is_answered() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let world = World::start_with("queue", command, reader, ["reader", "writer"], without_resume);
     // Every place is taken by a client who asks: one request served, half of the next sent.
     let mut askers = Vec::new();
@@ -160,13 +160,13 @@
     let (mut streams, mut write) = world.streams(1);
     world.gateway.signal("-TERM");
     until(&mut world.gateway.log, "stopping");
-    let moved = Agent::start("").unwrap();
+    let moved = DiscoveryAgent::start("").unwrap();
     let text = std::fs::read_to_string(&world.gateway.file).unwrap();
     let text = text.replace(&world._agent.address.to_string(), &moved.address.to_string());
     std::fs::write(&world.gateway.file, text).unwrap();
     world.gateway.signal("-HUP");
     let late = Instant::now() + PATIENCE;
-    while moved.asked() == 0 {
+    while moved.polling_connections() == 0 {
         assert!(Instant::now() < late, "the new address is never asked");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -363,7 +363,7 @@
 fn nothing_is_sent_for_a_client_that_left_while_no_server_could_take_it() {
     let (reader, writer) = (Held::start(), Held::start());
     let writes = entry("w", writer.address, "writer", "active");
-    let agent = Agent::start(&writes).unwrap();
+    let agent = DiscoveryAgent::start(&writes).unwrap();
     let gateway = Gateway::start("held", agent.address, std::slice::from_ref(&writes), |text| text);
     let [leaves, mut stays] = [1, 2].map(|id| {
         let mut client = gateway.connect();
@@ -464,7 +464,7 @@
 
 #[test]
 fn a_client_whose_place_goes_to_another_sees_an_end_and_what_it_sends_then_goes_nowhere() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let world = World::start_with("evicted", command, reader, ["reader", "writer"], |text| text);
     let mut silent: Vec<TcpStream> = (0..200).map(|_| world.connect()).collect();
     // The table holds fewer: the first of them has given its place to another by now, which its end shows.
@@ -474,7 +474,7 @@
     for id in 100..103 {
         assert!(world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
     }
-    let seen = world.reader.seen();
+    let seen = world.reader.requests();
     assert!(seen.iter().all(|line| !line.ends_with("0000000000000007")), "{seen:?}");
 }
 
@@ -581,7 +581,7 @@
     let mut entries = vec![entry("r", reader.address, "reader", "active")];
     let names = ["w0", "w1", "w2"];
     entries.extend((0..3).map(|n| entry(names[n], writers[n].address, "writer", "active")));
-    let agent = Agent::start(&entries.join(",")).unwrap();
+    let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     let gateway = Gateway::start("silent-three", agent.address, &entries, |text| text);
     let mut client = gateway.connect();
     client.write_all(asks(1, "").as_bytes()).unwrap();
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry, events};
+use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, config, entry, events};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
@@ -23,7 +23,7 @@
     assert!(answer(&mut lines).2 && answer(&mut lines).2);
     let path = "POST /v1/chat/completions";
     let seen: Vec<String> = (0..12).map(|id| format!("{path} {id:016x}")).collect();
-    assert_eq!((world.reader.seen(), world.writer.seen()), (seen.clone(), seen));
+    assert_eq!((world.reader.requests(), world.writer.requests()), (seen.clone(), seen));
     assert_eq!(
         world.told(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").split(' ').nth(1),
         Some("200")
@@ -93,17 +93,17 @@
         let _ = stream.read_to_string(&mut told);
         assert!(told.starts_with("HTTP/1.1 408") || told.is_empty(), "{told}");
     }
-    assert_eq!((world.reader.seen(), world.writer.seen()), (vec![], vec![]));
+    assert_eq!((world.reader.requests(), world.writer.requests()), (vec![], vec![]));
     assert!(world.told(asks(3, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
 #[test]
 fn an_id_in_hand_is_not_taken_for_another_client() {
     let world = World::start("id");
-    world.reader.set(Manner::Slow);
+    world.reader.set(ServerBehavior::Slow);
     let mut first = world.connect();
     first.write_all(asks(1, "").as_bytes()).unwrap();
-    world.wait_for("the read begins", || !world.reader.seen().is_empty());
+    world.wait_for("the read begins", || !world.reader.requests().is_empty());
     assert!(world.told(asks(1, "").as_bytes()).starts_with("HTTP/1.1 409"));
     assert!(answer(&mut BufReader::new(first)).2, "the first goes on");
 }
@@ -111,14 +111,14 @@
 #[test]
 fn where_a_client_leaves_its_attempt_ends_and_what_it_left_is_let_go() {
     let world = World::start("leaves");
-    world.reader.set(Manner::Silent);
+    world.reader.set(ServerBehavior::Silent);
     let mut stream = world.connect();
     stream.write_all(asks(1, "").as_bytes()).unwrap();
-    world.wait_for("the read begins", || !world.reader.seen().is_empty());
+    world.wait_for("the read begins", || !world.reader.requests().is_empty());
     drop(stream);
     let release = "DELETE /kv/leases/0000000000000001 ".to_owned();
-    world.wait_for("it is let go", || world.reader.seen().contains(&release));
-    assert!(world.writer.seen().is_empty());
+    world.wait_for("it is let go", || world.reader.requests().contains(&release));
+    assert!(world.writer.requests().is_empty());
 }
 
 #[test]
@@ -129,25 +129,36 @@
         stream.write_all(asks(id, "").as_bytes()).unwrap();
         answer(&mut BufReader::new(stream))
     };
-    for (id, manner) in
-        [Manner::Noise, Manner::EndlessHead, Manner::Fails, Manner::Resets].into_iter().enumerate()
+    for (id, manner) in [
+        ServerBehavior::InvalidResponse,
+        ServerBehavior::EndlessHead,
+        ServerBehavior::Fails,
+        ServerBehavior::Resets,
+    ]
+    .into_iter()
+    .enumerate()
     {
         world.writer.set(manner);
         let (status, _, _) = ask(id as u64);
         assert_eq!(status.split(' ').nth(1), Some("503"), "{manner:?}: repeatable work is rejected, at once");
-        world.writer.set(Manner::Good);
+        world.writer.set(ServerBehavior::Good);
         assert!(ask(1000 + id as u64).0.contains("200"), "{manner:?}: the next is served");
     }
-    for (id, manner) in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream, Manner::SilentInStream]
-        .into_iter()
-        .enumerate()
+    for (id, manner) in [
+        ServerBehavior::BadChunk,
+        ServerBehavior::HugeChunk,
+        ServerBehavior::InvalidEvent,
+        ServerBehavior::SilentInStream,
+    ]
+    .into_iter()
+    .enumerate()
     {
         world.writer.set(manner);
         let (status, body, whole) = ask(100 + id as u64);
         assert_eq!((status.contains("200"), whole), (true, false), "{manner:?}");
         assert!(events().starts_with(&body), "{manner:?}: {body}");
     }
-    world.writer.set(Manner::SecondAnswer);
+    world.writer.set(ServerBehavior::SecondResponse);
     assert_eq!(ask(200), ("HTTP/1.1 200 OK\r\n".to_owned(), events(), true));
 }
 
@@ -155,7 +166,7 @@
 fn a_bad_configuration_changes_nothing_and_a_good_one_moves_discovery_at_once() {
     let mut world = World::start("reload");
     let text = std::fs::read_to_string(&world.file).unwrap();
-    world.wait_for("discovery is asked", || world.agent.asked() > 0);
+    world.wait_for("discovery is asked", || world.agent.polling_connections() > 0);
     std::fs::write(&world.file, &text[..text.len() / 2]).unwrap();
     world.signal("-HUP");
     let why = until(&mut world.log, "the configuration is not good");
@@ -164,11 +175,11 @@
         entry("r", world.reader.address, "reader", "active"),
         entry("v", world.writer.address, "writer", "active"),
     ];
-    let moved = Agent::start(&entries.join(",")).unwrap();
+    let moved = DiscoveryAgent::start(&entries.join(",")).unwrap();
     std::fs::write(&world.file, text.replace(&world.agent.address.to_string(), &moved.address.to_string()))
         .unwrap();
     world.signal("-HUP");
-    world.wait_for("the new address is asked", || moved.asked() > 0);
+    world.wait_for("the new address is asked", || moved.polling_connections() > 0);
     assert!(world.told(asks(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
@@ -177,7 +188,7 @@
     for half in [true, false] {
         let world = World::start(if half { "half-config" } else { "no-config" });
         let text = std::fs::read_to_string(&world.file).unwrap();
-        let moved = Agent::start(&entry("r", world.reader.address, "reader", "active")).unwrap();
+        let moved = DiscoveryAgent::start(&entry("r", world.reader.address, "reader", "active")).unwrap();
         match half {
             true => std::fs::write(&world.file, &text[..text.len() / 2]).unwrap(),
             false => std::fs::remove_file(&world.file).unwrap(),
@@ -187,7 +198,7 @@
         let address = (world.agent.address.to_string(), moved.address.to_string());
         std::fs::write(&world.file, text.replace(&address.0, &address.1)).unwrap();
         let until = Instant::now() + Duration::from_secs(3);
-        while moved.asked() == 0 {
+        while moved.polling_connections() == 0 {
             assert!(Instant::now() < until, "half written: {half}");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -197,11 +208,11 @@
 #[test]
 fn told_to_stop_it_answers_what_it_has_and_still_takes_what_comes_and_exits_with_0() {
     let mut world = World::start("stop");
-    world.writer.set(Manner::Slow);
+    world.writer.set(ServerBehavior::Slow);
     let mut kept = world.connect();
     let mut lines = BufReader::new(kept.try_clone().unwrap());
     kept.write_all(asks(1, "").as_bytes()).unwrap();
-    world.wait_for("it is taken", || !world.reader.seen().is_empty());
+    world.wait_for("it is taken", || !world.reader.requests().is_empty());
     world.signal("-TERM");
     until(&mut world.log, "stopping");
     assert!(world.told(asks(2, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
@@ -209,7 +220,7 @@
     kept.write_all(asks(3, "").as_bytes()).unwrap();
     assert!(answer(&mut lines).2, "an open connection is used for as long as it is open");
     // One that would run past the kill is ended without its last chunk, for its client to ask for the rest.
-    world.writer.set(Manner::SilentInStream);
+    world.writer.set(ServerBehavior::SilentInStream);
     kept.write_all(asks(4, "").as_bytes()).unwrap();
     let (status, _, whole) = answer(&mut lines);
     assert_eq!((status.contains("200"), whole), (true, false));
@@ -264,26 +275,26 @@
 #[test]
 fn a_state_whose_reader_is_silent_is_let_go_by_way_of_another_server() {
     let world = World::start("other");
-    world.reader.set(Manner::Deaf);
+    world.reader.set(ServerBehavior::Unresponsive);
     let mut stream = world.connect();
     stream.write_all(asks(1, "").as_bytes()).unwrap();
-    world.wait_for("the read begins", || !world.reader.seen().is_empty());
+    world.wait_for("the read begins", || !world.reader.requests().is_empty());
     drop(stream);
     let release = "DELETE /kv/leases/0000000000000001 ".to_owned();
-    world.wait_for("it is let go", || world.writer.seen().contains(&release));
+    world.wait_for("it is let go", || world.writer.requests().contains(&release));
 }
 
 #[test]
 fn a_server_whose_address_changes_under_its_name_is_found_at_the_new_one() {
     let world = World::start("address");
-    let next = ModelServer::start(false, Manner::Good).unwrap();
+    let next = ModelServer::start(false, ServerBehavior::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
     let mut id = 0;
     let until = Instant::now() + PATIENCE;
-    while next.seen().is_empty() {
+    while next.requests().is_empty() {
         assert!(Instant::now() < until, "never found");
         id += 1;
         assert!(world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
@@ -294,7 +305,7 @@
 #[test]
 fn a_flood_beyond_what_can_be_in_hand_is_turned_away_at_once_and_what_is_in_hand_goes_on() {
     let world = World::start("flood");
-    world.reader.set(Manner::Silent);
+    world.reader.set(ServerBehavior::Silent);
     let mut flood: Vec<TcpStream> = (0..120)
         .map(|id| {
             let mut stream = world.connect();
@@ -313,9 +324,9 @@
     let with_a_time = |told: &String| told.starts_with("HTTP/1.1 503") && told.contains("Retry-After: ");
     assert!(!told.is_empty() && told.iter().all(with_a_time), "{told:?}");
     drop(flood);
-    world.reader.set(Manner::Good);
+    world.reader.set(ServerBehavior::Good);
     world.wait_for("the next is served", || {
-        let id = 1000 + world.reader.seen().len() as u64;
+        let id = 1000 + world.reader.requests().len() as u64;
         world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
     });
 }
@@ -323,21 +334,21 @@
 #[test]
 fn while_discovery_is_silent_it_serves_by_the_list_it_has_and_takes_up_the_next_one_after() {
     let world = World::start("silent");
-    world.wait_for("discovery is asked", || world.agent.asked() > 0);
+    world.wait_for("discovery is asked", || world.agent.polling_connections() > 0);
     world.agent.silence(true);
-    let next = ModelServer::start(false, Manner::Good).unwrap();
+    let next = ModelServer::start(false, ServerBehavior::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
-    world.wait_for("it is asked anew", || world.agent.asked() > 2);
+    world.wait_for("it is asked anew", || world.agent.polling_connections() > 2);
     assert!(world.told(asks(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
-    assert!(next.seen().is_empty(), "nobody has told of it");
+    assert!(next.requests().is_empty(), "nobody has told of it");
     world.agent.silence(false);
     world.wait_for("the next list is taken up", || {
-        let id = 2 + world.reader.seen().len() as u64;
+        let id = 2 + world.reader.requests().len() as u64;
         world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
-            && !next.seen().is_empty()
+            && !next.requests().is_empty()
     });
 }
 
@@ -354,7 +365,7 @@
     std::thread::sleep(Duration::from_millis(200));
     drop(crowd);
     world.wait_for("it serves again", || {
-        let id = 1 + world.reader.seen().len() as u64;
+        let id = 1 + world.reader.requests().len() as u64;
         world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
     });
 }
@@ -384,7 +395,7 @@
 
 #[test]
 fn mixed_servers_alone_serve_drain_and_are_lost_by_the_rules() {
-    let first = ModelServer::start(false, Manner::Good).unwrap();
+    let first = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let world = World::start_with("round", command, first, ["round"; 2], all_round);
     let servers = [&world.reader, &world.writer];
     let ask = |id: u64, kind: &str| {
@@ -396,7 +407,7 @@
     // How often a server has seen an id.
     let came = |server: &ModelServer, id: u64| {
         let word = format!("{id:016x}");
-        server.seen().iter().filter(|seen| seen.ends_with(&word)).count()
+        server.requests().iter().filter(|seen| seen.ends_with(&word)).count()
     };
     // Each serves whole: one attempt a sequence, no read before it, nothing to let go of.
     for id in 0..12 {
@@ -404,7 +415,7 @@
         assert_eq!(servers.map(|server| came(server, id)).iter().sum::<usize>(), 1);
     }
     // The one that was turned to drains: nothing new goes to it once that is told.
-    let first = usize::from(servers[0].seen().len() < servers[1].seen().len());
+    let first = usize::from(servers[0].requests().len() < servers[1].requests().len());
     let (leaving, other) = (servers[first], servers[1 - first]);
     let listed = |status: &str| {
         let status = |n: usize| if n == first { status } else { "active" };
@@ -414,22 +425,22 @@
     listed("leaving");
     world.wait_for("the drain is taken up", || {
         let (before, id) =
-            (leaving.seen().len(), 100 + leaving.seen().len() as u64 + other.seen().len() as u64);
+            (leaving.requests().len(), 100 + leaving.requests().len() as u64 + other.requests().len() as u64);
         assert_eq!(ask(id, "chat"), "200");
-        leaving.seen().len() == before
+        leaving.requests().len() == before
     });
     // The other is lost. Repeatable work is rejected, and once-only work that may have run is aborted after one attempt.
-    other.set(Manner::Resets);
+    other.set(ServerBehavior::Resets);
     assert_eq!((ask(200, "chat").as_str(), ask(201, "unlock").as_str()), ("503", "502"));
     assert_eq!((came(leaving, 200) + came(leaving, 201), came(other, 201)), (0, 1));
     // What provably never ran is rejected, whatever it does.
-    other.set(Manner::Declines);
+    other.set(ServerBehavior::Declines);
     assert_eq!((ask(202, "unlock").as_str(), came(leaving, 202)), ("503", 0));
     // The one that drained is back, and serves alone.
     listed("active");
-    other.set(Manner::Fails);
+    other.set(ServerBehavior::Fails);
     world.wait_for("it is found again", || {
-        let id = 300 + leaving.seen().len() as u64 + other.seen().len() as u64;
+        let id = 300 + leaving.requests().len() as u64 + other.requests().len() as u64;
         ask(id, "chat") == "200" && came(leaving, id) == 1
     });
 }
@@ -437,19 +448,19 @@
 #[test]
 fn nothing_is_sent_for_a_client_that_asks_for_much_at_once_and_goes() {
     let world = World::start("goes");
-    world.reader.set(Manner::Slow);
+    world.reader.set(ServerBehavior::Slow);
     let mut stream = world.connect();
     // More than is kept of what comes behind an open request, and no more than the system takes.
     let flood: String = (0..350).map(|id| asks(id, "")).collect();
     stream.set_nonblocking(true).unwrap();
     let _ = stream.write_all(flood.as_bytes());
-    world.wait_for("the first is read", || !world.reader.seen().is_empty());
+    world.wait_for("the first is read", || !world.reader.requests().is_empty());
     drop(stream);
     std::thread::sleep(Duration::from_millis(100));
-    let asked = || world.reader.seen().iter().filter(|line| line.starts_with("POST")).count();
-    let (before, written) = (asked(), world.writer.seen().len());
+    let asked = || world.reader.requests().iter().filter(|line| line.starts_with("POST")).count();
+    let (before, written) = (asked(), world.writer.requests().len());
     std::thread::sleep(Duration::from_millis(1500));
-    assert_eq!((asked(), world.writer.seen().len()), (before, written), "sent 0.1 s after it had gone");
+    assert_eq!((asked(), world.writer.requests().len()), (before, written), "sent 0.1 s after it had gone");
 }
 
 #[test]
@@ -462,26 +473,26 @@
         limited.stderr(Stdio::piped());
         limited
     });
-    world.wait_for("discovery is asked", || world.agent.asked() > 0);
+    world.wait_for("discovery is asked", || world.agent.polling_connections() > 0);
     world.agent.silence(true);
     let idle: Vec<TcpStream> = (0..600).map(|_| world.connect()).collect();
-    let asked = world.agent.asked();
-    world.wait_for("discovery is asked on", || world.agent.asked() > asked + 1);
+    let asked = world.agent.polling_connections();
+    world.wait_for("discovery is asked on", || world.agent.polling_connections() > asked + 1);
     for id in 0..5 {
         let told = world.told(asks(id, "Connection: close\r\n").as_bytes());
         assert!(told.starts_with("HTTP/1.1 200"), "request {id}: {told}");
     }
     drop(idle);
-    let next = ModelServer::start(false, Manner::Good).unwrap();
+    let next = ModelServer::start(false, ServerBehavior::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
     world.agent.silence(false);
     world.wait_for("the next list is taken up", || {
-        let id = 100 + world.reader.seen().len() as u64;
+        let id = 100 + world.reader.requests().len() as u64;
         world.told(asks(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
-            && !next.seen().is_empty()
+            && !next.requests().is_empty()
     });
 }
 
@@ -577,7 +588,7 @@
 
 #[test]
 fn however_a_call_to_discovery_ended_the_whole_list_is_asked_for_well_within_six_seconds() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let list = format!(
         "{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}}",
         entry("r", reader.address, "reader", "active")
--- a/cli/tests/system_calls.rs
+++ b/cli/tests/system_calls.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry};
+use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, config, entry};
 use petrelshore_soak::shim::{Fault, Faults, Library};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -68,11 +68,11 @@
 
 #[test]
 fn a_gateway_whose_log_can_not_be_written_goes_on() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
-    let writer = ModelServer::start(false, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
+    let writer = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
-    let agent = Agent::start(&entries.join(",")).unwrap();
+    let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     let [.., high, low] = std::process::id().to_be_bytes();
     let listen = SocketAddr::from(([127, 77, high, low.max(1)], 9000));
     let file = file("full-log");
@@ -125,14 +125,14 @@
     for ahead in [-3_600, 3_600] {
         let faults = faults("wall");
         faults.set(Fault::WallOffset, ahead * SECOND).unwrap();
-        let reader = ModelServer::start(true, Manner::Good).unwrap();
-        let writer = ModelServer::start(false, Manner::Good).unwrap();
+        let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
+        let writer = ModelServer::start(false, ServerBehavior::Good).unwrap();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
         let started_now = |text: String| text.replace("\"since_ms\":0", &format!("\"since_ms\":{now}"));
         let entries =
             [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")]
                 .map(started_now);
-        let agent = Agent::start(&entries.join(",")).unwrap();
+        let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
         let name = format!("wall-{ahead}");
         let gateway = Gateway::start_as(&name, suffering(&faults), agent.address, &entries, |text| text);
         // Cold for 5 s; nothing has been admitted yet, so that nothing is sent to a cold server.
@@ -156,7 +156,7 @@
     let (reader, writer) = (Held::start(), Held::start());
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
-    let agent = Agent::start(&entries.join(",")).unwrap();
+    let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     // A write of this type gets all the time there is.
     let once = |text: String| text.replace("\"free\"", "\"single_shot\"");
     let gateway = Gateway::start_as("accepts", suffering(&faults), agent.address, &entries, once);
--- a/e2e/src/auditor.rs
+++ b/e2e/src/auditor.rs
@@ -3,7 +3,7 @@
 //! It knows no gateway's word: clients say what they asked and what came back, stand-ins say what arrived, ran, was
 //! held and let go. Times between processes on one machine differ by scheduling, so each bound has some slack.
 
-use petrelshore_emulator::record::{Entry, FinalSeen, Nanos, Passed};
+use petrelshore_emulator::record::{Entry, Event, FinalOutcome, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MILLISECOND: Nanos = 1_000_000;
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Course<'a> {
     asked: Option<(Nanos, &'a str, &'a str, Nanos)>,
-    answers: Vec<(Nanos, FinalSeen, Option<Nanos>)>,
+    answers: Vec<(Nanos, FinalOutcome, Option<Nanos>)>,
     arrivals: Vec<Arrival<'a>>,
 }
 
@@ -72,30 +72,30 @@
     let mut turned: BTreeMap<(&str, &str), &str> = BTreeMap::new();
     let mut cells: BTreeMap<&str, &str> = BTreeMap::new();
     for entry in entries {
-        match &entry.passed {
-            Passed::Asked { client, gateway, traffic, until } => {
+        match &entry.event {
+            Event::RequestSent { client, gateway, traffic, deadline: until } => {
                 courses.entry(*client).or_default().asked = Some((entry.at, gateway, traffic, *until));
             }
-            Passed::Answered { client, answer, first_token, .. } => {
+            Event::ResponseReceived { client, outcome: answer, first_token, .. } => {
                 courses.entry(*client).or_default().answers.push((entry.at, *answer, *first_token));
             }
-            Passed::AfterFinal { client } => {
+            Event::DataAfterFinal { client } => {
                 let what = format!("client {client} got something after its final answer");
                 verdict.breaks.push(Break { rule: 1, at: entry.at, what });
             }
-            Passed::Arrived { server, request, work, client: Some(client), .. } => {
+            Event::AttemptArrived { server, request, step: work, client: Some(client), .. } => {
                 let reads = work == "read";
                 let arrival = Arrival { at: entry.at, server, request, reads };
                 courses.entry(*client).or_default().arrivals.push(arrival);
                 verdict.arrivals += 1;
             }
-            Passed::Turned { server, request, code } => {
+            Event::AttemptRejected { server, request, code } => {
                 turned.insert((server, request), code);
             }
-            Passed::Box { server, cell, .. } => {
+            Event::FaultSet { server, cell, .. } => {
                 cells.insert(server, cell);
             }
-            Passed::FellOver { server } => {
+            Event::ServerOverloaded { server } => {
                 let what = format!("{server} was pushed over while cold");
                 verdict.breaks.push(Break { rule: 4, at: entry.at, what });
             }
@@ -118,9 +118,11 @@
 fn downs(entries: &[Entry]) -> BTreeMap<&str, Vec<(Nanos, Nanos)>> {
     let mut downs: BTreeMap<&str, Vec<(Nanos, Nanos)>> = BTreeMap::new();
     for entry in entries {
-        match &entry.passed {
-            Passed::Killed { gateway } => downs.entry(gateway).or_default().push((entry.at, Nanos::MAX)),
-            Passed::Back { gateway } => {
+        match &entry.event {
+            Event::GatewayKilled { gateway } => {
+                downs.entry(gateway).or_default().push((entry.at, Nanos::MAX))
+            }
+            Event::GatewayRestarted { gateway } => {
                 if let Some(down) = downs.get_mut(gateway.as_str()).and_then(|downs| downs.last_mut()) {
                     down.1 = entry.at;
                 }
@@ -150,9 +152,9 @@
         of_gateway.into_iter().any(|(down, back)| from <= back.saturating_add(figures.slack) && to >= *down)
     };
     match answer {
-        FinalSeen::Nothing if was_down(asked, at) => return,
-        FinalSeen::Nothing => wrong(at, format!("client {client} got no final answer from {gateway}")),
-        FinalSeen::Left => {}
+        FinalOutcome::NoResponse if was_down(asked, at) => return,
+        FinalOutcome::NoResponse => wrong(at, format!("client {client} got no final answer from {gateway}")),
+        FinalOutcome::Disconnected => {}
         _ => {
             let sign = first_token.map_or(at, |after| asked + after);
             if sign > until + figures.slack {
@@ -209,7 +211,7 @@
             Effect::Repeatable => {}
         }
     }
-    let harmless = [FinalSeen::Rejected, FinalSeen::Refused];
+    let harmless = [FinalOutcome::Rejected, FinalOutcome::NotAccepted];
     if let Some((at, ..)) = course.answers.iter().find(|(_, answer, _)| harmless.contains(answer)) {
         let server = first.server;
         wrong(
@@ -223,17 +225,17 @@
 fn drains(entries: &[Entry], figures: &Figures, verdict: &mut Verdict) {
     let mut closed: BTreeMap<(&str, &str), Nanos> = BTreeMap::new();
     for entry in entries {
-        match &entry.passed {
-            Passed::Told { gateway, server, open: false } => {
+        match &entry.event {
+            Event::GatewayNotified { gateway, server, open: false } => {
                 closed.insert((gateway, server), entry.at);
                 verdict.told_closed += 1;
             }
-            Passed::Told { gateway, server, open: true } => {
+            Event::GatewayNotified { gateway, server, open: true } => {
                 closed.remove(&(gateway.as_str(), server.as_str()));
             }
             // A restarted gateway knows what it is told from then on.
-            Passed::Killed { gateway } => closed.retain(|(told, _), _| *told != gateway.as_str()),
-            Passed::Arrived { server, gateway, request, .. } => {
+            Event::GatewayKilled { gateway } => closed.retain(|(told, _), _| *told != gateway.as_str()),
+            Event::AttemptArrived { server, gateway, request, .. } => {
                 let gateway = gateway.strip_prefix("petrelshore/").unwrap_or(gateway);
                 let Some(told) = closed.get(&(gateway, server.as_str())) else { continue };
                 if entry.at > told + figures.drain_grace + figures.slack {
@@ -283,33 +285,33 @@
         }
     };
     for entry in entries {
-        let (server, request) = match &entry.passed {
-            Passed::Box { server, fault, .. } => {
+        let (server, request) = match &entry.event {
+            Event::FaultSet { server, fault, .. } => {
                 hanging.insert(server, fault == "Hangs" || fault == "Silent");
                 continue;
             }
-            Passed::Arrived { server, request, .. }
-            | Passed::Over { server, request }
-            | Passed::StateHeld { server, request }
-            | Passed::StateGone { server, request } => (server.as_str(), request.as_str()),
+            Event::AttemptArrived { server, request, .. }
+            | Event::AttemptEnded { server, request }
+            | Event::CacheReserved { server, request }
+            | Event::CacheReleased { server, request } => (server.as_str(), request.as_str()),
             _ => continue,
         };
         let sequence = request.split('-').next().unwrap_or(request);
         let holding = holdings.entry(sequence).or_default();
         check(sequence, holding, entry.at, verdict);
-        match &entry.passed {
-            Passed::Arrived { gateway, .. } => {
+        match &entry.event {
+            Event::AttemptArrived { gateway, .. } => {
                 holding.gateway = gateway.strip_prefix("petrelshore/").unwrap_or(gateway);
                 holding.began = if holding.began == 0 { entry.at } else { holding.began };
                 holding.out += 1;
             }
-            Passed::Over { .. } => holding.out = holding.out.saturating_sub(1),
+            Event::AttemptEnded { .. } => holding.out = holding.out.saturating_sub(1),
             // A box that takes nothing off its sockets can't be told to let go.
-            Passed::StateHeld { .. } if !hanging.get(server).copied().unwrap_or(false) => {
+            Event::CacheReserved { .. } if !hanging.get(server).copied().unwrap_or(false) => {
                 holding.held.insert((server, request), ());
                 verdict.states += 1;
             }
-            Passed::StateGone { .. } => {
+            Event::CacheReleased { .. } => {
                 holding.held.remove(&(server, request));
             }
             _ => {}
@@ -330,23 +332,23 @@
     let mut gateways: BTreeMap<&str, &str> = BTreeMap::new();
     let mut down: BTreeSet<&str> = BTreeSet::new();
     for entry in entries {
-        match &entry.passed {
-            Passed::Arrived { gateway, request, .. } => {
+        match &entry.event {
+            Event::AttemptArrived { gateway, request, .. } => {
                 let gateway = gateway.strip_prefix("petrelshore/").unwrap_or(gateway);
                 // What arrives from a gateway that is down was on its way before.
                 gateways.insert(request, if down.contains(gateway) { "" } else { gateway });
             }
-            Passed::Back { gateway } => {
+            Event::GatewayRestarted { gateway } => {
                 down.remove(gateway.as_str());
             }
-            Passed::StateHeld { server, request } => {
+            Event::CacheReserved { server, request } => {
                 let gateway = gateways.get(request.as_str()).copied().unwrap_or_default();
                 held.insert((server, request), gateway);
             }
-            Passed::StateGone { server, request } => {
+            Event::CacheReleased { server, request } => {
                 held.remove(&(server.as_str(), request.as_str()));
             }
-            Passed::Killed { gateway } => {
+            Event::GatewayKilled { gateway } => {
                 down.insert(gateway);
                 held.retain(|_, of| *of != gateway);
                 gateways.retain(|_, of| *of != gateway);
--- a/e2e/src/client.rs
+++ b/e2e/src/client.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use petrelshore_emulator::record::{FinalSeen, Nanos};
+use petrelshore_emulator::record::{FinalOutcome, Nanos};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -73,7 +73,7 @@
     pub longest_pause: Nanos,
     pub took: Nanos,
     pub tokens: u64,
-    pub finished: FinalSeen,
+    pub finished: FinalOutcome,
     /// Bytes came after the final answer.
     pub after_final: bool,
 }
@@ -90,7 +90,7 @@
             longest_pause: 0,
             took: 0,
             tokens: 0,
-            finished: FinalSeen::Nothing,
+            finished: FinalOutcome::NoResponse,
             after_final: false,
         }
     }
@@ -110,11 +110,11 @@
     }
 
     /// What a word for programs says of the end.
-    pub fn judged_by_code(&self) -> Option<FinalSeen> {
+    pub fn judged_by_code(&self) -> Option<FinalOutcome> {
         Some(match self.code.as_deref()? {
-            "rejected" => FinalSeen::Rejected,
-            "aborted" => FinalSeen::Aborted,
-            _ => FinalSeen::Refused,
+            "rejected" => FinalOutcome::Rejected,
+            "aborted" => FinalOutcome::Aborted,
+            _ => FinalOutcome::NotAccepted,
         })
     }
 }
@@ -196,22 +196,22 @@
     seen
 }
 
-fn judged(seen: &Seen, left: bool) -> FinalSeen {
+fn judged(seen: &Seen, left: bool) -> FinalOutcome {
     let streamed = seen.head.contains("text/event-stream");
     if streamed && seen.body.contains("data: [DONE]") {
-        return FinalSeen::Generated;
+        return FinalOutcome::Completed;
     }
     let json: serde_json::Value = serde_json::from_str(&seen.body).unwrap_or_default();
     if !streamed && seen.status == 200 && json.get("choices").is_some() {
-        return FinalSeen::Generated;
+        return FinalOutcome::Completed;
     }
     if let Some(judged) = seen.judged_by_code() {
         return judged;
     }
     if seen.status >= 400 && json.get("error").is_some() {
-        return FinalSeen::Refused;
+        return FinalOutcome::NotAccepted;
     }
-    if left { FinalSeen::Left } else { FinalSeen::Nothing }
+    if left { FinalOutcome::Disconnected } else { FinalOutcome::NoResponse }
 }
 
 /// The error's code, in a body or in a stream's last event.
--- a/e2e/src/fleet.rs
+++ b/e2e/src/fleet.rs
@@ -5,9 +5,9 @@
 use futures_lite::future;
 use petrelshore_chat_api as chat;
 use petrelshore_chat_gateway::{Chooser, Gateway, Spawner};
-use petrelshore_emulator::model::{Build, Role};
-use petrelshore_emulator::record::{Passed, Record};
-use petrelshore_emulator::server::{StandIn, usual_build};
+use petrelshore_emulator::profile::{Profile, Role};
+use petrelshore_emulator::record::{Event, Record};
+use petrelshore_emulator::server::{EmulatedServer, Identity, StartState};
 use petrelshore_grpc_api as grpc;
 use petrelshore_settings::read_text;
 use std::fmt::Write;
@@ -23,11 +23,11 @@
     pub kind: String,
     pub cell: String,
     pub zone: String,
-    pub build: Build,
+    pub build: Profile,
     pub address: SocketAddr,
     pub draining: bool,
     pub listed: bool,
-    pub stand_in: Option<StandIn>,
+    pub stand_in: Option<EmulatedServer>,
 }
 
 /// Stand-ins, and the inventory file that lists them.
@@ -53,25 +53,30 @@
         executor: Executor,
         folder: &Path,
         shape: &Shape,
-        build: impl Fn(Role) -> Build,
+        build: impl Fn(Role) -> Profile,
     ) -> std::io::Result<Fleet> {
         std::fs::create_dir_all(folder)?;
         let record = Record::default();
         let mut places = Vec::new();
         for cell in 1..=shape.cells {
-            let kinds =
-                [(Role::Reader, shape.readers), (Role::Writer, shape.writers), (Role::Mixed, shape.mixed)];
+            let kinds = [
+                (Role::Prefill, shape.readers),
+                (Role::Decode, shape.writers),
+                (Role::Combined, shape.mixed),
+            ];
             for (role, count) in kinds {
-                let kind = format!("{role:?}").to_lowercase();
+                let kind = role.kind().to_owned();
                 for number in 1..=count {
                     let name = format!("{kind}-{cell}-{number}");
                     let any = SocketAddr::from(([127, 0, 0, 1], 0));
                     let cell = format!("cell-{cell}");
-                    let box_of = (name.as_str(), cell.as_str());
+                    let identity = Identity { name: name.clone(), cell: cell.clone() };
+                    let profile = build(role);
                     let stand_in =
-                        StandIn::start(&executor, &record, box_of, build(role), any, false).await?;
+                        EmulatedServer::start(&executor, &record, identity, profile, any, StartState::Warm)
+                            .await?;
                     places.push(Place {
-                        address: stand_in.address,
+                        address: stand_in.address(),
                         stand_in: Some(stand_in),
                         build: build(role),
                         cell,
@@ -107,7 +112,7 @@
         self.places.iter_mut().find(|place| place.name == name)
     }
 
-    pub fn stand_in(&self, name: &str) -> Option<&StandIn> {
+    pub fn stand_in(&self, name: &str) -> Option<&EmulatedServer> {
         self.places.iter().find(|place| place.name == name)?.stand_in.as_ref()
     }
 
@@ -124,7 +129,10 @@
         let Some(place) = self.place(name) else { return Ok(()) };
         place.stand_in = None;
         let (build, address, cell) = (place.build, place.address, place.cell.clone());
-        place.stand_in = Some(StandIn::start(&executor, &record, (name, &cell), build, address, true).await?);
+        let identity = Identity { name: name.to_owned(), cell };
+        let server =
+            EmulatedServer::start(&executor, &record, identity, build, address, StartState::Cold).await?;
+        place.stand_in = Some(server);
         Ok(())
     }
 }
@@ -209,7 +217,7 @@
 
     /// Kills it outright: nothing of what it held is answered.
     pub async fn kill(self, record: &Record) {
-        record.write(Passed::Killed { gateway: self.name.clone() });
+        record.write(Event::GatewayKilled { gateway: self.name.clone() });
         self.driver.cancel().await;
     }
 }
@@ -221,7 +229,7 @@
     listen: SocketAddr,
 ) -> Result<(Fleet, Running), String> {
     let shape = Shape { cells: 2, readers: 2, writers: 2, mixed: 1 };
-    let fleet = Fleet::start(executor.clone(), folder, &shape, usual_build).await;
+    let fleet = Fleet::start(executor.clone(), folder, &shape, Profile::default_for).await;
     let fleet = fleet.map_err(|error| error.to_string())?;
     let text = settings_text("try", 1, &listen.to_string(), "");
     let running = Running::start(&executor, folder, &text).await?;
--- a/e2e/src/grpc_client.rs
+++ b/e2e/src/grpc_client.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 use h2::client::{ResponseFuture, SendRequest};
 use http::{HeaderMap, Request};
-use petrelshore_emulator::record::{FinalSeen, Nanos};
+use petrelshore_emulator::record::{FinalOutcome, Nanos};
 use petrelshore_grpc_api::{SERVICE, v1};
 use prost::Message;
 use std::net::SocketAddr;
@@ -85,8 +85,8 @@
     })
     .await;
     seen.took = started.elapsed().as_nanos() as Nanos;
-    if left && seen.finished == FinalSeen::Nothing {
-        seen.finished = FinalSeen::Left;
+    if left && seen.finished == FinalOutcome::NoResponse {
+        seen.finished = FinalOutcome::Disconnected;
     }
     seen
 }
@@ -152,8 +152,8 @@
     let again = matches!(status.code(), Code::Unavailable | Code::ResourceExhausted);
     seen.retry_after = pushback.filter(|_| again).map(Duration::from_millis);
     seen.finished = match status.code() {
-        Code::Ok if ended => FinalSeen::Generated,
-        Code::Ok => FinalSeen::Nothing,
-        _ => seen.judged_by_code().unwrap_or(FinalSeen::Refused),
+        Code::Ok if ended => FinalOutcome::Completed,
+        Code::Ok => FinalOutcome::NoResponse,
+        _ => seen.judged_by_code().unwrap_or(FinalOutcome::NotAccepted),
     };
 }
--- a/e2e/src/load.rs
+++ b/e2e/src/load.rs
@@ -8,7 +8,7 @@
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use hdrhistogram::Histogram;
-use petrelshore_emulator::record::FinalSeen;
+use petrelshore_emulator::record::FinalOutcome;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -132,7 +132,7 @@
         }
     };
     grpc_client::read_with(response, began, &mut seen, came).await;
-    if seen.finished != FinalSeen::Generated {
+    if seen.finished != FinalOutcome::Completed {
         return None;
     }
     let mut times = times.borrow_mut();
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -8,9 +8,8 @@
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
 use petrelshore_chat_gateway::Chooser;
-use petrelshore_emulator::model::Build;
-use petrelshore_emulator::record::{Entry, FinalSeen, Nanos, Passed, Record};
-use petrelshore_emulator::server::usual_build;
+use petrelshore_emulator::profile::Profile;
+use petrelshore_emulator::record::{Entry, Event, FinalOutcome, Nanos, Record};
 use petrelshore_settings::Settings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -55,7 +54,7 @@
 struct Tried {
     model: &'static str,
     front: Front,
-    answer: FinalSeen,
+    answer: FinalOutcome,
     in_time: bool,
     first_token: Option<Nanos>,
 }
@@ -75,13 +74,13 @@
         writers: script.fleet.writers as usize,
         mixed: script.fleet.mixed as usize,
     };
-    let build = |role| Build {
+    let build = |role| Profile {
         slots: script.fleet.slots as usize,
-        token_nanos: (script.fleet.token_ms * 1e6) as Nanos,
-        read_tokens_per_second: script.fleet.read_tokens_per_second,
-        cold_for: (script.fleet.cold_ms * 1e6) as Nanos,
-        cold_multiple: script.fleet.cold_multiple,
-        ..usual_build(role)
+        token_interval: (script.fleet.token_ms * 1e6) as Nanos,
+        prefill_tokens_per_second: script.fleet.read_tokens_per_second,
+        warm_up: (script.fleet.cold_ms * 1e6) as Nanos,
+        overload_factor: script.fleet.cold_multiple,
+        ..Profile::default_for(role)
     };
     let fleet = Fleet::start(executor.clone(), folder, &shape, build).await;
     let mut fleet = fleet.map_err(|error| error.to_string())?;
@@ -172,7 +171,9 @@
             fleet.stand_in(name).into_iter().for_each(|stand_in| stand_in.set_fault(fault));
         }
         match timed.what {
-            Trouble::Forget => fleet.stand_in(name).into_iter().for_each(|stand_in| stand_in.forget()),
+            Trouble::Forget => {
+                fleet.stand_in(name).into_iter().for_each(|stand_in| stand_in.clear_prefix_cache())
+            }
             Trouble::Kill => fleet.kill(name),
             Trouble::Restart => fleet.restart(name).await.map_err(|error| error.to_string())?,
             Trouble::Drain | Trouble::Undrain | Trouble::Unlist => {
@@ -190,7 +191,7 @@
             for server in &named {
                 let open = timed.what == Trouble::Undrain;
                 let (gateway, server) = (running.name.clone(), server.clone());
-                play.record.write(Passed::Told { gateway, server, open });
+                play.record.write(Event::GatewayNotified { gateway, server, open });
             }
         }
     }
@@ -212,7 +213,7 @@
                 let text = settings_text(&name, play.names.len(), &at.chat.to_string(), &more);
                 let back = Running::start_with(executor, folder, &text, play.chooser).await?;
                 play.gateways.borrow_mut()[number] = Some(back);
-                play.record.write(Passed::Back { gateway: name });
+                play.record.write(Event::GatewayRestarted { gateway: name });
             }
             _ => {}
         }
@@ -281,7 +282,8 @@
     let began = play.record.now();
     // All tries of a question go by one front.
     let front = clients.front.of(play.next_client.get());
-    let mut tried = Tried { model, front, answer: FinalSeen::Nothing, in_time: false, first_token: None };
+    let mut tried =
+        Tried { model, front, answer: FinalOutcome::NoResponse, in_time: false, first_token: None };
     for _ in 0..=clients.retries as usize {
         let client = play.next_client.get();
         play.next_client.set(client + 1);
@@ -289,23 +291,24 @@
         let asked = play.record.now();
         let gateway = play.names[number].clone();
         let until = asked + traffic.abandon_time;
-        play.record.write(Passed::Asked { client, gateway, traffic: model.to_owned(), until });
+        play.record.write(Event::RequestSent { client, gateway, traffic: model.to_owned(), deadline: until });
         let to = play.addresses.borrow()[number];
         let seen = asking.ask(front, to, leaves.unwrap_or(PATIENCE)).await;
         let (answer, first_token, tokens) = (seen.finished, seen.first_token, seen.tokens);
-        play.record.write(Passed::Answered { client, answer, first_token, tokens });
+        play.record.write(Event::ResponseReceived { client, outcome: answer, first_token, tokens });
         if seen.after_final {
-            play.record.write(Passed::AfterFinal { client });
+            play.record.write(Event::DataAfterFinal { client });
         }
         let first = first_token.map(|after| asked + after - began);
         tried.answer = answer;
         tried.first_token = first;
         tried.in_time =
-            answer == FinalSeen::Generated && first.is_some_and(|after| after <= kind.latency_slo);
+            answer == FinalOutcome::Completed && first.is_some_and(|after| after <= kind.latency_slo);
         // A client may also come again after a broken connection where its work may run again.
         let repeatable = matches!(traffic.effect, petrelshore_chat_gateway::Idempotency::Idempotent);
-        let again = matches!(answer, FinalSeen::Rejected | FinalSeen::Refused)
-            || (answer == FinalSeen::Nothing && (repeatable || seen.status == 0 && seen.took < SECOND / 100));
+        let again = matches!(answer, FinalOutcome::Rejected | FinalOutcome::NotAccepted)
+            || (answer == FinalOutcome::NoResponse
+                && (repeatable || seen.status == 0 && seen.took < SECOND / 100));
         if !again {
             break;
         }
@@ -329,8 +332,8 @@
     let mut first_tokens: BTreeMap<String, Histogram<u64>> = BTreeMap::new();
     for tried in play.tries.borrow().iter() {
         let of_type = answers.entry(tried.model.to_owned()).or_default();
-        *of_type.entry(format!("{:?}", tried.answer).to_lowercase()).or_default() += 1;
-        if tried.answer == FinalSeen::Left {
+        *of_type.entry(tried.answer.name().to_owned()).or_default() += 1;
+        if tried.answer == FinalOutcome::Disconnected {
             continue;
         }
         let position = play.settings.traffic.iter().position(|traffic| traffic.name == tried.model);
--- a/e2e/src/script.rs
+++ b/e2e/src/script.rs
@@ -1,7 +1,7 @@
 //! Scripts of rehearsals: typed files that name fleet, clients and timed faults.
 
 use crate::client::Front;
-use petrelshore_emulator::model::Fault;
+use petrelshore_emulator::profile::Fault;
 use petrelshore_settings::{Problem, evaluate};
 use serde::Deserialize;
 use std::path::Path;
--- a/e2e/tests/auditor.rs
+++ b/e2e/tests/auditor.rs
@@ -1,7 +1,7 @@
 //! The auditor against records in which one rule at a time is broken, and against the same without the break.
 
 use petrelshore_e2e::auditor::{Effect, Figures, judge, left_behind};
-use petrelshore_emulator::record::{Entry, FinalSeen, Passed};
+use petrelshore_emulator::record::{Entry, Event, FinalOutcome};
 
 const MS: u64 = 1_000_000;
 const NONE: [u8; 0] = [];
@@ -13,60 +13,69 @@
     figures
 }
 
-fn asked(traffic: &str) -> Passed {
-    Passed::Asked { client: 1, gateway: "gw".to_owned(), traffic: traffic.to_owned(), until: 4_000 * MS }
+fn asked(traffic: &str) -> Event {
+    Event::RequestSent {
+        client: 1,
+        gateway: "gw".to_owned(),
+        traffic: traffic.to_owned(),
+        deadline: 4_000 * MS,
+    }
 }
 
-fn answered(answer: FinalSeen) -> Passed {
-    Passed::Answered { client: 1, answer, first_token: None, tokens: 0 }
+fn answered(outcome: FinalOutcome) -> Event {
+    Event::ResponseReceived { client: 1, outcome, first_token: None, tokens: 0 }
 }
 
-fn arrived(server: &str, number: u32, work: &str) -> Passed {
-    Passed::Arrived {
+fn arrived(server: &str, number: u32, step: &str) -> Event {
+    Event::AttemptArrived {
         server: server.to_owned(),
         gateway: "petrelshore/gw".to_owned(),
         request: format!("s-{number}"),
-        mark: None,
-        work: work.to_owned(),
+        idempotency_key: None,
+        step: step.to_owned(),
         client: Some(1),
     }
 }
 
-fn of(what: fn(String, String) -> Passed, server: &str, number: u32) -> Passed {
+fn of(what: fn(String, String) -> Event, server: &str, number: u32) -> Event {
     what(server.to_owned(), format!("s-{number}"))
 }
 
-fn over(server: &str, number: u32) -> Passed {
-    of(|server, request| Passed::Over { server, request }, server, number)
+fn over(server: &str, number: u32) -> Event {
+    of(|server, request| Event::AttemptEnded { server, request }, server, number)
 }
 
-fn held(server: &str, number: u32) -> Passed {
-    of(|server, request| Passed::StateHeld { server, request }, server, number)
+fn held(server: &str, number: u32) -> Event {
+    of(|server, request| Event::CacheReserved { server, request }, server, number)
 }
 
-fn gone(server: &str, number: u32) -> Passed {
-    of(|server, request| Passed::StateGone { server, request }, server, number)
+fn gone(server: &str, number: u32) -> Event {
+    of(|server, request| Event::CacheReleased { server, request }, server, number)
 }
 
-fn turned(server: &str, number: u32, code: &str) -> Passed {
-    Passed::Turned { server: server.to_owned(), request: format!("s-{number}"), code: code.to_owned() }
+fn turned(server: &str, number: u32, code: &str) -> Event {
+    Event::AttemptRejected {
+        server: server.to_owned(),
+        request: format!("s-{number}"),
+        code: code.to_owned(),
+    }
 }
 
-fn cell(server: &str, cell: &str) -> Passed {
-    Passed::Box { server: server.to_owned(), cell: cell.to_owned(), fault: "None".to_owned() }
+fn cell(server: &str, cell: &str) -> Event {
+    Event::FaultSet { server: server.to_owned(), cell: cell.to_owned(), fault: "None".to_owned() }
 }
 
-fn told(open: bool) -> Passed {
-    Passed::Told { gateway: "gw".to_owned(), server: "w1".to_owned(), open }
+fn told(open: bool) -> Event {
+    Event::GatewayNotified { gateway: "gw".to_owned(), server: "w1".to_owned(), open }
 }
 
-fn killed() -> Passed {
-    Passed::Killed { gateway: "gw".to_owned() }
+fn killed() -> Event {
+    Event::GatewayKilled { gateway: "gw".to_owned() }
 }
 
 /// The rules that the auditor finds broken in a record of (milliseconds, what passed).
-fn broken(record: Vec<(u64, Passed)>) -> Vec<u8> {
-    let entries: Vec<Entry> = record.into_iter().map(|(at, passed)| Entry { at: at * MS, passed }).collect();
+fn broken(record: Vec<(u64, Event)>) -> Vec<u8> {
+    let entries: Vec<Entry> = record.into_iter().map(|(at, event)| Entry { at: at * MS, event }).collect();
     let mut rules: Vec<u8> = judge(&entries, &figures()).breaks.iter().map(|found| found.rule).collect();
     rules.dedup();
     rules
@@ -74,27 +83,46 @@
 
 #[test]
 fn rule_one_a_final_answer_once_in_time_and_nothing_after_it() {
-    use FinalSeen::*;
-    assert_eq!(broken(vec![(0, asked("any")), (100, answered(Generated))]), NONE);
+    assert_eq!(broken(vec![(0, asked("any")), (100, answered(FinalOutcome::Completed))]), NONE);
     assert_eq!(broken(vec![(0, asked("any"))]), [1]);
-    assert_eq!(broken(vec![(0, asked("any")), (100, answered(Nothing))]), [1]);
-    assert_eq!(broken(vec![(0, asked("any")), (50, killed()), (100, answered(Nothing))]), NONE);
-    assert_eq!(broken(vec![(0, asked("any")), (100, answered(Rejected)), (200, answered(Aborted))]), [1]);
-    assert_eq!(broken(vec![(0, asked("any")), (4_500, answered(Rejected))]), [1]);
-    assert_eq!(broken(vec![(0, asked("any")), (100, answered(Left)), (900, arrived("w1", 0, "write"))]), [1]);
+    assert_eq!(broken(vec![(0, asked("any")), (100, answered(FinalOutcome::NoResponse))]), [1]);
+    assert_eq!(
+        broken(vec![(0, asked("any")), (50, killed()), (100, answered(FinalOutcome::NoResponse))]),
+        NONE
+    );
+    assert_eq!(
+        broken(vec![
+            (0, asked("any")),
+            (100, answered(FinalOutcome::Rejected)),
+            (200, answered(FinalOutcome::Aborted))
+        ]),
+        [1]
+    );
+    assert_eq!(broken(vec![(0, asked("any")), (4_500, answered(FinalOutcome::Rejected))]), [1]);
     assert_eq!(
-        broken(vec![(0, asked("any")), (9, answered(Generated)), (9, Passed::AfterFinal { client: 1 })]),
+        broken(vec![
+            (0, asked("any")),
+            (100, answered(FinalOutcome::Disconnected)),
+            (900, arrived("w1", 0, "write"))
+        ]),
+        [1]
+    );
+    assert_eq!(
+        broken(vec![
+            (0, asked("any")),
+            (9, answered(FinalOutcome::Completed)),
+            (9, Event::DataAfterFinal { client: 1 })
+        ]),
         [1]
     );
 }
 
 #[test]
 fn rule_two_no_effect_twice() {
-    use FinalSeen::*;
     let twice = |traffic, second: &str, at| {
         let cells = [(0, cell("w1", "a")), (0, cell("w2", "a")), (0, cell("w3", "b")), (0, asked(traffic))];
         let sent = [(10, arrived("w1", 1, "write")), (at, arrived(second, 2, "write"))];
-        cells.into_iter().chain(sent).chain([(at + 10, answered(Aborted))]).collect::<Vec<_>>()
+        cells.into_iter().chain(sent).chain([(at + 10, answered(FinalOutcome::Aborted))]).collect::<Vec<_>>()
     };
     assert_eq!(broken(twice("any", "w2", 500)), NONE);
     assert_eq!(broken(twice("once", "w2", 500)), [2]);
@@ -104,7 +132,10 @@
     proven.insert(5, (20, turned("w1", 1, "full")));
     assert_eq!(broken(proven), NONE);
     let refused = |answer| vec![(0, asked("once")), (9, arrived("w1", 1, "write")), (99, answered(answer))];
-    assert_eq!((broken(refused(Aborted)), broken(refused(Rejected))), (vec![], vec![2]));
+    assert_eq!(
+        (broken(refused(FinalOutcome::Aborted)), broken(refused(FinalOutcome::Rejected))),
+        (vec![], vec![2])
+    );
     let mut late = twice("marked", "w2", 3_900);
     late.iter_mut().filter(|(at, _)| *at >= 3_900).for_each(|(at, _)| *at += 2_000);
     assert!(broken(late).contains(&2));
@@ -119,13 +150,13 @@
 
 #[test]
 fn rule_four_nothing_cold_is_pushed_over() {
-    assert_eq!(broken(vec![(0, Passed::FellOver { server: "w1".to_owned() })]), [4]);
+    assert_eq!(broken(vec![(0, Event::ServerOverloaded { server: "w1".to_owned() })]), [4]);
 }
 
 #[test]
 fn rule_five_nothing_is_left_pinned() {
     let read = || vec![(0, arrived("r1", 0, "read")), (50, held("r1", 0)), (50, over("r1", 0))];
-    let with = |more: Vec<(u64, Passed)>| broken(read().into_iter().chain(more).collect());
+    let with = |more: Vec<(u64, Event)>| broken(read().into_iter().chain(more).collect());
     assert_eq!(with(vec![(400, gone("r1", 0)), (5_000, told(true))]), NONE);
     assert_eq!(with(vec![(5_000, gone("r1", 0))]), [5]);
     assert_eq!(with(vec![(5_000, told(true))]), [5]);
@@ -134,18 +165,18 @@
     assert_eq!(with(out), NONE);
     assert_eq!(with(vec![(100, killed()), (5_000, told(true))]), NONE);
     // A read that was on its way as its gateway was killed is nobody's duty; one from the gateway after its return is.
-    let back = || Passed::Back { gateway: "gw".to_owned() };
+    let back = || Event::GatewayRestarted { gateway: "gw".to_owned() };
     let killed_first = |returns: u64, arrives: u64| {
-        let read = read().into_iter().map(|(at, passed)| (at + arrives, passed));
-        let mut record: Vec<(u64, Passed)> =
+        let read = read().into_iter().map(|(at, event)| (at + arrives, event));
+        let mut record: Vec<(u64, Event)> =
             read.chain([(9, killed()), (returns, back()), (5_000, told(true))]).collect();
         record.sort_by_key(|(at, _)| *at);
         record
     };
     assert_eq!(broken(killed_first(600, 10)), NONE);
     assert_eq!(broken(killed_first(600, 700)), [5]);
-    let left = |record: Vec<(u64, Passed)>| {
-        left_behind(&record.into_iter().map(|(at, passed)| Entry { at: at * MS, passed }).collect::<Vec<_>>())
+    let left = |record: Vec<(u64, Event)>| {
+        left_behind(&record.into_iter().map(|(at, event)| Entry { at: at * MS, event }).collect::<Vec<_>>())
     };
     assert_eq!((left(killed_first(600, 10)), left(killed_first(600, 700))), (0, 1));
 }
--- a/e2e/tests/grpc_cases.rs
+++ b/e2e/tests/grpc_cases.rs
@@ -10,8 +10,8 @@
 use http::Request;
 use petrelshore_e2e::client::{Front, Question, Seen};
 use petrelshore_e2e::grpc_client::{call, connect, framed, message, read};
-use petrelshore_emulator::model::{Build, Fault};
-use petrelshore_emulator::record::FinalSeen;
+use petrelshore_emulator::profile::{Fault, Profile};
+use petrelshore_emulator::record::FinalOutcome;
 use petrelshore_grpc_api::{SERVICE, v1};
 use prost::Message;
 use std::time::{Duration, Instant};
@@ -136,11 +136,11 @@
         // While the prompt waits, and while the answer runs.
         world.fault("writer", Fault::Hangs);
         let waits = world.ask_this(chat(5).with("grpc-timeout", "400m"), LONG).await;
-        assert!(matches!(waits.finished, FinalSeen::Aborted | FinalSeen::Rejected), "{waits:?}");
+        assert!(matches!(waits.finished, FinalOutcome::Aborted | FinalOutcome::Rejected), "{waits:?}");
         world.fault("writer", Fault::None);
         let runs = world.ask_this(chat(400).with("grpc-timeout", "700m"), LONG).await;
         let said = (runs.status, runs.finished, runs.retry_after);
-        assert_eq!(said, (Code::DeadlineExceeded as u16, FinalSeen::Aborted, None), "{runs:?}");
+        assert_eq!(said, (Code::DeadlineExceeded as u16, FinalOutcome::Aborted, None), "{runs:?}");
         assert!(runs.tokens > 0 && runs.tokens < 400, "{runs:?}");
         world.clean().await;
     });
@@ -178,7 +178,7 @@
 
 #[test]
 fn a_reset_in_the_middle_of_a_read_or_a_write_ends_only_that_call() {
-    let slow = |build: Build| Build { read_tokens_per_second: 300.0, ..quick(build) };
+    let slow = |build: Profile| Profile { prefill_tokens_per_second: 300.0, ..quick(build) };
     case_of(Front::Grpc, "grpc-reset", &small(), "", slow, |world| async move {
         let mut line = Line::open(&world).await;
         let response = line.call(&chat(50)).await;
@@ -193,7 +193,7 @@
         until("withdrawn", || world.gateway.gateway.counts().cancelled == 2).await;
         // The connection serves on.
         let seen = line.ask(&chat(3)).await;
-        assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 3), "{seen:?}");
+        assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 3), "{seen:?}");
         world.clean().await;
     });
 }
@@ -209,11 +209,11 @@
         until("draining", || world.gateway.gateway.is_draining()).await;
         // A new connection is told GOAWAY at once; a call that crosses it is refused, and may come again elsewhere.
         let refused = chat(3).ask(Front::Grpc, world.gateway.at, LONG).await;
-        assert!(refused.finished == FinalSeen::Nothing || refused.retry_after.is_some(), "{refused:?}");
+        assert!(refused.finished == FinalOutcome::NoResponse || refused.retry_after.is_some(), "{refused:?}");
         assert_eq!(world.gateway.gateway.counts().accepted, 1);
         let mut seen = Seen::nothing();
         read(running, Instant::now(), &mut seen).await;
-        assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 200), "{seen:?}");
+        assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 200), "{seen:?}");
         assert_eq!(drain.await, 0, "nothing had to be ended");
         // It was told to go: the connection is over by the gateway's word, without an error.
         assert!(line.driver.await.is_none_or(|error| error.reason() == Some(h2::Reason::NO_ERROR)));
@@ -228,7 +228,7 @@
     case("grpc-streams", "limits.streams = 4", |world| async move {
         let mut line = Line::open(&world).await;
         let first = line.ask(&chat(2)).await;
-        assert_eq!(first.finished, FinalSeen::Generated, "{first:?}");
+        assert_eq!(first.finished, FinalOutcome::Completed, "{first:?}");
         assert_eq!(line.sender.current_max_send_streams(), 4);
         // A client that heeds nothing: six at once, of which two are refused as never run.
         let mut raw = Raw::open(&world).await;
@@ -287,7 +287,7 @@
         assert_eq!(line.post(&stream, &key, whole).await.1, Some(Code::InvalidArgument));
         assert_eq!((world.gateway.gateway.counts().accepted, world.arrivals("read")), (0, 0));
         let seen = line.ask(&chat(3)).await;
-        assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         world.clean().await;
     });
 }
@@ -304,7 +304,7 @@
         }
         assert_eq!(world.gateway.gateway.counts().accepted, 0);
         let seen = world.ask_this(chat(3).with("authorization", "Bearer shop-key"), LONG).await;
-        assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         world.clean().await;
     });
 }
@@ -363,14 +363,14 @@
         assert_eq!(goaway(&frames), Some(ENHANCE_YOUR_CALM));
         let mut line = Line::open(&world).await;
         let seen = line.ask(&chat(3)).await;
-        assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         world.clean().await;
     });
 }
 
 #[test]
 fn a_client_that_vanished_without_a_word_is_found_out_while_its_answer_runs() {
-    let slow = |build: Build| Build { token_nanos: 250_000_000, ..build };
+    let slow = |build: Profile| Profile { token_interval: 250_000_000, ..build };
     case_of(Front::Grpc, "grpc-vanished", &small(), "", slow, |world| async move {
         // It takes whatever is sent, as a dead machine's peer does for long, and answers nothing.
         let mut raw = Raw::open(&world).await;
@@ -389,7 +389,7 @@
 
 #[test]
 fn of_many_calls_on_one_connection_those_that_are_not_read_hold_up_no_other() {
-    let flood = |build: Build| Build { token_nanos: 20_000, slots: 300, queue: 300, ..build };
+    let flood = |build: Profile| Profile { token_interval: 20_000, slots: 300, queue: 300, ..build };
     let more = r#"traffic."workshop-chat".max_tokens = 400000"#;
     case_of(Front::Grpc, "grpc-many", &small(), more, flood, |world| async move {
         let mut line = Line::open(&world).await;
@@ -404,7 +404,7 @@
             for response in calls {
                 let mut seen = Seen::nothing();
                 read(response, Instant::now(), &mut seen).await;
-                assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 20), "{seen:?}");
+                assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 20), "{seen:?}");
             }
         }
         drop(stalled);
@@ -457,7 +457,7 @@
         let first = keyed().ask(Front::Chat, world.gateway.at, LONG).await;
         let again = keyed().ask(Front::Grpc, world.gateway.at, LONG).await;
         let ends = (first.finished, again.finished);
-        assert_eq!(ends, (FinalSeen::Generated, FinalSeen::Generated), "{first:?} {again:?}");
+        assert_eq!(ends, (FinalOutcome::Completed, FinalOutcome::Completed), "{first:?} {again:?}");
         assert_eq!((world.arrivals("read"), world.arrivals("write")), (1, 1));
         world.clean().await;
     });
--- a/e2e/tests/hard_cases.rs
+++ b/e2e/tests/hard_cases.rs
@@ -8,8 +8,8 @@
 use petrelshore_e2e::client::{Front, Question, Seen, chat_body, request};
 use petrelshore_e2e::fleet::{Running, Shape, settings_text};
 use petrelshore_e2e::grpc_client;
-use petrelshore_emulator::model::{Build, Fault};
-use petrelshore_emulator::record::{FinalSeen, Passed};
+use petrelshore_emulator::profile::{Fault, Profile};
+use petrelshore_emulator::record::{Event, FinalOutcome};
 use std::time::Duration;
 use world::{LONG, World, case, case_with, quick, small};
 
@@ -17,7 +17,7 @@
 fn an_answer_goes_through_reader_and_writer_and_ends_once() {
     case("plain", small(), "", |world| async move {
         let seen = world.ask("rider-query", 5, LONG).await;
-        assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 5), "{seen:?}");
+        assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 5), "{seen:?}");
         assert_eq!((world.arrivals("read"), world.arrivals("write")), (1, 1));
         let verdict = world.clean().await;
         assert_eq!((verdict.asked, verdict.arrivals, verdict.states), (1, 2, 1));
@@ -32,7 +32,7 @@
             world.fault("writer", Fault::Silent);
         };
         let (seen, ()) = future::zip(world.ask("rider-query", 500, LONG), silence).await;
-        assert_eq!((seen.finished, seen.retry_after), (FinalSeen::Aborted, None), "{seen:?}");
+        assert_eq!((seen.finished, seen.retry_after), (FinalOutcome::Aborted, None), "{seen:?}");
         assert!(seen.tokens > 0 && !seen.body.contains("[DONE]"));
         world.fault("writer", Fault::None);
         world.clean().await;
@@ -41,10 +41,10 @@
 
 #[test]
 fn a_client_that_leaves_while_the_reader_works_has_its_read_cancelled_and_its_state_let_go() {
-    let slow = |build: Build| Build { read_tokens_per_second: 300.0, ..quick(build) };
+    let slow = |build: Profile| Profile { prefill_tokens_per_second: 300.0, ..quick(build) };
     case_with("leaves", small(), "", slow, |world| async move {
         let seen = world.ask("workshop-chat", 5, Duration::from_millis(100)).await;
-        assert_eq!(seen.finished, FinalSeen::Left);
+        assert_eq!(seen.finished, FinalOutcome::Disconnected);
         assert_eq!((world.arrivals("read"), world.arrivals("write")), (1, 0));
         world.clean().await;
         assert_eq!(world.arrivals("write"), 0);
@@ -56,7 +56,7 @@
 fn a_client_that_leaves_in_the_middle_of_its_stream_ends_the_writing() {
     case("leaves-late", small(), "", |world| async move {
         let seen = world.ask("rider-query", 1000, Duration::from_millis(300)).await;
-        assert_eq!(seen.finished, FinalSeen::Left);
+        assert_eq!(seen.finished, FinalOutcome::Disconnected);
         assert!(seen.tokens > 0);
         world.clean().await;
     });
@@ -72,17 +72,22 @@
             let (record, way) = (world.fleet.record.clone(), world.way());
             let until = record.now() + 10_000_000_000;
             let (gateway, traffic) = (world.gateway.name.clone(), "workshop-chat".to_owned());
-            record.write(Passed::Asked { client: 7, gateway, traffic, until });
+            record.write(Event::RequestSent { client: 7, gateway, traffic, deadline: until });
             world.executor.spawn(async move {
                 let seen = way.put(Question::new("workshop-chat", "why #client 7 ", 4)).await;
                 let (answer, first_token) = (seen.finished, seen.first_token);
-                record.write(Passed::Answered { client: 7, answer, first_token, tokens: seen.tokens });
+                record.write(Event::ResponseReceived {
+                    client: 7,
+                    outcome: answer,
+                    first_token,
+                    tokens: seen.tokens,
+                });
                 seen
             })
         };
         let holder = loop {
             Timer::after(Duration::from_millis(10)).await;
-            let holds = |name: &str| world.fleet.stand_in(name).is_some_and(|s| s.states() > 0);
+            let holds = |name: &str| world.fleet.stand_in(name).is_some_and(|s| s.held_caches() > 0);
             if let Some(name) = ["reader-1-1", "reader-1-2"].into_iter().find(|name| holds(name)) {
                 break name;
             }
@@ -90,7 +95,7 @@
         world.fleet.kill(holder);
         world.fault("writer", Fault::None);
         let seen = asking.await;
-        assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         assert!(world.arrivals("read") >= 2);
         world.clean().await;
     });
@@ -102,11 +107,11 @@
         world.fault("writer-1-1", Fault::Hangs);
         for _ in 0..4 {
             let seen = world.ask("workshop-chat", 3, LONG).await;
-            assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+            assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         }
         world.fault("writer-1-2", Fault::Hangs);
         let seen = world.ask("unlock-once", 3, LONG).await;
-        assert_eq!(seen.finished, FinalSeen::Aborted, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Aborted, "{seen:?}");
         assert_eq!(seen.retry_after, None);
         world.clean().await;
     });
@@ -120,7 +125,7 @@
         case(name, small(), "", |world| async move {
             world.fault("writer", fault);
             let seen = world.ask("rider-query", 10, LONG).await;
-            assert_eq!((seen.finished, seen.retry_after), (FinalSeen::Aborted, None), "{seen:?}");
+            assert_eq!((seen.finished, seen.retry_after), (FinalOutcome::Aborted, None), "{seen:?}");
             assert!((2..=6).contains(&seen.tokens) && !seen.body.contains("[DONE]"), "{seen:?}");
             world.clean().await;
         });
@@ -137,7 +142,7 @@
             world.fault(name, Fault::ResetAfter(0));
         };
         let (seen, ()) = future::zip(world.ask("workshop-chat", 30, LONG), mend).await;
-        assert_eq!((seen.finished, seen.tokens), (FinalSeen::Generated, 30), "{seen:?}");
+        assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 30), "{seen:?}");
         assert_eq!((world.arrivals("read"), world.arrivals("write")), (2, 2), "it was never broken");
         world.clean().await;
     });
@@ -148,7 +153,7 @@
     case("full", small(), "", |world| async move {
         world.fault("writer", Fault::Full);
         let seen = world.ask("unlock-once", 3, LONG).await;
-        assert!(seen.finished == FinalSeen::Rejected && seen.retry_after.is_some(), "{seen:?}");
+        assert!(seen.finished == FinalOutcome::Rejected && seen.retry_after.is_some(), "{seen:?}");
         world.clean().await;
     });
 }
@@ -158,7 +163,7 @@
     case("once-reset", small(), "", |world| async move {
         world.fault("writer", Fault::ResetAfter(0));
         let seen = world.ask("unlock-once", 3, LONG).await;
-        assert_eq!(seen.finished, FinalSeen::Aborted, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Aborted, "{seen:?}");
         assert_eq!(world.arrivals("write"), 1);
         world.clean().await;
     });
@@ -172,10 +177,10 @@
         let seen = world
             .ask_this(Question::new("dock-tokened", "why", 3).with("idempotency-key", "dock-7"), LONG)
             .await;
-        assert_eq!(seen.finished, FinalSeen::Aborted, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Aborted, "{seen:?}");
         let entries = world.fleet.record.entries();
-        let marks = entries.iter().filter_map(|entry| match &entry.passed {
-            Passed::Arrived { work, mark, .. } if work == "write" => mark.clone(),
+        let marks = entries.iter().filter_map(|entry| match &entry.event {
+            Event::AttemptArrived { step, idempotency_key, .. } if step == "write" => idempotency_key.clone(),
             _ => None,
         });
         assert!(marks.clone().count() >= 1 && marks.clone().all(|mark| mark == "dock-7"));
@@ -199,7 +204,7 @@
         let overloaded = |seen: &&Seen| seen.code.as_deref() == Some("overloaded");
         let refused: Vec<_> = seen.iter().filter(overloaded).collect();
         assert_eq!(
-            (refused.len(), seen.iter().filter(|s| s.finished == FinalSeen::Generated).count()),
+            (refused.len(), seen.iter().filter(|s| s.finished == FinalOutcome::Completed).count()),
             (5, 3)
         );
         assert!(refused.iter().all(|seen| seen.retry_after.is_some()));
@@ -218,12 +223,12 @@
             (repeat, way.put(keyed("how")).await)
         };
         let (first, (repeat, reused)) = future::zip(way.put(keyed("why")), meanwhile).await;
-        assert_eq!((first.finished, first.tokens), (FinalSeen::Generated, 60), "{first:?}");
+        assert_eq!((first.finished, first.tokens), (FinalOutcome::Completed, 60), "{first:?}");
         assert!(repeat.retry_after.is_some() && reused.retry_after.is_none(), "{repeat:?} {reused:?}");
         let codes = (repeat.code.as_deref(), reused.code.as_deref());
         assert_eq!(codes, (Some("idempotency_key_in_use"), Some("idempotency_key_reused")));
         let later = way.put(keyed("why")).await;
-        assert!(later.finished == FinalSeen::Generated && later.body.contains("t60 "), "{later:?}");
+        assert!(later.finished == FinalOutcome::Completed && later.body.contains("t60 "), "{later:?}");
         assert_eq!((world.arrivals("read"), world.arrivals("write")), (1, 1));
         world.clean().await;
     });
@@ -237,7 +242,11 @@
         let first = world.way().put(opens()).await;
         world.fault("writer", Fault::None);
         let again = world.way().put(opens()).await;
-        assert_eq!((first.finished, again.finished), (FinalSeen::Aborted, FinalSeen::Aborted), "{again:?}");
+        assert_eq!(
+            (first.finished, again.finished),
+            (FinalOutcome::Aborted, FinalOutcome::Aborted),
+            "{again:?}"
+        );
         assert_eq!(world.arrivals("write"), 1);
         world.clean().await;
     });
@@ -246,7 +255,7 @@
 #[test]
 fn a_gateway_killed_in_a_burst_is_back_with_its_last_list_though_that_is_wrong() {
     // What the killed gateway had read stays at its reader until that drops it.
-    let forgetful = |build: Build| Build { state_for: 2_000_000_000, ..quick(build) };
+    let forgetful = |build: Profile| Profile { cache_timeout: 2_000_000_000, ..quick(build) };
     case_with("killed", small(), "", forgetful, |mut world| async move {
         let elsewhere = settings_text("gw-1", 1, "127.0.0.1:0", "");
         let spare = Running::start(&world.executor, &world.folder, &elsewhere).await.unwrap();
@@ -267,7 +276,7 @@
         let fresh = Running::start(executor, folder, &settings_text("other", 1, "127.0.0.1:0", "")).await;
         assert!(fresh.is_err(), "a gateway without any list must not start");
         for seen in burst {
-            assert_eq!(seen.await.finished, FinalSeen::Nothing);
+            assert_eq!(seen.await.finished, FinalOutcome::NoResponse);
         }
         // Its port was free meanwhile: another test's connection may have gone out by it, and closes again.
         let mut back = Running::start(executor, folder, &text).await;
@@ -282,7 +291,7 @@
         assert_eq!((gateway.gateway.servers(), gateway.at.chat.to_string()), (3, address));
         for _ in 0..6 {
             let seen = world.ask("workshop-chat", 3, LONG).await;
-            assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+            assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         }
         world.clean().await;
     });
@@ -290,13 +299,13 @@
 
 #[test]
 fn a_client_that_reads_nothing_stalls_only_itself_and_is_let_go() {
-    let flood = |build: Build| Build { token_nanos: 1_000, ..build };
+    let flood = |build: Profile| Profile { token_interval: 1_000, ..build };
     let more = r#"traffic."workshop-chat".max_tokens = 400000"#;
     case_with("stalls", small(), more, flood, |world| async move {
         let mut idle = Idle::begin(&world, Question::new("workshop-chat", "why", 400_000)).await;
         Timer::after(Duration::from_secs(2)).await;
         let seen = world.ask("rider-query", 5, LONG).await;
-        assert_eq!(seen.finished, FinalSeen::Generated, "{seen:?}");
+        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
         // Nothing is taken of its stream for longer than any client may: its writer is let go all the same.
         world.clean_after_stall().await;
         let seen = idle.rest().await;
@@ -337,7 +346,7 @@
                 let mut rest = Vec::new();
                 let _ = stream.read_to_end(&mut rest).await;
                 if String::from_utf8_lossy(&rest).contains("[DONE]") {
-                    seen.finished = FinalSeen::Generated;
+                    seen.finished = FinalOutcome::Completed;
                 }
             }
             Idle::Grpc(response, _) => {
@@ -349,10 +358,10 @@
     }
 
     /// Only a protocol with its own windows can still tell such a client its end.
-    fn told(&self) -> FinalSeen {
+    fn told(&self) -> FinalOutcome {
         match self {
-            Idle::Chat(_) => FinalSeen::Nothing,
-            Idle::Grpc(..) => FinalSeen::Aborted,
+            Idle::Chat(_) => FinalOutcome::NoResponse,
+            Idle::Grpc(..) => FinalOutcome::Aborted,
         }
     }
 }
--- a/e2e/tests/rehearsals.rs
+++ b/e2e/tests/rehearsals.rs
@@ -5,7 +5,7 @@
 use petrelshore_chat_gateway::Chooser;
 use petrelshore_e2e::rehearse::{Outcome, rehearse};
 use petrelshore_e2e::script;
-use petrelshore_emulator::record::Passed;
+use petrelshore_emulator::record::Event;
 use std::path::Path;
 use std::rc::Rc;
 
@@ -23,13 +23,13 @@
 fn trace(outcome: &Outcome) -> String {
     let broken: Vec<&str> = outcome.verdict.breaks.iter().flat_map(|b| b.what.split([' ', '-'])).collect();
     let names = |request: &str| broken.contains(&request.split('-').next().unwrap_or(request));
-    let lines = outcome.entries.iter().filter(|entry| match &entry.passed {
-        Passed::Box { .. } | Passed::Killed { .. } | Passed::Back { .. } => true,
-        Passed::Arrived { request, .. }
-        | Passed::Turned { request, .. }
-        | Passed::Over { request, .. }
-        | Passed::StateHeld { request, .. }
-        | Passed::StateGone { request, .. } => names(request),
+    let lines = outcome.entries.iter().filter(|entry| match &entry.event {
+        Event::FaultSet { .. } | Event::GatewayKilled { .. } | Event::GatewayRestarted { .. } => true,
+        Event::AttemptArrived { request, .. }
+        | Event::AttemptRejected { request, .. }
+        | Event::AttemptEnded { request, .. }
+        | Event::CacheReserved { request, .. }
+        | Event::CacheReleased { request, .. } => names(request),
         _ => false,
     });
     lines.map(|entry| format!("{entry:?}\n")).collect()
--- a/e2e/tests/world/mod.rs
+++ b/e2e/tests/world/mod.rs
@@ -9,9 +9,8 @@
 use petrelshore_e2e::client::{Addresses, Front, Question, Seen};
 use petrelshore_e2e::fleet::{Executor, Fleet, Running, Shape, settings_text};
 use petrelshore_e2e::rehearse::figures;
-use petrelshore_emulator::model::{Build, Fault};
-use petrelshore_emulator::record::Passed;
-use petrelshore_emulator::server::usual_build;
+use petrelshore_emulator::profile::{Fault, Profile};
+use petrelshore_emulator::record::Event;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,11 +56,16 @@
         let abandon = settings.traffic.iter().find(|t| t.name == question.model).unwrap().abandon_time;
         let until = self.fleet.record.now() + abandon;
         let (gateway, traffic) = (self.gateway.name.clone(), question.model.to_owned());
-        self.fleet.record.write(Passed::Asked { client, gateway, traffic, until });
+        self.fleet.record.write(Event::RequestSent { client, gateway, traffic, deadline: until });
         question.text.push_str(&format!(" #client {client} "));
         let seen = question.ask(self.front, self.gateway.at, leave).await;
         let (answer, first_token) = (seen.finished, seen.first_token);
-        self.fleet.record.write(Passed::Answered { client, answer, first_token, tokens: seen.tokens });
+        self.fleet.record.write(Event::ResponseReceived {
+            client,
+            outcome: answer,
+            first_token,
+            tokens: seen.tokens,
+        });
         seen
     }
 
@@ -72,15 +76,15 @@
 
     pub fn arrivals(&self, work: &str) -> usize {
         let entries = self.fleet.record.entries();
-        let same = |passed: &Passed| matches!(passed, Passed::Arrived { work: w, .. } if w == work);
-        entries.iter().filter(|entry| same(&entry.passed)).count()
+        let same = |event: &Event| matches!(event, Event::AttemptArrived { step, .. } if step == work);
+        entries.iter().filter(|entry| same(&entry.event)).count()
     }
 
     /// Waits until nothing is left anywhere; the auditor then must find every rule kept.
     pub async fn clean(&self) -> Verdict {
         let left = || {
             let boxes = self.fleet.places.iter().filter_map(|place| place.stand_in.as_ref());
-            self.gateway.gateway.tracked() + boxes.map(|b| b.states() + b.in_flight()).sum::<usize>()
+            self.gateway.gateway.tracked() + boxes.map(|b| b.held_caches() + b.in_flight()).sum::<usize>()
         };
         for _ in 0..200 {
             if left() == 0 {
@@ -89,7 +93,7 @@
             Timer::after(Duration::from_millis(50)).await;
         }
         let boxes = self.fleet.places.iter().filter_map(|place| place.stand_in.as_ref());
-        let boxes: Vec<_> = boxes.map(|b| (b.states(), b.in_flight())).collect();
+        let boxes: Vec<_> = boxes.map(|b| (b.held_caches(), b.in_flight())).collect();
         assert_eq!(
             left(),
             0,
@@ -102,8 +106,8 @@
     }
 }
 
-pub fn quick(build: Build) -> Build {
-    Build { token_nanos: 5_000_000, ..build }
+pub fn quick(build: Profile) -> Profile {
+    Profile { token_interval: 5_000_000, ..build }
 }
 
 /// Runs a case before one cell of a reader and two writers, or as `shape` says.
@@ -115,7 +119,7 @@
     name: &str,
     shape: Shape,
     more: &str,
-    build: impl Fn(Build) -> Build,
+    build: impl Fn(Profile) -> Profile,
     run: impl Fn(World) -> F,
 ) {
     for front in Front::ALL {
@@ -128,14 +132,15 @@
     name: &str,
     shape: &Shape,
     more: &str,
-    build: impl Fn(Build) -> Build,
+    build: impl Fn(Profile) -> Profile,
     run: impl Fn(World) -> F,
 ) {
     let folder = std::env::temp_dir().join(format!("petrelshore-{name}-{front:?}-{}", std::process::id()));
     let executor: Executor = Rc::new(LocalExecutor::new());
     let work = async {
-        let fleet =
-            Fleet::start(executor.clone(), &folder, shape, |role| build(usual_build(role))).await.unwrap();
+        let fleet = Fleet::start(executor.clone(), &folder, shape, |role| build(Profile::default_for(role)))
+            .await
+            .unwrap();
         let text = settings_text("gw-1", 1, "127.0.0.1:0", more);
         let gateway = Running::start(&executor, &folder, &text).await.unwrap();
         let (executor, folder) = (executor.clone(), folder.clone());
--- a/emulator/src/model.rs
+++ b/emulator/src/model.rs
@@ -1,361 +1,400 @@
-//! A model server as a box: what it holds, how fast it works, and how it fails. No I/O, no clock.
+//! A model server without I/O or clock: what it holds, how fast it works, and how it fails.
 //!
-//! Reads are done one after another at the box's pace; answers are written side by side, slower the more there
-//! are. A read state stays in memory until it is fetched or let go.
+//! Prompts are processed one after another; answers are generated side by side, slower the more there are. The KV cache
+//! of a prompt stays in memory until it is fetched, released or dropped.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+mod prefix_cache;
 
-pub type Nanos = u64;
+use crate::profile::{Fault, Profile, Role};
+use crate::record::Nanos;
+use prefix_cache::PrefixCache;
+use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Role {
-    Reader,
-    Writer,
-    Mixed,
-}
+pub use prefix_cache::BLOCK_TOKENS;
 
-/// What a kind of box can do.
-#[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
-pub struct Build {
-    pub role: Role,
-    /// Answers written at once, and sequences that may wait besides.
-    pub slots: usize,
-    pub queue: usize,
-    pub memory_tokens: u64,
-    /// Engines drop a state that nobody comes for, after a time of their own.
-    pub state_for: Nanos,
-    pub read_tokens_per_second: f64,
-    /// Between two tokens of an answer while the box is otherwise idle; twice that when all slots are used.
-    pub token_nanos: Nanos,
-    pub cold_for: Nanos,
-    pub cold_from: f64,
-    /// Falls over when sent so many times what it can do at that moment, for this long.
-    pub cold_multiple: f64,
-    pub cold_window: Nanos,
-}
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// How a box misbehaves.
-#[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Fault {
-    None,
-    /// Works so many times slower.
-    Slow(f64),
-    /// Takes everything, answers nothing.
-    Silent,
-    /// Says that it is full.
-    Full,
-    /// Fails after working for a while.
-    FailsSlowly(Nanos),
-    /// Breaks connections off after so many tokens.
-    ResetAfter(u64),
-    /// Ends its streams without the closing mark after so many tokens.
-    EndsBadly(u64),
-    /// Sends what is no event after so many tokens.
-    Garbage(u64),
-    /// Accepts connections and reads nothing from them.
-    Hangs,
+/// The work that a request asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Step {
+    /// Process the prompt and hold its KV cache.
+    Prefill,
+    /// Generate the answer from a KV cache that is fetched elsewhere.
+    Decode,
+    /// Process the prompt and generate the answer.
+    Combined,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
-    Read,
-    /// From a state fetched elsewhere.
-    Write,
-    /// Prompt and answer both.
-    Whole,
+impl Step {
+    /// The name in records.
+    pub fn name(self) -> &'static str {
+        match self {
+            Step::Prefill => "read",
+            Step::Decode => "write",
+            Step::Combined => "whole",
+        }
+    }
 }
 
+/// A request for work.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// Identifies the job within its server.
     pub id: u64,
-    pub work: Work,
+    /// The work.
+    pub step: Step,
     /// Hashes of the prompt's blocks, each chained to the one before.
     pub blocks: Vec<u64>,
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
+    /// Tokens to generate.
     pub answer_tokens: u64,
 }
 
+/// Why a job was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    Full,
-    /// This role does not do such work.
-    Unable,
+pub enum Rejection {
+    /// No slot, queue place or memory is free.
+    AtCapacity,
+    /// The server's role does not include the step.
+    WrongRole,
 }
 
+impl fmt::Display for Rejection {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Rejection::AtCapacity => "at capacity",
+            Rejection::WrongRole => "not a step of this role",
+        })
+    }
+}
+
+impl std::error::Error for Rejection {}
+
+/// Progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happened {
-    /// The prompt is read; its state waits here.
-    Read {
+pub enum Progress {
+    /// The prompt is processed; its KV cache is held.
+    PrefillDone {
+        /// The job.
         id: u64,
-        kept: u64,
+        /// Prompt tokens that were cached before.
+        cached_tokens: u64,
     },
+    /// A token was generated.
     Token {
+        /// The job.
         id: u64,
+        /// Counts the answer's tokens from one.
         number: u64,
+        /// Whether it is the last one.
         last: bool,
     },
-    /// Nobody fetched or released a state for so long that it is dropped.
-    Expired {
+    /// A KV cache was dropped: nobody fetched or released it in time.
+    CacheExpired {
+        /// The job.
         id: u64,
     },
 }
 
-/// Tokens of one block of kept text.
-pub const BLOCK: u64 = 16;
+/// A prompt that waits or is being processed.
+struct Prefill {
+    job: Job,
+    cached_tokens: u64,
+}
 
-struct Running {
+/// An answer that is being generated.
+struct Decode {
     job: Job,
-    written: u64,
-    due: Nanos,
+    generated: u64,
+    next_token: Nanos,
+}
+
+/// The KV cache of a prompt.
+struct HeldCache {
+    tokens: u64,
+    since: Nanos,
 }
 
-pub struct ModelBox {
-    pub build: Build,
+/// Work that arrived while the server was warming up.
+struct WarmUpLoad {
+    at: Nanos,
+    /// How long it takes at full speed.
+    nanos: f64,
+}
+
+/// The state of a model server.
+pub struct Model {
+    profile: Profile,
     fault: Fault,
     /// When it started, if it started cold.
-    cold_since: Option<Nanos>,
-    /// Prompts to be read, the first one being read until `reading_until`.
-    reads: VecDeque<(Job, u64)>,
-    reading_until: Option<Nanos>,
-    running: BTreeMap<u64, Running>,
+    warming_up_since: Option<Nanos>,
+    /// Prompts in order; the first one is done at `prefill_done_at`.
+    prefills: VecDeque<Prefill>,
+    prefill_done_at: Option<Nanos>,
+    decodes: BTreeMap<u64, Decode>,
     waiting: VecDeque<Job>,
-    /// States held: tokens, and since when.
-    states: BTreeMap<u64, (u64, Nanos)>,
-    /// Blocks kept, with when they were last used.
-    kept: HashMap<u64, u64>,
-    uses: u64,
-    /// Work sent of late while cold, in nanoseconds at full pace.
-    sent: VecDeque<(Nanos, f64)>,
-    fallen: bool,
+    held: BTreeMap<u64, HeldCache>,
+    prefix_cache: PrefixCache,
+    recent_load: VecDeque<WarmUpLoad>,
+    overloaded: bool,
 }
 
-impl ModelBox {
-    pub fn new(build: Build, started: Nanos, cold: bool) -> Self {
-        ModelBox {
-            build,
+impl Model {
+    /// A server that is warm.
+    pub fn new(profile: Profile) -> Self {
+        Model {
+            profile,
             fault: Fault::None,
-            cold_since: cold.then_some(started),
-            reads: VecDeque::new(),
-            reading_until: None,
-            running: BTreeMap::new(),
+            warming_up_since: None,
+            prefills: VecDeque::new(),
+            prefill_done_at: None,
+            decodes: BTreeMap::new(),
             waiting: VecDeque::new(),
-            states: BTreeMap::new(),
-            kept: HashMap::new(),
-            uses: 0,
-            sent: VecDeque::new(),
-            fallen: false,
+            held: BTreeMap::new(),
+            prefix_cache: PrefixCache::new(profile.memory_tokens),
+            recent_load: VecDeque::new(),
+            overloaded: false,
         }
     }
 
+    /// A server that starts cold.
+    pub fn cold(profile: Profile, started: Nanos) -> Self {
+        Model { warming_up_since: Some(started), ..Model::new(profile) }
+    }
+
+    /// Changes how it misbehaves.
     pub fn set_fault(&mut self, fault: Fault) {
         self.fault = fault;
     }
 
+    /// How it misbehaves.
     pub fn fault(&self) -> Fault {
         self.fault
     }
 
-    /// Forgets all kept text, and says nothing of it.
-    pub fn forget(&mut self) {
-        self.kept.clear();
+    /// Clears the prefix cache, unnoticed by gateways.
+    pub fn clear_prefix_cache(&mut self) {
+        self.prefix_cache.clear();
     }
 
-    /// Pushed over while cold: it does nothing any more.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    /// Whether it failed for good, because it was overloaded while warming up.
+    pub fn overloaded(&self) -> bool {
+        self.overloaded
     }
 
-    pub fn arrive(&mut self, now: Nanos, job: Job) -> Result<(), Refused> {
-        let able = match (self.build.role, job.work) {
-            (Role::Reader, Work::Read) | (Role::Mixed, _) | (Role::Writer, Work::Write) => true,
-            (Role::Reader, _) | (Role::Writer, _) => false,
-        };
-        if !able {
-            return Err(Refused::Unable);
+    /// Accepts a job, or rejects it.
+    pub fn accept(&mut self, now: Nanos, job: Job) -> Result<(), Rejection> {
+        if !self.executes(job.step) {
+            return Err(Rejection::WrongRole);
         }
-        self.strain(now, &job);
-        let full = match job.work {
-            Work::Read => self.reads.len() >= self.build.slots + self.build.queue,
-            _ => self.running.len() + self.waiting.len() >= self.build.slots + self.build.queue,
-        };
-        if full
-            || self.fault == Fault::Full
-            || self.held_tokens() + job.prompt_tokens > self.build.memory_tokens
-        {
-            return Err(Refused::Full);
+        self.note_load(now, &job);
+        if self.fault == Fault::Full || !self.has_capacity(&job) {
+            return Err(Rejection::AtCapacity);
         }
-        if job.work == Work::Read {
-            let kept = self.take_kept(&job.blocks).min(job.prompt_tokens);
-            self.reads.push_back((job, kept));
-            self.next_read(now);
+        if job.step == Step::Prefill {
+            let cached_tokens = self.prefix_cache.insert(&job.blocks).min(job.prompt_tokens);
+            self.prefills.push_back(Prefill { job, cached_tokens });
+            self.start_prefill(now);
         } else {
             self.waiting.push_back(job);
-            self.next_answers(now);
+            self.start_decodes(now);
         }
         Ok(())
     }
 
-    /// Its client has left: whatever runs or waits for it is dropped.
+    fn executes(&self, step: Step) -> bool {
+        match self.profile.role {
+            Role::Combined => true,
+            Role::Prefill => step == Step::Prefill,
+            Role::Decode => step == Step::Decode,
+        }
+    }
+
+    fn has_capacity(&self, job: &Job) -> bool {
+        let jobs = match job.step {
+            Step::Prefill => self.prefills.len(),
+            Step::Decode | Step::Combined => self.decodes.len() + self.waiting.len(),
+        };
+        jobs < self.profile.slots + self.profile.queue
+            && self.held_tokens() + job.prompt_tokens <= self.profile.memory_tokens
+    }
+
+    /// Drops a job whose client has disconnected.
     pub fn cancel(&mut self, now: Nanos, id: u64) {
-        if self.reads.front().is_some_and(|(job, _)| job.id == id) {
-            self.reading_until = None;
+        if self.prefills.front().is_some_and(|prefill| prefill.job.id == id) {
+            self.prefill_done_at = None;
         }
-        self.reads.retain(|(job, _)| job.id != id);
+        self.prefills.retain(|prefill| prefill.job.id != id);
         self.waiting.retain(|job| job.id != id);
-        self.running.remove(&id);
-        self.next_read(now);
-        self.next_answers(now);
+        self.decodes.remove(&id);
+        self.start_prefill(now);
+        self.start_decodes(now);
     }
 
-    /// Lets go of a state, because it was fetched or released. True where there was one.
-    pub fn let_go(&mut self, id: u64) -> bool {
-        self.states.remove(&id).is_some()
+    /// Releases the KV cache of a job; whether there was one.
+    pub fn release(&mut self, id: u64) -> bool {
+        self.held.remove(&id).is_some()
     }
 
-    pub fn states(&self) -> impl Iterator<Item = (u64, Nanos)> + '_ {
-        self.states.iter().map(|(id, (_, since))| (*id, *since))
+    /// How many KV caches it holds.
+    pub fn held_caches(&self) -> usize {
+        self.held.len()
     }
 
-    pub fn next_due(&self) -> Option<Nanos> {
-        if self.fallen || matches!(self.fault, Fault::Silent | Fault::Hangs) {
+    /// When `on_timeout` is to be called next.
+    pub fn next_timeout(&self) -> Option<Nanos> {
+        if self.overloaded || matches!(self.fault, Fault::Silent | Fault::Hangs) {
             return None;
         }
-        let expires = self.states.values().map(|(_, since)| since + self.build.state_for);
-        self.running.values().map(|running| running.due).chain(self.reading_until).chain(expires).min()
+        let expiries = self.held.values().map(|held| held.since + self.profile.cache_timeout);
+        let tokens = self.decodes.values().map(|decode| decode.next_token);
+        tokens.chain(self.prefill_done_at).chain(expiries).min()
     }
 
-    /// Does what is due by now.
-    pub fn due(&mut self, now: Nanos, out: &mut Vec<Happened>) {
-        if self.next_due().is_none() {
-            return;
+    /// Does what is due by now and returns the progress.
+    pub fn on_timeout(&mut self, now: Nanos) -> Vec<Progress> {
+        let mut progress = Vec::new();
+        if self.next_timeout().is_none() {
+            return progress;
         }
-        if self.reading_until.is_some_and(|until| until <= now) {
-            self.reading_until = None;
-            if let Some((job, kept)) = self.reads.pop_front() {
-                self.states.insert(job.id, (job.prompt_tokens, now));
-                out.push(Happened::Read { id: job.id, kept });
-            }
-            self.next_read(now);
+        self.finish_prefill(now, &mut progress);
+        self.expire_caches(now, &mut progress);
+        self.generate_tokens(now, &mut progress);
+        self.start_decodes(now);
+        progress
+    }
+
+    fn finish_prefill(&mut self, now: Nanos, progress: &mut Vec<Progress>) {
+        if self.prefill_done_at.is_none_or(|done_at| done_at > now) {
+            return;
         }
-        let old = |since: &Nanos| since + self.build.state_for <= now;
-        let expired: Vec<u64> =
-            self.states.iter().filter(|(_, (_, since))| old(since)).map(|(id, _)| *id).collect();
-        for id in expired {
-            self.states.remove(&id);
-            out.push(Happened::Expired { id });
+        self.prefill_done_at = None;
+        if let Some(Prefill { job, cached_tokens }) = self.prefills.pop_front() {
+            self.held.insert(job.id, HeldCache { tokens: job.prompt_tokens, since: now });
+            progress.push(Progress::PrefillDone { id: job.id, cached_tokens });
         }
-        let due: Vec<u64> = self.running.iter().filter(|(_, r)| r.due <= now).map(|(id, _)| *id).collect();
-        let pace = self.pace(now);
-        for id in due {
-            let Some(running) = self.running.get_mut(&id) else { continue };
-            running.written += 1;
-            running.due = now + pace;
-            let last = running.written >= running.job.answer_tokens;
-            out.push(Happened::Token { id, number: running.written, last });
-            if last {
-                self.running.remove(&id);
+        self.start_prefill(now);
+    }
+
+    fn expire_caches(&mut self, now: Nanos, progress: &mut Vec<Progress>) {
+        let timeout = self.profile.cache_timeout;
+        self.held.retain(|id, held| {
+            let expired = held.since + timeout <= now;
+            if expired {
+                progress.push(Progress::CacheExpired { id: *id });
             }
-        }
-        self.next_answers(now);
+            !expired
+        });
+    }
+
+    fn generate_tokens(&mut self, now: Nanos, progress: &mut Vec<Progress>) {
+        let interval = self.token_interval(now);
+        self.decodes.retain(|id, decode| {
+            if decode.next_token > now {
+                return true;
+            }
+            decode.generated += 1;
+            decode.next_token = now + interval;
+            let last = decode.generated >= decode.job.answer_tokens;
+            progress.push(Progress::Token { id: *id, number: decode.generated, last });
+            !last
+        });
     }
 
+    /// The used share of its memory.
     pub fn memory_share(&self) -> f64 {
-        self.held_tokens() as f64 / self.build.memory_tokens.max(1) as f64
+        self.held_tokens() as f64 / self.profile.memory_tokens.max(1) as f64
     }
 
+    /// Prompt tokens that are still to be processed.
     pub fn queued_prompt_tokens(&self) -> u64 {
-        self.reads.iter().map(|(job, kept)| job.prompt_tokens - kept).sum()
+        self.prefills.iter().map(|prefill| prefill.job.prompt_tokens - prefill.cached_tokens).sum()
     }
 
+    /// Jobs that wait or are being executed.
     pub fn in_flight(&self) -> usize {
-        self.reads.len() + self.running.len() + self.waiting.len()
+        self.prefills.len() + self.decodes.len() + self.waiting.len()
     }
 
     fn held_tokens(&self) -> u64 {
-        let reading: u64 = self.reads.iter().map(|(job, _)| job.prompt_tokens).sum();
-        let states: u64 = self.states.values().map(|(tokens, _)| tokens).sum();
-        let running: u64 = self.running.values().map(|r| r.job.prompt_tokens + r.written).sum();
-        reading + states + running
+        let prefills: u64 = self.prefills.iter().map(|prefill| prefill.job.prompt_tokens).sum();
+        let held: u64 = self.held.values().map(|held| held.tokens).sum();
+        let decodes: u64 =
+            self.decodes.values().map(|decode| decode.job.prompt_tokens + decode.generated).sum();
+        prefills + held + decodes
     }
 
-    /// The share of its full pace that it has by now.
-    fn present(&self, now: Nanos) -> f64 {
-        let warm = self.cold_since.map_or(1.0, |since| {
-            let age = now.saturating_sub(since) as f64 / self.build.cold_for.max(1) as f64;
-            self.build.cold_from + (1.0 - self.build.cold_from) * age.min(1.0)
+    /// The share of its full speed that it has by now.
+    fn speed(&self, now: Nanos) -> f64 {
+        let warm = self.warming_up_since.map_or(1.0, |since| {
+            let progress = now.saturating_sub(since) as f64 / self.profile.warm_up.max(1) as f64;
+            let initial = self.profile.initial_capacity;
+            initial + (1.0 - initial) * progress.min(1.0)
         });
         match self.fault {
-            Fault::Slow(times) => warm / times.max(1.0),
+            Fault::Slow(factor) => warm / factor.max(1.0),
             _ => warm,
         }
     }
 
-    /// Rule 4's other side: a cold box that is sent too much falls over and stays down.
-    fn strain(&mut self, now: Nanos, job: &Job) {
-        if self.cold_since.is_none_or(|since| now >= since + self.build.cold_for) {
-            return self.sent.clear();
+    /// Notes the work that arrives while it warms up; too much of it overloads the server for good.
+    fn note_load(&mut self, now: Nanos, job: &Job) {
+        if self.warming_up_since.is_none_or(|since| now >= since + self.profile.warm_up) {
+            return self.recent_load.clear();
         }
-        let read = job.prompt_tokens as f64 / self.build.read_tokens_per_second * 1e9;
-        let write = job.answer_tokens as f64 * self.build.token_nanos as f64 / self.build.slots.max(1) as f64;
-        let work = match job.work {
-            Work::Read => read,
-            Work::Write => write,
-            Work::Whole => read + write,
-        };
-        self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| at + self.build.cold_window < now) {
-            self.sent.pop_front();
+        self.recent_load.push_back(WarmUpLoad { at: now, nanos: self.nanos_at_full_speed(job) });
+        let window = self.profile.overload_window;
+        while self.recent_load.front().is_some_and(|load| load.at + window < now) {
+            self.recent_load.pop_front();
         }
-        let sent: f64 = self.sent.iter().map(|(_, work)| work).sum();
-        if sent > self.build.cold_multiple * self.present(now) * self.build.cold_window as f64 {
-            self.fallen = true;
+        let load: f64 = self.recent_load.iter().map(|load| load.nanos).sum();
+        if load > self.profile.overload_factor * self.speed(now) * window as f64 {
+            self.overloaded = true;
         }
     }
 
-    fn take_kept(&mut self, blocks: &[u64]) -> u64 {
-        self.uses += 1;
-        let kept = blocks.iter().take_while(|block| self.kept.contains_key(block)).count() as u64;
-        for block in blocks {
-            self.kept.insert(*block, self.uses);
-        }
-        let most = (self.build.memory_tokens / BLOCK) as usize;
-        if self.kept.len() > most {
-            let mut uses: Vec<u64> = self.kept.values().copied().collect();
-            uses.sort_unstable();
-            let oldest = uses[uses.len() - most / 2];
-            self.kept.retain(|_, used| *used >= oldest);
+    fn nanos_at_full_speed(&self, job: &Job) -> f64 {
+        let profile = &self.profile;
+        let decode = job.answer_tokens as f64 * profile.token_interval as f64 / profile.slots.max(1) as f64;
+        match job.step {
+            Step::Prefill => self.prefill_nanos(job.prompt_tokens),
+            Step::Decode => decode,
+            Step::Combined => self.prefill_nanos(job.prompt_tokens) + decode,
         }
-        kept * BLOCK
     }
 
-    fn next_read(&mut self, now: Nanos) {
-        if self.reading_until.is_some() {
+    fn prefill_nanos(&self, tokens: u64) -> f64 {
+        tokens as f64 / self.profile.prefill_tokens_per_second * NANOS_PER_SECOND
+    }
+
+    fn start_prefill(&mut self, now: Nanos) {
+        if self.prefill_done_at.is_some() {
             return;
         }
-        if let Some((job, kept)) = self.reads.front() {
-            let tokens = (job.prompt_tokens - kept) as f64;
-            let pace = self.build.read_tokens_per_second * self.present(now);
-            self.reading_until = Some(now + 1 + (tokens / pace * 1e9) as Nanos);
+        if let Some(prefill) = self.prefills.front() {
+            let tokens = (prefill.job.prompt_tokens - prefill.cached_tokens) as f64;
+            let tokens_per_second = self.profile.prefill_tokens_per_second * self.speed(now);
+            self.prefill_done_at = Some(now + 1 + (tokens / tokens_per_second * NANOS_PER_SECOND) as Nanos);
         }
     }
 
-    fn next_answers(&mut self, now: Nanos) {
-        while self.running.len() < self.build.slots {
+    fn start_decodes(&mut self, now: Nanos) {
+        while self.decodes.len() < self.profile.slots {
             let Some(job) = self.waiting.pop_front() else { return };
-            let read = match job.work {
-                Work::Whole => job.prompt_tokens as f64 / self.build.read_tokens_per_second * 1e9,
-                _ => 0.0,
+            let prefill = match job.step {
+                Step::Combined => self.prefill_nanos(job.prompt_tokens),
+                Step::Prefill | Step::Decode => 0.0,
             };
-            let due = now + (read / self.present(now)) as Nanos + self.pace(now);
-            self.running.insert(job.id, Running { job, written: 0, due });
+            let next_token = now + (prefill / self.speed(now)) as Nanos + self.token_interval(now);
+            self.decodes.insert(job.id, Decode { job, generated: 0, next_token });
         }
     }
 
-    fn pace(&self, now: Nanos) -> Nanos {
-        let filled = self.running.len() as f64 / self.build.slots.max(1) as f64;
-        (self.build.token_nanos as f64 * (1.0 + filled) / self.present(now)) as Nanos
+    fn token_interval(&self, now: Nanos) -> Nanos {
+        let filled = self.decodes.len() as f64 / self.profile.slots.max(1) as f64;
+        (self.profile.token_interval as f64 * (1.0 + filled) / self.speed(now)) as Nanos
     }
 }
 
--- a/emulator/src/model/tests.rs
+++ b/emulator/src/model/tests.rs
@@ -1,64 +1,64 @@
 use super::*;
 
-pub const BUILD: Build = Build {
-    role: Role::Mixed,
+const PROFILE: Profile = Profile {
+    role: Role::Combined,
     slots: 2,
     queue: 2,
     memory_tokens: 1000,
-    state_for: 10_000_000_000,
-    read_tokens_per_second: 1000.0,
-    token_nanos: 1_000_000,
-    cold_for: 1_000_000_000,
-    cold_from: 0.5,
-    cold_multiple: 2.0,
-    cold_window: 100_000_000,
+    cache_timeout: 10_000_000_000,
+    prefill_tokens_per_second: 1000.0,
+    token_interval: 1_000_000,
+    warm_up: 1_000_000_000,
+    initial_capacity: 0.5,
+    overload_factor: 2.0,
+    overload_window: 100_000_000,
 };
 
-fn job(id: u64, work: Work) -> Job {
-    Job { id, work, blocks: vec![1, 2, 3], prompt_tokens: 50, answer_tokens: 3 }
+fn job(id: u64, step: Step) -> Job {
+    Job { id, step, blocks: vec![1, 2, 3], prompt_tokens: 50, answer_tokens: 3 }
 }
 
-fn run(model: &mut ModelBox, until: Nanos) -> Vec<Happened> {
-    let mut out = Vec::new();
-    while let Some(due) = model.next_due().filter(|due| *due <= until) {
-        model.due(due, &mut out);
+fn run(model: &mut Model, until: Nanos) -> Vec<Progress> {
+    let mut progress = Vec::new();
+    while let Some(due) = model.next_timeout().filter(|due| *due <= until) {
+        progress.extend(model.on_timeout(due));
     }
-    out
+    progress
 }
 
 #[test]
-fn a_second_read_of_a_text_is_shorter_and_its_state_is_held_until_let_go() {
-    let mut model = ModelBox::new(BUILD, 2_000_000_000, false);
+fn repeated_prefill_is_shorter_and_its_cache_is_held_until_released() {
+    let mut model = Model::new(PROFILE);
     let start = 3_000_000_000;
-    model.arrive(start, job(1, Work::Read)).unwrap();
-    assert_eq!(run(&mut model, start + 60_000_000), [Happened::Read { id: 1, kept: 0 }]);
-    model.arrive(start + 60_000_000, job(2, Work::Read)).unwrap();
-    assert_eq!(run(&mut model, start + 63_000_000), [Happened::Read { id: 2, kept: 48 }]);
+    model.accept(start, job(1, Step::Prefill)).unwrap();
+    assert_eq!(run(&mut model, start + 60_000_000), [Progress::PrefillDone { id: 1, cached_tokens: 0 }]);
+    model.accept(start + 60_000_000, job(2, Step::Prefill)).unwrap();
+    assert_eq!(run(&mut model, start + 63_000_000), [Progress::PrefillDone { id: 2, cached_tokens: 48 }]);
     assert_eq!(model.memory_share(), 0.1);
-    assert!(model.let_go(1) && !model.let_go(1));
+    assert!(model.release(1) && !model.release(1));
 }
 
 #[test]
-fn answers_wait_for_slots_and_more_than_the_queue_is_refused() {
-    let mut model = ModelBox::new(BUILD, 0, false);
+fn decodes_wait_for_slots_and_a_full_queue_rejects() {
+    let mut model = Model::new(PROFILE);
     for id in 0..4 {
-        model.arrive(0, job(id, Work::Write)).unwrap();
+        model.accept(0, job(id, Step::Decode)).unwrap();
     }
-    assert_eq!(model.arrive(0, job(9, Work::Write)), Err(Refused::Full));
+    assert_eq!(model.accept(0, job(9, Step::Decode)), Err(Rejection::AtCapacity));
     model.cancel(0, 1);
-    let last =
-        run(&mut model, u64::MAX).into_iter().filter(|h| matches!(h, Happened::Token { last: true, .. }));
+    let last = run(&mut model, u64::MAX)
+        .into_iter()
+        .filter(|progress| matches!(progress, Progress::Token { last: true, .. }));
     assert_eq!(last.count(), 3);
 }
 
 #[test]
-fn a_cold_box_that_is_sent_too_much_falls_over_and_a_warm_one_does_not() {
-    let flood = |cold| {
-        let mut model = ModelBox::new(BUILD, 0, cold);
+fn cold_server_is_overloaded_where_a_warm_one_is_not() {
+    let overloaded = |mut model: Model| {
         for id in 0..4 {
-            let _ = model.arrive(id * 1000, job(id, Work::Read));
+            let _ = model.accept(id * 1000, job(id, Step::Prefill));
         }
-        model.fallen()
+        model.overloaded()
     };
-    assert!(flood(true) && !flood(false));
+    assert!(overloaded(Model::cold(PROFILE, 0)) && !overloaded(Model::new(PROFILE)));
 }
--- a/platform-engine-client/tests/server_behaviour.rs
+++ b/platform-engine-client/tests/server_behaviour.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use petrelshore::interface::Outcome;
-use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_platform_engine_client::{AttemptRequest, Client, SendPermission};
 use petrelshore_platform_protocol::load::{Field, Measure};
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_good_stream_passes_unchanged_and_its_connection_serves_again_once_it_has_rested() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     async_io::block_on(async {
         for _ in 0..3 {
@@ -71,32 +71,32 @@
         }
     });
     assert_eq!((server.connections(), client.connection_counts()), (1, (1, 1)));
-    assert_eq!(server.seen()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
+    assert_eq!(server.requests()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
 }
 
 #[test]
 fn a_read_tells_what_was_kept_and_the_load() {
-    let server = ModelServer::start(true, Manner::Interim).unwrap();
+    let server = ModelServer::start(true, ServerBehavior::Interim).unwrap();
     let client = client(4);
     let heard = async_io::block_on(client.prefill(&call(server.address), &|| {}));
     assert_eq!((heard.result, heard.load.is_none()), (Ok(4.0), true), "an unreadable load is none");
-    server.set(Manner::Good);
+    server.set(ServerBehavior::Good);
     let heard = async_io::block_on(client.prefill(&call(server.address), &|| {}));
     assert_eq!((heard.result, heard.load.unwrap().memory_share), (Ok(4.0), Some(0.25)));
 }
 
 #[test]
 fn only_what_the_protocol_names_proves_that_nothing_ran() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     let cases = [
-        (Manner::Declines, AttemptEnd::AtCapacity),
-        (Manner::StateGone, AttemptEnd::KvCacheMissing),
-        (Manner::Overloaded, AttemptEnd::ErrorStatus { status: 503 }),
-        (Manner::Fails, AttemptEnd::ErrorStatus { status: 500 }),
-        (Manner::Resets, AttemptEnd::Reset),
-        (Manner::Noise, AttemptEnd::Malformed),
-        (Manner::EndlessHead, AttemptEnd::Malformed),
+        (ServerBehavior::Declines, AttemptEnd::AtCapacity),
+        (ServerBehavior::CacheMissing, AttemptEnd::KvCacheMissing),
+        (ServerBehavior::Overloaded, AttemptEnd::ErrorStatus { status: 503 }),
+        (ServerBehavior::Fails, AttemptEnd::ErrorStatus { status: 500 }),
+        (ServerBehavior::Resets, AttemptEnd::Reset),
+        (ServerBehavior::InvalidResponse, AttemptEnd::Malformed),
+        (ServerBehavior::EndlessHead, AttemptEnd::Malformed),
     ];
     for (manner, ending) in cases {
         server.set(manner);
@@ -110,9 +110,9 @@
 
 #[test]
 fn a_stream_that_is_spoilt_later_passes_only_whole_events_and_its_connection_is_not_used_again() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
-    for manner in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream] {
+    for manner in [ServerBehavior::BadChunk, ServerBehavior::HugeChunk, ServerBehavior::InvalidEvent] {
         server.set(manner);
         let (passed, ended) = async_io::block_on(written(&client, server.address));
         assert_eq!(ended, Err(AttemptEnd::Malformed), "{manner:?}");
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_connection_with_more_on_it_than_was_asked_for_is_not_used_again() {
-    let server = ModelServer::start(false, Manner::SecondAnswer).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::SecondResponse).unwrap();
     let client = client(4);
     for _ in 0..2 {
         assert_eq!(async_io::block_on(written(&client, server.address)), (events(), Ok(())));
@@ -135,7 +135,7 @@
 
 #[test]
 fn where_all_places_are_taken_the_longest_idle_connection_makes_room() {
-    let servers = [Manner::Good; 3].map(|manner| ModelServer::start(false, manner).unwrap());
+    let servers = [ServerBehavior::Good; 3].map(|manner| ModelServer::start(false, manner).unwrap());
     let client = client(2);
     for server in &servers {
         assert_eq!(async_io::block_on(written(&client, server.address)).1, Ok(()));
@@ -143,12 +143,12 @@
     assert_eq!(client.connection_counts(), (2, 2));
     let told = client.release(servers[0].address, "00000000000000aa", PATIENCE, &|| SendPermission::Granted);
     assert_eq!(async_io::block_on(told), Ok(()));
-    assert_eq!(servers[0].seen()[1], "DELETE /kv/leases/00000000000000aa ");
+    assert_eq!(servers[0].requests()[1], "DELETE /kv/leases/00000000000000aa ");
 }
 
 #[test]
 fn a_kept_connection_that_closes_under_its_request_proves_nothing_and_the_next_gets_a_new_one() {
-    let server = ModelServer::start(false, Manner::OncePerConnection).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::OncePerConnection).unwrap();
     let client = client(4);
     async_io::block_on(async {
         assert_eq!(written(&client, server.address).await, (events(), Ok(())));
@@ -226,7 +226,7 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_has_left_also_while_the_connection_came_up() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     async_io::block_on(async {
         // Asked before a connection is made, and again once it is there.
@@ -245,7 +245,7 @@
             assert_eq!(heard.result.err(), Some(AttemptEnd::ReturnedUnsent), "{leaves_at}");
         }
     });
-    assert!(server.seen().is_empty(), "{:?}", server.seen());
+    assert!(server.requests().is_empty(), "{:?}", server.requests());
     // The connection that came up for nobody serves the next.
     assert_eq!(async_io::block_on(written(&client, server.address)), (events(), Ok(())));
     assert_eq!(server.connections(), 1);
@@ -438,8 +438,8 @@
 
 #[test]
 fn where_no_connection_is_free_that_says_nothing_of_the_server() {
-    let silent = ModelServer::start(false, Manner::Silent).unwrap();
-    let good = ModelServer::start(false, Manner::Good).unwrap();
+    let silent = ModelServer::start(false, ServerBehavior::Silent).unwrap();
+    let good = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(1);
     async_io::block_on(async {
         let waits = async {
@@ -447,7 +447,7 @@
             unreachable!("it never answers")
         };
         let second = async {
-            while silent.seen().is_empty() {
+            while silent.requests().is_empty() {
                 async_io::Timer::after(Duration::from_millis(1)).await;
             }
             client.prefill(&call(good.address), &|| {}).await.result
@@ -536,13 +536,13 @@
 
 #[test]
 fn while_a_state_waits_a_used_connection_that_nothing_proves_counts_as_broken_off() {
-    let server = ModelServer::start(true, Manner::Good).unwrap();
+    let server = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let client = client(1);
     async_io::block_on(async {
         assert!(client.prefill(&call(server.address), &|| {}).await.result.is_ok());
         rest().await;
     });
-    server.set(Manner::Silent);
+    server.set(ServerBehavior::Silent);
     // Its own connection takes the only permit, so none can come up as a proof.
     let held = AttemptRequest {
         holds_cache: true,
--- a/platform-gateway/tests/service.rs
+++ b/platform-gateway/tests/service.rs
@@ -4,7 +4,7 @@
 use async_io::Timer;
 use bytes::Bytes;
 use petrelshore::interface::*;
-use petrelshore_emulator::platform::{Manner, ModelServer, config as config_text, entry, events};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior, config as config_text, entry, events};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
 use petrelshore_gateway_core::passthrough::FinalAnswer;
 use petrelshore_gateway_core::{NewSequence, Relay};
@@ -48,8 +48,8 @@
 
 #[test]
 fn a_client_that_leaves_after_its_end_takes_no_other_sequence_with_its_id_along() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
-    let writer = ModelServer::start(false, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
+    let writer = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -62,7 +62,7 @@
         while service.tracked() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
-        reader.set(Manner::Slow);
+        reader.set(ServerBehavior::Slow);
         let mut next = take(&service, SequenceId(7));
         drop(unread);
         let mut told = String::new();
