--- a/capacity/src/fleet/servers.rs
+++ b/capacity/src/fleet/servers.rs
@@ -1,181 +1,223 @@
 //! Simple model servers in virtual time.
 //!
-//! A prefill server reads one prompt after the other at its rate, less what it has kept of it. A decode server writes all
-//! its streams at once, the slower the more there are, and turns away what does not fit its memory.
+//! A prefill server processes one prompt after the other, less what it has cached of it. A decode server generates all
+//! its streams at once, slower the more there are, and rejects what does not fit its memory.
 
 use crate::inventory::{MEMORY_TOKENS, MILLISECOND};
-use petrelshore::interface::*;
+use petrelshore::interface::{CellId, Deployment, Endpoint, EndpointState, LoadReport, Nanos, ZoneId};
 use std::collections::{BTreeMap, HashMap};
 
-/// Prompt tokens that a warm prefill server reads in a second.
-const PREFILL_RATE: f64 = 80_000.0;
+/// Prompt tokens that a warm prefill server processes in a second.
+const PREFILL_TOKENS_PER_SECOND: f64 = 80_000.0;
+const NANOS_PER_SECOND: f64 = 1e9;
 /// A prefill or the first token of a decode takes this long beside its work.
 const OVERHEAD: Nanos = 15 * MILLISECOND;
-/// What a state needs more to be moved to another cell, and to another zone.
-const MOVE_CELL: Nanos = 40 * MILLISECOND;
-const MOVE_ZONE: Nanos = 120 * MILLISECOND;
-/// Time between two tokens of a lone stream, and what each further stream adds.
-const TOKEN: f64 = 24.0 * MILLISECOND as f64;
-const TOKEN_MORE: f64 = 0.06 * MILLISECOND as f64;
-/// More prompt work than this in its queue, and a prefill server turns away.
-const LONGEST_QUEUE: Nanos = 4_000 * MILLISECOND;
-
-/// Texts that a prefill server keeps, the one used longest ago leaving first.
+/// The additional time to transfer a KV cache to another cell.
+const CELL_TRANSFER_TIME: Nanos = 40 * MILLISECOND;
+/// The additional time to transfer a KV cache to another zone.
+const ZONE_TRANSFER_TIME: Nanos = 120 * MILLISECOND;
+/// The time between two tokens of a lone stream, in nanoseconds.
+const TOKEN_INTERVAL: f64 = 24.0 * MILLISECOND as f64;
+/// What each further stream adds to that.
+const TOKEN_INTERVAL_PER_STREAM: f64 = 0.06 * MILLISECOND as f64;
+/// A prefill server with more work than this in its queue rejects.
+const MAX_QUEUE: Nanos = 4_000 * MILLISECOND;
+
+/// A cached prompt or prefix.
+struct CachedText {
+    tokens: f64,
+    last_used: u64,
+}
+
+/// The prefix cache of a prefill server; the least recently used text is evicted first.
 #[derive(Default)]
-struct Cache {
-    texts: HashMap<u64, (f64, u64)>,
-    by_use: BTreeMap<u64, u64>,
+struct PrefixCache {
+    texts: HashMap<u64, CachedText>,
+    by_last_use: BTreeMap<u64, u64>,
     tokens: f64,
     uses: u64,
 }
 
-impl Cache {
-    fn kept(&self, text: u64) -> f64 {
-        self.texts.get(&text).map_or(0.0, |(tokens, _)| *tokens)
+impl PrefixCache {
+    fn cached_tokens(&self, text: u64) -> f64 {
+        self.texts.get(&text).map_or(0.0, |cached| cached.tokens)
     }
 
-    fn keep(&mut self, text: u64, tokens: f64) {
+    fn insert(&mut self, text: u64, tokens: f64) {
         self.uses += 1;
-        if let Some((before, used)) = self.texts.insert(text, (tokens, self.uses)) {
-            self.by_use.remove(&used);
-            self.tokens -= before;
+        let cached = CachedText { tokens, last_used: self.uses };
+        if let Some(before) = self.texts.insert(text, cached) {
+            self.by_last_use.remove(&before.last_used);
+            self.tokens -= before.tokens;
         }
-        self.by_use.insert(self.uses, text);
+        self.by_last_use.insert(self.uses, text);
         self.tokens += tokens;
         while self.tokens > MEMORY_TOKENS
-            && let Some((_, oldest)) = self.by_use.pop_first()
+            && let Some((_, oldest)) = self.by_last_use.pop_first()
         {
-            self.tokens -= self.texts.remove(&oldest).map_or(0.0, |(tokens, _)| tokens);
+            self.tokens -= self.texts.remove(&oldest).map_or(0.0, |cached| cached.tokens);
         }
     }
 }
 
-/// A prompt as a server sees it.
+/// A prompt, as a server sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt {
+    /// Identifies the session.
     pub session: u64,
+    /// Identifies the shared prefix.
     pub prefix: u64,
+    /// All tokens.
     pub tokens: f64,
+    /// Tokens of the shared prefix.
     pub prefix_tokens: f64,
-    /// Tokens of it that an earlier turn of its session had.
+    /// Tokens that an earlier turn of its session had.
     pub earlier_tokens: f64,
 }
 
-/// What comes of a request: when, and how.
+/// Where a KV cache is held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CacheLocation {
+    /// The cell.
+    pub cell: CellId,
+    /// The zone.
+    pub zone: ZoneId,
+}
+
+/// An accepted prefill.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PrefillTiming {
+    /// When it is done.
+    pub done_at: Nanos,
+    /// Tokens that were cached.
+    pub cached_tokens: f64,
+}
+
+/// An accepted decode.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outcome {
-    /// The prompt is read by then; so much of it had been kept.
-    Read {
-        at: Nanos,
-        kept: f64,
-    },
-    /// The first token comes then, the others this far apart.
-    Writes {
-        first: Nanos,
-        token: Nanos,
-    },
-    Full,
+pub struct DecodeTiming {
+    /// When the first token is generated.
+    pub first_token_at: Nanos,
+    /// The time between two tokens.
+    pub token_interval: Nanos,
 }
 
+/// A model server.
 pub struct ModelServer {
+    /// Its entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Another number for each start.
-    pub start: u64,
+    /// Identifies its process: another number for each start and loss.
+    pub incarnation: u64,
+    /// It responds to nothing.
     pub lost: bool,
-    cold_until: Nanos,
-    slow_start: Nanos,
-    cold_from: f64,
+    /// Work done: prompt tokens processed, or requests decoded.
+    pub work: f64,
+    slow_start_until: Nanos,
+    slow_start_duration: Nanos,
+    initial_share: f64,
     busy_until: Nanos,
-    cache: Cache,
+    cache: PrefixCache,
     streams: usize,
-    tokens: f64,
-    /// Work done: prompt tokens read, or requests decoded.
-    pub work: f64,
+    stream_tokens: f64,
 }
 
 impl ModelServer {
+    /// A warm server.
     pub fn new(endpoint: Endpoint, deployment: &Deployment) -> Self {
         ModelServer {
             endpoint,
-            start: 0,
+            incarnation: 0,
             lost: false,
-            cold_until: 0,
-            slow_start: deployment.slow_start_duration,
-            cold_from: deployment.slow_start_initial_share,
+            work: 0.0,
+            slow_start_until: 0,
+            slow_start_duration: deployment.slow_start_duration,
+            initial_share: deployment.slow_start_initial_share,
             busy_until: 0,
-            cache: Cache::default(),
+            cache: PrefixCache::default(),
             streams: 0,
-            tokens: 0.0,
-            work: 0.0,
+            stream_tokens: 0.0,
         }
     }
 
-    /// Starts anew, cold and empty.
+    /// Loses the server's process.
+    pub fn lose(&mut self) {
+        self.lost = true;
+        self.incarnation += 1;
+    }
+
+    /// Starts a new process, in slow start and with empty memory.
     pub fn restart(&mut self, now: Nanos) {
-        let endpoint = Endpoint { started_at: now, state: EndpointState::Ready, ..self.endpoint.clone() };
-        self.start += 1;
-        (self.endpoint, self.lost) = (endpoint, false);
-        self.cold_until = now + self.slow_start;
-        (self.busy_until, self.cache) = (now, Cache::default());
-        (self.streams, self.tokens) = (0, 0.0);
+        self.endpoint.started_at = now;
+        self.endpoint.state = EndpointState::Ready;
+        self.incarnation += 1;
+        self.lost = false;
+        self.slow_start_until = now + self.slow_start_duration;
+        self.busy_until = now;
+        self.cache = PrefixCache::default();
+        self.streams = 0;
+        self.stream_tokens = 0.0;
     }
 
     /// The share of its capacity that it has by now.
-    pub fn present(&self, now: Nanos) -> f64 {
-        let cold = self.cold_until.saturating_sub(now) as f64 / self.slow_start.max(1) as f64;
-        1.0 - (1.0 - self.cold_from) * cold.clamp(0.0, 1.0)
+    pub fn capacity_share(&self, now: Nanos) -> f64 {
+        let left = self.slow_start_until.saturating_sub(now) as f64 / self.slow_start_duration.max(1) as f64;
+        1.0 - (1.0 - self.initial_share) * left.clamp(0.0, 1.0)
     }
 
-    pub fn is_cold(&self, now: Nanos) -> bool {
-        now < self.cold_until
+    /// Whether it is in slow start.
+    pub fn in_slow_start(&self, now: Nanos) -> bool {
+        now < self.slow_start_until
     }
 
-    /// Takes a prompt to read.
-    pub fn read(&mut self, now: Nanos, prompt: &Prompt) -> Outcome {
-        if self.busy_until > now + LONGEST_QUEUE {
-            return Outcome::Full;
+    /// Accepts a prompt; `None` where its queue is full.
+    pub fn prefill(&mut self, now: Nanos, prompt: &Prompt) -> Option<PrefillTiming> {
+        if self.busy_until > now + MAX_QUEUE {
+            return None;
         }
-        let session = self.cache.kept(prompt.session).min(prompt.earlier_tokens);
-        let prefix = self.cache.kept(prompt.prefix).min(prompt.prefix_tokens);
-        let kept = session.max(prefix);
-        let read = prompt.tokens - kept;
-        let takes = read / (PREFILL_RATE * self.present(now)) * 1e9;
+        let session = self.cache.cached_tokens(prompt.session).min(prompt.earlier_tokens);
+        let prefix = self.cache.cached_tokens(prompt.prefix).min(prompt.prefix_tokens);
+        let cached_tokens = session.max(prefix);
+        let tokens = prompt.tokens - cached_tokens;
+        let takes = tokens / (PREFILL_TOKENS_PER_SECOND * self.capacity_share(now)) * NANOS_PER_SECOND;
         self.busy_until = self.busy_until.max(now) + takes as Nanos;
-        self.cache.keep(prompt.session, prompt.tokens);
-        self.cache.keep(prompt.prefix, prompt.prefix_tokens);
-        self.work += read;
-        Outcome::Read { at: self.busy_until + OVERHEAD, kept }
+        self.cache.insert(prompt.session, prompt.tokens);
+        self.cache.insert(prompt.prefix, prompt.prefix_tokens);
+        self.work += tokens;
+        Some(PrefillTiming { done_at: self.busy_until + OVERHEAD, cached_tokens })
     }
 
-    /// Takes a state to write from, of a prefill server in that cell and zone.
-    pub fn write(&mut self, now: Nanos, tokens: f64, cell: CellId, zone: ZoneId) -> Outcome {
-        if self.tokens + tokens > MEMORY_TOKENS {
-            return Outcome::Full;
+    /// Accepts a stream of so many tokens, prompt included; `None` where its memory is full.
+    pub fn decode(&mut self, now: Nanos, tokens: f64, cache: CacheLocation) -> Option<DecodeTiming> {
+        if self.stream_tokens + tokens > MEMORY_TOKENS {
+            return None;
         }
         self.streams += 1;
-        self.tokens += tokens;
+        self.stream_tokens += tokens;
         self.work += 1.0;
-        let moves = match (self.endpoint.cell == cell, self.endpoint.zone == zone) {
-            (true, _) => 0,
-            (false, true) => MOVE_CELL,
-            (false, false) => MOVE_ZONE,
+        let transfer = if self.endpoint.cell == cache.cell {
+            0
+        } else if self.endpoint.zone == cache.zone {
+            CELL_TRANSFER_TIME
+        } else {
+            ZONE_TRANSFER_TIME
         };
-        let token = (TOKEN + TOKEN_MORE * self.streams as f64 / self.present(now)) as Nanos;
-        Outcome::Writes { first: now + OVERHEAD + moves + token, token }
+        let slowdown = TOKEN_INTERVAL_PER_STREAM * self.streams as f64 / self.capacity_share(now);
+        let token_interval = (TOKEN_INTERVAL + slowdown) as Nanos;
+        Some(DecodeTiming { first_token_at: now + OVERHEAD + transfer + token_interval, token_interval })
     }
 
-    /// A stream has ended.
-    pub fn ended(&mut self, tokens: f64) {
+    /// A stream of so many tokens has ended.
+    pub fn end_stream(&mut self, tokens: f64) {
         self.streams = self.streams.saturating_sub(1);
-        self.tokens = (self.tokens - tokens).max(0.0);
+        self.stream_tokens = (self.stream_tokens - tokens).max(0.0);
     }
 
-    /// The load that goes with an answer.
-    pub fn report(&self, now: Nanos) -> LoadReport {
-        let queue = self.busy_until.saturating_sub(now) as f64 / 1e9 * PREFILL_RATE;
+    /// The load report that goes with a response.
+    pub fn load_report(&self, now: Nanos) -> LoadReport {
+        let queued_seconds = self.busy_until.saturating_sub(now) as f64 / NANOS_PER_SECOND;
         LoadReport {
-            memory_share: Some(self.tokens / MEMORY_TOKENS),
-            queued_prompt_tokens: Some(queue),
+            memory_share: Some(self.stream_tokens / MEMORY_TOKENS),
+            queued_prompt_tokens: Some(queued_seconds * PREFILL_TOKENS_PER_SECOND),
             in_flight: Some(self.streams as f64),
         }
     }
--- a/capacity/src/inventory.rs
+++ b/capacity/src/inventory.rs
@@ -1,32 +1,42 @@
-//! Deployments and lists of model servers of any size, in the proportions of the service.
+//! Deployments and endpoint lists of any size, in the proportions of the service.
 
-use petrelshore::interface::*;
+use petrelshore::interface::{
+    CellId, Delivery, Deployment, Discovery, Endpoint, EndpointState, Idempotency, Nanos, Role, ServerId,
+    ServerKind, ServerKindId, StartTimeClock, Tenant, TrafficType, Weights, ZoneId,
+};
 
+/// Nanoseconds of a millisecond.
 pub const MILLISECOND: Nanos = 1_000_000;
+/// Nanoseconds of a second.
 pub const SECOND: Nanos = 1_000 * MILLISECOND;
-/// Zones over the whole service.
+/// Zones of the whole service.
 pub const ZONES: usize = 7;
 /// Model servers of a cell.
-pub const CELL: u64 = 20;
-/// Of so many servers that many are prefill servers: 26 in 100.
-const PREFILL: (u64, u64) = (13, 50);
+pub const CELL_SERVERS: u64 = 20;
+/// So many of each [`GROUP_SERVERS`] are prefill servers: 26 in 100.
+const GROUP_PREFILL_SERVERS: u64 = 13;
+const GROUP_SERVERS: u64 = 50;
 /// Prompt and answer tokens that a server's memory holds.
 pub const MEMORY_TOKENS: f64 = 400_000.0;
-/// The odd constant of a multiplicative hash: it spreads names as those of real servers are.
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The odd constant of a multiplicative hash: it spreads server IDs as those of real servers are.
+const HASH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// What varies between deployments of one size.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
+    /// Gateways.
     pub gateways: usize,
+    /// Model servers.
     pub servers: u64,
+    /// Tenants.
     pub tenants: usize,
-    /// Requests a second of each tenant over all gateways, by its quota.
+    /// The quota of each tenant, in requests per second over all gateways.
     pub tenant_rate: f64,
-    /// How long a server counts as cold after its start.
+    /// How long a server is in slow start.
     pub slow_start: Nanos,
 }
 
+/// The deployment of a size, for a gateway of that zone.
 pub fn deployment(size: Size, zone: usize) -> Deployment {
     let traffic = TrafficType {
         priority_weight: 1.0,
@@ -61,31 +71,33 @@
     }
 }
 
-/// The zone of a server by its number: cells go round the zones.
+/// The zone of a server by its number: cells alternate between the zones.
 pub fn zone_of(number: u64) -> usize {
-    (number / CELL) as usize % ZONES
+    (number / CELL_SERVERS) as usize % ZONES
 }
 
 /// Whether a server by its number is a prefill server.
-pub fn prefills(number: u64) -> bool {
-    (number * PREFILL.0) % PREFILL.1 < PREFILL.0
+pub fn is_prefill_server(number: u64) -> bool {
+    (number * GROUP_PREFILL_SERVERS) % GROUP_SERVERS < GROUP_PREFILL_SERVERS
 }
 
-pub fn endpoint(number: u64, since: Nanos) -> Endpoint {
+/// A server by its number.
+pub fn endpoint(number: u64, started_at: Nanos) -> Endpoint {
     Endpoint {
-        server: ServerId(number.wrapping_add(1).wrapping_mul(SPREAD)),
-        kind: ServerKindId(usize::from(!prefills(number))),
-        cell: CellId((number / CELL) as i64),
+        server: ServerId(number.wrapping_add(1).wrapping_mul(HASH_FACTOR)),
+        kind: ServerKindId(usize::from(!is_prefill_server(number))),
+        cell: CellId((number / CELL_SERVERS) as i64),
         zone: ZoneId(zone_of(number)),
         weight: 1.0,
-        started_at: since,
+        started_at,
         state: EndpointState::Ready,
     }
 }
 
-/// A list of so many servers, of which this share started at `started` and the others long ago.
-pub fn fleet(servers: u64, slow_start: f64, started: Nanos) -> Vec<Endpoint> {
-    let cold =
-        |number: u64| ((number + 1) as f64 * slow_start).floor() > (number as f64 * slow_start).floor();
-    (0..servers).map(|number| endpoint(number, if cold(number) { started } else { 0 })).collect()
+/// An endpoint list of so many servers, of which this share started at `started_at` and the others long ago.
+pub fn fleet(servers: u64, slow_start_share: f64, started_at: Nanos) -> Vec<Endpoint> {
+    let in_slow_start = |number: u64| {
+        ((number + 1) as f64 * slow_start_share).floor() > (number as f64 * slow_start_share).floor()
+    };
+    (0..servers).map(|number| endpoint(number, if in_slow_start(number) { started_at } else { 0 })).collect()
 }
--- a/capacity/src/main.rs
+++ b/capacity/src/main.rs
@@ -1,11 +1,12 @@
 //! The `petrelshore-capacity` command.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use petrelshore_capacity::fleet::{self, Scene, Setup};
-use petrelshore_capacity::limits::{self, Refused};
-use petrelshore_capacity::report::{Form, Printer};
+use petrelshore_capacity::fleet::{self, Scenario, Setup};
+use petrelshore_capacity::limits::{self, LimitError};
+use petrelshore_capacity::report::{Format, Printer};
 use petrelshore_capacity::slopes::{self, Plan};
 use petrelshore_gateway_core::Chooser;
+use std::fmt;
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -22,24 +23,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// One gateway's cost for a whole request, for lists, and its memory, over growing fleets.
-    Slopes(Slopes),
-    /// Hollow gateways sharing one process before simple model servers, in virtual time.
+    /// One gateway's cost for a complete request, for endpoint lists, and its memory, over growing fleets.
+    Slopes(SlopesArguments),
+    /// Gateways without sockets sharing one process before simple model servers, in virtual time.
     Fleet(FleetArguments),
 }
 
 #[derive(clap::Args)]
-struct Slopes {
+struct SlopesArguments {
     /// Numbers of model servers.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 1_000, 2_000, 4_200, 8_400])]
     servers: Vec<u64>,
     /// Numbers of tenants.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 1, 64, 640])]
     tenants: Vec<u64>,
-    /// Parts of the servers in slow start, from 0 to 1.
+    /// Shares of the servers in slow start, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 1.0 / 7.0, 1.0])]
     slow_start: Vec<f64>,
-    /// Parts of the servers that answer nothing, from 0 to 1.
+    /// Shares of the servers that respond to nothing, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0])]
     silent: Vec<f64>,
     /// Requests measured for each row.
@@ -78,22 +79,22 @@
     policy: Option<Policy>,
     /// What happens; all one after the other where it is not given.
     #[arg(long, value_enum)]
-    scene: Option<SceneName>,
+    scene: Option<ScenarioName>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum SceneName {
+enum ScenarioName {
     /// Nothing but traffic.
     Ordinary,
-    /// The model servers of a zone are lost at once, and come back cold at once.
+    /// The model servers of a zone are lost at once, and all restart at once.
     Zone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Policy {
-    /// Every server is looked at for every request.
+    /// Every server is examined for every request.
     Scan,
-    /// A bounded number of candidates is looked at, as the gateway does.
+    /// A bounded number of candidates is examined, as the gateway does.
     Candidates,
 }
 
@@ -106,33 +107,65 @@
     }
 }
 
-/// The size of the service: requests a second, and model servers.
-const FULL_RATE: f64 = 63_000.0;
-const FULL_SERVERS: f64 = 4_200.0;
-const MOST_TENANTS: u64 = 100_000;
-const MOST_REQUESTS: u64 = 100_000_000;
-const LONGEST_ROW_MS: u64 = 600_000;
-
-impl Slopes {
-    fn plan(&self) -> Result<Plan, String> {
-        let range = |what, given: u64, most| {
-            limits::in_range(what, given, most).map_err(|no: Refused| no.to_string())
-        };
-        self.servers.iter().try_for_each(|&n| range("--servers", n, limits::MOST_SERVERS))?;
-        self.tenants.iter().filter(|n| **n > 0).try_for_each(|&n| range("--tenants", n, MOST_TENANTS))?;
-        self.memory_at.iter().try_for_each(|&n| range("--memory-at", n, MOST_REQUESTS))?;
-        range("--requests", self.requests, MOST_REQUESTS)?;
-        range("--row-ms", self.row_ms, LONGEST_ROW_MS)?;
-        for part in self.slow_start.iter().chain(&self.silent) {
-            if !(0.0..=1.0).contains(part) {
-                return Err(format!("a part of the servers must be from 0 to 1, not {part}"));
+/// Requests per second of the whole service.
+const SERVICE_RATE: f64 = 63_000.0;
+/// Model servers of the whole service.
+const SERVICE_SERVERS: f64 = 4_200.0;
+const MAX_TENANTS: u64 = 100_000;
+const MAX_REQUESTS: u64 = 100_000_000;
+const MAX_ROW_MS: u64 = 600_000;
+
+/// Why a command is not executed.
+#[derive(Debug)]
+enum Error {
+    /// A size is out of range, or beyond this machine.
+    Limit(LimitError),
+    /// A share of the servers is not between 0 and 1.
+    ShareOutOfRange(f64),
+}
+
+impl fmt::Display for Error {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Error::Limit(error) => error.fmt(formatter),
+            Error::ShareOutOfRange(share) => {
+                write!(formatter, "a part of the servers must be from 0 to 1, not {share}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for Error {}
+
+impl From<LimitError> for Error {
+    fn from(error: LimitError) -> Self {
+        Error::Limit(error)
+    }
+}
+
+impl SlopesArguments {
+    fn plan(&self) -> Result<Plan, Error> {
+        for servers in &self.servers {
+            limits::in_range("--servers", *servers, limits::MAX_SERVERS)?;
+        }
+        for tenants in self.tenants.iter().filter(|tenants| **tenants > 0) {
+            limits::in_range("--tenants", *tenants, MAX_TENANTS)?;
+        }
+        for requests in &self.memory_at {
+            limits::in_range("--memory-at", *requests, MAX_REQUESTS)?;
+        }
+        limits::in_range("--requests", self.requests, MAX_REQUESTS)?;
+        limits::in_range("--row-ms", self.row_ms, MAX_ROW_MS)?;
+        for share in self.slow_start.iter().chain(&self.silent) {
+            if !(0.0..=1.0).contains(share) {
+                return Err(Error::ShareOutOfRange(*share));
             }
         }
         Ok(Plan {
             servers: self.servers.clone(),
-            tenants: self.tenants.iter().map(|n| *n as usize).collect(),
-            slow_start: self.slow_start.clone(),
-            silent: self.silent.clone(),
+            tenants: self.tenants.iter().map(|tenants| *tenants as usize).collect(),
+            slow_start_shares: self.slow_start.clone(),
+            silent_shares: self.silent.clone(),
             requests: self.requests,
             row_time: Duration::from_millis(self.row_ms),
             memory_at: self.memory_at.clone(),
@@ -141,52 +174,61 @@
     }
 }
 
+impl ScenarioName {
+    fn scenario(self) -> Scenario {
+        match self {
+            ScenarioName::Ordinary => Scenario::Ordinary,
+            ScenarioName::Zone => Scenario::ZoneLost,
+        }
+    }
+}
+
 impl FleetArguments {
-    fn setups(&self) -> Result<Vec<Setup>, String> {
-        let no = |no: Refused| no.to_string();
-        limits::check(self.gateways, self.servers, limits::machine_memory()).map_err(no)?;
+    /// All chosen scenarios under all chosen policies.
+    fn setups(&self) -> Result<Vec<Setup>, Error> {
+        limits::check(self.gateways, self.servers, limits::machine_memory())?;
         if self.tenants > 0 {
-            limits::in_range("--tenants", self.tenants, MOST_TENANTS).map_err(no)?;
+            limits::in_range("--tenants", self.tenants, MAX_TENANTS)?;
         }
-        let in_proportion = FULL_RATE * self.servers as f64 / FULL_SERVERS;
-        let rate = self.rate.map_or(in_proportion, |rate| rate as f64);
+        let scenarios =
+            self.scene.map_or(vec![ScenarioName::Ordinary, ScenarioName::Zone], |scene| vec![scene]);
+        let policies = self.policy.map_or(vec![Policy::Scan, Policy::Candidates], |policy| vec![policy]);
         let mut setups = Vec::new();
-        for scene in self.scene.map_or(vec![SceneName::Ordinary, SceneName::Zone], |scene| vec![scene]) {
-            for policy in self.policy.map_or(vec![Policy::Scan, Policy::Candidates], |policy| vec![policy]) {
-                setups.push(Setup {
-                    gateways: self.gateways as usize,
-                    servers: self.servers,
-                    tenants: self.tenants as usize,
-                    rate,
-                    seconds: self.seconds,
-                    seed: self.seed,
-                    chooser: policy.chooser(),
-                    scene: match scene {
-                        SceneName::Ordinary => Scene::Ordinary,
-                        SceneName::Zone => Scene::ZoneLost,
-                    },
-                });
-            }
+        for scenario in scenarios {
+            setups.extend(policies.iter().map(|policy| self.setup(scenario, *policy)));
         }
         Ok(setups)
     }
+
+    fn setup(&self, scenario: ScenarioName, policy: Policy) -> Setup {
+        let proportional_rate = SERVICE_RATE * self.servers as f64 / SERVICE_SERVERS;
+        Setup {
+            gateways: self.gateways as usize,
+            servers: self.servers,
+            tenants: self.tenants as usize,
+            rate: self.rate.map_or(proportional_rate, |rate| rate as f64),
+            seconds: self.seconds,
+            seed: self.seed,
+            chooser: policy.chooser(),
+            scenario: scenario.scenario(),
+        }
+    }
 }
 
-fn run(arguments: &Arguments) -> Result<(), String> {
-    let mut printer = Printer::new(if arguments.json { Form::Json } else { Form::Table });
+fn run(arguments: &Arguments) -> Result<(), Error> {
+    let mut printer = Printer::new(if arguments.json { Format::Json } else { Format::Table });
     match &arguments.command {
-        Command::Slopes(slopes) => slopes::run(&slopes.plan()?, &mut printer).map_err(|no| no.to_string()),
-        Command::Fleet(arguments) => {
-            fleet::run(&arguments.setups()?, &mut printer).map_err(|no| no.to_string())
-        }
+        Command::Slopes(slopes) => slopes::run(&slopes.plan()?, &mut printer)?,
+        Command::Fleet(fleet) => fleet::run(&fleet.setups()?, &mut printer)?,
     }
+    Ok(())
 }
 
 fn main() -> ExitCode {
     match run(&Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("petrelshore-capacity: {message}");
+        Err(error) => {
+            eprintln!("petrelshore-capacity: {error}");
             ExitCode::FAILURE
         }
     }
--- a/capacity/src/report.rs
+++ b/capacity/src/report.rs
@@ -4,44 +4,52 @@
 use serde_json::Value;
 use std::io::Write;
 
+/// How rows are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
+    /// A table for people.
     Table,
+    /// One JSON object a line.
     Json,
 }
 
-/// Prints rows of one kind as they come; a table's head comes before its first row.
+/// Prints rows as they are measured; a table's head precedes its first row.
 pub struct Printer {
-    form: Form,
+    format: Format,
     columns: Vec<String>,
 }
 
-const WIDTH: usize = 14;
+/// The width of a table's columns.
+const COLUMN_WIDTH: usize = 14;
 
 impl Printer {
-    pub fn new(form: Form) -> Self {
-        Printer { form, columns: Vec::new() }
+    /// A printer that has printed nothing yet.
+    pub fn new(format: Format) -> Self {
+        Printer { format, columns: Vec::new() }
     }
 
     /// Prints one row. Its fields are the columns.
     pub fn row(&mut self, row: &impl Serialize) {
         let Ok(Value::Object(fields)) = serde_json::to_value(row) else { return };
-        if self.form == Form::Json {
-            return line(&Value::Object(fields).to_string());
+        if self.format == Format::Json {
+            return print_line(&Value::Object(fields).to_string());
         }
         let columns: Vec<String> = fields.keys().cloned().collect();
         if columns != self.columns {
-            line("");
-            line(&columns.iter().map(|name| format!("{name:>WIDTH$}")).collect::<Vec<_>>().join(" "));
+            print_line("");
+            print_line(
+                &columns.iter().map(|name| format!("{name:>COLUMN_WIDTH$}")).collect::<Vec<_>>().join(" "),
+            );
             self.columns = columns;
         }
-        let cells: Vec<String> = fields.values().map(|value| format!("{:>WIDTH$}", cell(value))).collect();
-        line(&cells.join(" "));
+        let cells: Vec<String> =
+            fields.values().map(|value| format!("{:>COLUMN_WIDTH$}", cell(value))).collect();
+        print_line(&cells.join(" "));
     }
 }
 
-/// Writes a line. Where nobody reads any more, nothing is owed to anybody: the rest is dropped.
-fn line(text: &str) {
+/// Writes a line. Where the reader has closed the pipe the output is dropped.
+fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
--- a/capacity/src/slopes.rs
+++ b/capacity/src/slopes.rs
@@ -1,11 +1,11 @@
-//! What one gateway costs as its fleet grows: processor time for a request, bytes and time of a list, memory.
+//! What one gateway costs as its fleet grows: processor time for a request, bytes and time of an endpoint list, memory.
 
-use crate::fit;
+use crate::fit::{self, Point};
+use crate::gateway::{Load, MeasuredGateway, WARM_UP_REQUESTS};
 use crate::inventory::{self, SECOND, Size};
-use crate::limits;
+use crate::limits::{self, LimitError};
 use crate::report::Printer;
-use crate::warm::{Load, WARM_UP, Warm};
-use petrelshore::interface::*;
+use petrelshore::interface::{Endpoint, Nanos};
 use petrelshore_gateway_core::Chooser;
 use petrelshore_platform_protocol::list::listed;
 use petrelshore_platform_protocol::settings::Names;
@@ -15,88 +15,160 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Gateways of the service, whose part of a cold server each one keeps to.
+/// Gateways of the service: each one keeps to its part of a server in slow start.
 const GATEWAYS: usize = 990;
-/// Requests a second at a gateway in the mean, and at one with five times that.
+/// Mean requests per second of a gateway.
 const MEAN_RATE: f64 = 64.0;
+/// Requests per second of a gateway with five times that.
 const BUSY_RATE: f64 = 320.0;
-/// Changes of the list of model servers on a day: 2,300 changes of configuration and some 800 restarts and failures.
-const CHANGES_A_DAY: f64 = 3_100.0;
-const SECONDS_A_DAY: f64 = 86_400.0;
-/// Long enough that a server which starts cold stays cold for all that is measured.
-const STAYS_COLD: Nanos = 1_000_000 * SECOND;
+/// Changes of the endpoint list on a day: 2,300 changes of configuration and some 800 restarts and failures.
+const CHANGES_PER_DAY: f64 = 3_100.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Long enough that a server stays in slow start for all that is measured.
+const LASTING_SLOW_START: Nanos = 1_000_000 * SECOND;
+/// The size of the whole service.
+const SERVICE_SERVERS: u64 = 4_200;
+/// The slow start of a deployment whose servers are warm.
+const SLOW_START: Nanos = 10 * SECOND;
 const SESSIONS: u64 = 5_000;
 const PREFIXES: u64 = 700;
-/// Rounds of the loop that times are told against.
+/// Rounds of the loop that times are compared with.
 const REFERENCE_ROUNDS: u64 = 1_000_000;
-/// Times that a list is decoded and applied; the median counts.
+/// How often a list is decoded and applied; the median counts.
 const LIST_ROUNDS: usize = 9;
 
 /// What is measured, and for how long.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Numbers of model servers.
     pub servers: Vec<u64>,
+    /// Numbers of tenants.
     pub tenants: Vec<usize>,
-    /// Parts of the servers that are in slow start.
-    pub slow_start: Vec<f64>,
-    /// Parts of the servers that answer nothing.
-    pub silent: Vec<f64>,
-    /// Requests measured for each row, and the time after which a row ends with fewer.
+    /// Shares of the servers that are in slow start.
+    pub slow_start_shares: Vec<f64>,
+    /// Shares of the servers that respond to nothing.
+    pub silent_shares: Vec<f64>,
+    /// Requests measured for each row.
     pub requests: u64,
+    /// The time after which a row ends with fewer.
     pub row_time: Duration,
-    /// After how many requests memory is read.
+    /// The numbers of requests after which memory is read.
     pub memory_at: Vec<u64>,
+    /// How servers are found.
     pub chooser: Chooser,
 }
 
+/// What is measured in one row.
+#[derive(Clone, Copy, Debug)]
+pub struct Case {
+    /// Model servers.
+    pub servers: u64,
+    /// Tenants.
+    pub tenants: usize,
+    /// The share of servers in slow start.
+    pub slow_start_share: f64,
+    /// The share of servers that respond to nothing.
+    pub silent_share: f64,
+    /// Requests per second at the gateway.
+    pub rate: f64,
+}
+
+impl Case {
+    /// All servers warm and responding, the gateway at its mean rate.
+    fn ordinary(servers: u64, tenants: usize) -> Case {
+        Case { servers, tenants, slow_start_share: 0.0, silent_share: 0.0, rate: MEAN_RATE }
+    }
+
+    fn load(&self) -> Load {
+        let slow_start = if self.slow_start_share > 0.0 { LASTING_SLOW_START } else { SLOW_START };
+        let tenant_rate = MEAN_RATE * GATEWAYS as f64 / self.tenants.max(1) as f64;
+        let size = Size {
+            gateways: GATEWAYS,
+            servers: self.servers,
+            tenants: self.tenants,
+            tenant_rate,
+            slow_start,
+        };
+        Load {
+            size,
+            rate: self.rate,
+            sessions: SESSIONS,
+            prefixes: PREFIXES,
+            silent_share: self.silent_share,
+        }
+    }
+}
+
+/// The cost of a request in one case.
 #[derive(Clone, Debug, Serialize)]
 pub struct CostRow {
+    /// Model servers.
     pub servers: u64,
+    /// Tenants.
     pub tenants: usize,
-    pub slow_start: f64,
-    pub silent: f64,
+    /// The share of servers in slow start.
+    #[serde(rename = "slow_start")]
+    pub slow_start_share: f64,
+    /// The share of servers that respond to nothing.
+    #[serde(rename = "silent")]
+    pub silent_share: f64,
+    /// Requests per second at the gateway.
     pub rate: f64,
+    /// Microseconds of a request.
     pub us_per_request: f64,
     /// That time over the time of the reference loop in the same run.
     pub against_reference: f64,
-    /// Servers looked at for a request in the mean, and for the request that looked at the most.
+    /// Servers examined per request.
     pub examined: f64,
-    pub examined_most: u64,
+    /// The most servers examined for one request.
+    #[serde(rename = "examined_most")]
+    pub max_examined: u64,
+    /// Attempts per request.
     pub attempts: f64,
-    /// Part of a core at this rate.
+    /// The share of a core at this rate.
     pub core_share: f64,
 }
 
+/// The cost of an endpoint list.
 #[derive(Clone, Debug, Serialize)]
 struct ListRow {
-    list_of: u64,
-    whole_bytes: usize,
-    whole_decode_ms: f64,
-    whole_apply_ms: f64,
+    #[serde(rename = "list_of")]
+    servers: u64,
+    #[serde(rename = "whole_bytes")]
+    full_bytes: usize,
+    #[serde(rename = "whole_decode_ms")]
+    full_decode_ms: f64,
+    #[serde(rename = "whole_apply_ms")]
+    full_apply_ms: f64,
     change_bytes: usize,
     change_decode_us: f64,
     change_apply_us: f64,
-    /// The first request after a change: it makes the index anew.
+    /// The first request after a change: it rebuilds the index.
     next_request_us: f64,
-    /// Bytes a second of a watch that brings each change of a day.
+    /// Bytes per second of a watch that delivers each change of a day.
     watch_bytes_per_second: f64,
 }
 
+/// The memory of a gateway after so many requests.
 #[derive(Clone, Debug, Serialize)]
 struct MemoryRow {
-    memory_after: u64,
+    #[serde(rename = "memory_after")]
+    requests: u64,
     servers: u64,
     tenants: usize,
     grown_mib: f64,
     resident_mib: f64,
 }
 
+/// The line through the costs of growing fleets.
 #[derive(Clone, Debug, Serialize)]
 struct FitRow {
     fit_of: &'static str,
     tenants: usize,
-    slow_start: f64,
-    silent: f64,
+    #[serde(rename = "slow_start")]
+    slow_start_share: f64,
+    #[serde(rename = "silent")]
+    silent_share: f64,
     base: f64,
     per_1000_servers: f64,
     r_squared: f64,
@@ -113,46 +185,44 @@
     from.elapsed().as_secs_f64() * 1e6
 }
 
-/// Measures all rows of a plan and prints them as they come.
-pub fn run(plan: &Plan, printer: &mut Printer) -> Result<(), limits::Refused> {
+/// Measures all rows of a plan and prints each once it is measured.
+pub fn run(plan: &Plan, printer: &mut Printer) -> Result<(), LimitError> {
     let largest = plan.servers.iter().copied().max().unwrap_or(0);
     limits::check(1, largest, limits::machine_memory())?;
     for &tenants in &plan.tenants {
-        for &slow_start in &plan.slow_start {
-            for &silent in &plan.silent {
-                series(plan, tenants, slow_start, silent, printer);
+        for &slow_start_share in &plan.slow_start_shares {
+            for &silent_share in &plan.silent_shares {
+                let case = Case { slow_start_share, silent_share, ..Case::ordinary(0, tenants) };
+                measure_series(plan, case, printer);
             }
         }
     }
-    if let Some(&servers) = plan.servers.iter().find(|servers| **servers == 4_200) {
+    if plan.servers.contains(&SERVICE_SERVERS) {
         let tenants = plan.tenants.iter().copied().max().unwrap_or(0);
-        printer.row(&cost(plan, servers, tenants, 0.0, 0.0, BUSY_RATE));
+        let case = Case { rate: BUSY_RATE, ..Case::ordinary(SERVICE_SERVERS, tenants) };
+        printer.row(&measure_cost(plan, case));
     }
     for &servers in &plan.servers {
-        printer.row(&list_row(servers));
+        printer.row(&measure_list(servers));
     }
-    memory(plan, printer);
+    measure_memory(plan, printer);
     Ok(())
 }
 
 /// One row for each size of fleet, and the line through them.
-fn series(plan: &Plan, tenants: usize, slow_start: f64, silent: f64, printer: &mut Printer) {
-    let rows: Vec<CostRow> = plan
-        .servers
-        .iter()
-        .map(|&servers| {
-            let row = cost(plan, servers, tenants, slow_start, silent, MEAN_RATE);
-            printer.row(&row);
-            row
-        })
-        .collect();
-    let points: Vec<(f64, f64)> = rows.iter().map(|row| (row.servers as f64, row.us_per_request)).collect();
-    if let Some(line) = fit::line(&points) {
+fn measure_series(plan: &Plan, case: Case, printer: &mut Printer) {
+    let mut points = Vec::new();
+    for &servers in &plan.servers {
+        let row = measure_cost(plan, Case { servers, ..case });
+        printer.row(&row);
+        points.push(Point { size: row.servers as f64, cost: row.us_per_request });
+    }
+    if let Some(line) = fit::least_squares(&points) {
         printer.row(&FitRow {
             fit_of: "us_per_request",
-            tenants,
-            slow_start,
-            silent,
+            tenants: case.tenants,
+            slow_start_share: case.slow_start_share,
+            silent_share: case.silent_share,
             base: line.base,
             per_1000_servers: line.slope * 1_000.0,
             r_squared: line.r_squared,
@@ -160,43 +230,36 @@
     }
 }
 
-fn load(servers: u64, tenants: usize, slow_start: f64, silent: f64, rate: f64) -> Load {
-    let cold_for = if slow_start > 0.0 { STAYS_COLD } else { 10 * SECOND };
-    let tenant_rate = MEAN_RATE * GATEWAYS as f64 / tenants.max(1) as f64;
-    let size = Size { gateways: GATEWAYS, servers, tenants, tenant_rate, slow_start: cold_for };
-    Load { size, rate, sessions: SESSIONS, prefixes: PREFIXES, silent }
-}
-
-/// The cost of a whole request at one size: prefill and decode scheduled, ten tokens passed on.
-pub fn cost(plan: &Plan, servers: u64, tenants: usize, slow_start: f64, silent: f64, rate: f64) -> CostRow {
+/// The cost of a complete request: prefill and decode scheduled, ten tokens forwarded.
+pub fn measure_cost(plan: &Plan, case: Case) -> CostRow {
     let reference = reference_us();
-    let load = load(servers, tenants, slow_start, silent, rate);
-    let mut warm = Warm::new(load, &inventory::fleet(servers, slow_start, SECOND / 2), plan.chooser);
+    let list = inventory::fleet(case.servers, case.slow_start_share, SECOND / 2);
+    let mut gateway = MeasuredGateway::new(case.load(), &list, plan.chooser);
     let until = Instant::now() + plan.row_time;
-    (0..WARM_UP).take_while(|_| Instant::now() < until).for_each(|_| warm.request());
-    let (from, sent) = (Instant::now(), warm.sent());
+    (0..WARM_UP_REQUESTS).take_while(|_| Instant::now() < until).for_each(|_| gateway.handle_request());
+    let (from, attempts_before) = (Instant::now(), gateway.attempts());
     let until = from + plan.row_time;
-    let (mut done, mut most) = (0, 0);
-    let first = warm.manager().servers_examined();
-    while done < plan.requests && (done == 0 || Instant::now() < until) {
-        let before = warm.manager().servers_examined();
-        warm.request();
-        most = most.max(warm.manager().servers_examined() - before);
-        done += 1;
+    let (mut requests, mut max_examined) = (0, 0);
+    let examined_before = gateway.manager().servers_examined();
+    while requests < plan.requests && (requests == 0 || Instant::now() < until) {
+        let before = gateway.manager().servers_examined();
+        gateway.handle_request();
+        max_examined = max_examined.max(gateway.manager().servers_examined() - before);
+        requests += 1;
     }
-    let us_per_request = from.elapsed().as_secs_f64() * 1e6 / done as f64;
+    let us_per_request = from.elapsed().as_secs_f64() * 1e6 / requests as f64;
     CostRow {
-        servers,
-        tenants,
-        slow_start,
-        silent,
-        rate,
+        servers: case.servers,
+        tenants: case.tenants,
+        slow_start_share: case.slow_start_share,
+        silent_share: case.silent_share,
+        rate: case.rate,
         us_per_request,
         against_reference: us_per_request / reference,
-        examined: (warm.manager().servers_examined() - first) as f64 / done as f64,
-        examined_most: most,
-        attempts: (warm.sent() - sent) as f64 / done as f64,
-        core_share: us_per_request * rate / 1e6,
+        examined: (gateway.manager().servers_examined() - examined_before) as f64 / requests as f64,
+        max_examined,
+        attempts: (gateway.attempts() - attempts_before) as f64 / requests as f64,
+        core_share: us_per_request * case.rate / 1e6,
     }
 }
 
@@ -230,67 +293,76 @@
     times[times.len() / 2].as_secs_f64()
 }
 
-/// Seconds in the median to decode a list, to apply it, and for the first request after it.
-fn decoded_and_applied(text: &str, warm: &mut Warm) -> (f64, f64, f64) {
+/// Median times, in seconds.
+struct ListTimes {
+    decode: f64,
+    apply: f64,
+    /// The first request after it.
+    next_request: f64,
+}
+
+/// Decodes and applies a list several times.
+fn time_list(text: &str, gateway: &mut MeasuredGateway) -> ListTimes {
     let names = names();
-    let (mut decode, mut apply, mut next) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut decode, mut apply, mut next_request) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..LIST_ROUNDS {
         let from = Instant::now();
         let list = serde_json::from_str(text).ok().and_then(|json| listed(&json, &names).ok());
         decode.push(from.elapsed());
         let Some(list) = list else { continue };
         let endpoints: Vec<Endpoint> = list.entries.into_iter().map(|(endpoint, _)| endpoint).collect();
-        let (now, from) = (warm.now(), Instant::now());
-        warm.manager().update_endpoints(now, list.scope, &endpoints);
+        let (now, from) = (gateway.now(), Instant::now());
+        gateway.manager().update_endpoints(now, list.scope, &endpoints);
         apply.push(from.elapsed());
         let from = Instant::now();
-        warm.request();
-        next.push(from.elapsed());
+        gateway.handle_request();
+        next_request.push(from.elapsed());
     }
-    (median(decode), median(apply), median(next))
+    ListTimes { decode: median(decode), apply: median(apply), next_request: median(next_request) }
 }
 
-fn list_row(servers: u64) -> ListRow {
+fn measure_list(servers: u64) -> ListRow {
     let list = inventory::fleet(servers, 0.0, 0);
     let entries: Vec<Value> = list.iter().map(entry).collect();
-    let whole = json!({ "index": 1, "snapshot": true, "endpoints": entries }).to_string();
+    let full = json!({ "index": 1, "snapshot": true, "endpoints": entries }).to_string();
     let change = json!({ "index": 2, "snapshot": false, "endpoints": [entry(&list[0])] }).to_string();
-    let mut warm = Warm::new(load(servers, 0, 0.0, 0.0, MEAN_RATE), &list, Chooser::Decisions);
-    (0..WARM_UP).for_each(|_| warm.request());
-    let (whole_decode, whole_apply, _) = decoded_and_applied(&whole, &mut warm);
-    let (change_decode, change_apply, next_request) = decoded_and_applied(&change, &mut warm);
+    let load = Case::ordinary(servers, 0).load();
+    let mut gateway = MeasuredGateway::new(load, &list, Chooser::Decisions);
+    (0..WARM_UP_REQUESTS).for_each(|_| gateway.handle_request());
+    let full_times = time_list(&full, &mut gateway);
+    let change_times = time_list(&change, &mut gateway);
     ListRow {
-        list_of: servers,
-        whole_bytes: whole.len(),
-        whole_decode_ms: whole_decode * 1e3,
-        whole_apply_ms: whole_apply * 1e3,
+        servers,
+        full_bytes: full.len(),
+        full_decode_ms: full_times.decode * 1e3,
+        full_apply_ms: full_times.apply * 1e3,
         change_bytes: change.len(),
-        change_decode_us: change_decode * 1e6,
-        change_apply_us: change_apply * 1e6,
-        next_request_us: next_request * 1e6,
-        watch_bytes_per_second: change.len() as f64 * CHANGES_A_DAY / SECONDS_A_DAY,
+        change_decode_us: change_times.decode * 1e6,
+        change_apply_us: change_times.apply * 1e6,
+        next_request_us: change_times.next_request * 1e6,
+        watch_bytes_per_second: change.len() as f64 * CHANGES_PER_DAY / SECONDS_PER_DAY,
     }
 }
 
-/// Memory of one gateway as requests of ever new sessions and prefixes pass.
-fn memory(plan: &Plan, printer: &mut Printer) {
+/// The memory of one gateway as it handles requests of ever new sessions and prefixes.
+fn measure_memory(plan: &Plan, printer: &mut Printer) {
     let (Some(&servers), Some(&tenants)) = (plan.servers.iter().max(), plan.tenants.iter().max()) else {
         return;
     };
-    let servers = servers.min(4_200);
+    let servers = servers.min(SERVICE_SERVERS);
     let start = limits::resident().unwrap_or(0);
-    let load = Load { sessions: u64::MAX, prefixes: u64::MAX, ..load(servers, tenants, 0.0, 0.0, MEAN_RATE) };
-    let mut warm = Warm::new(load, &inventory::fleet(servers, 0.0, 0), plan.chooser);
-    let mut done = 0;
+    let load = Load { sessions: u64::MAX, prefixes: u64::MAX, ..Case::ordinary(servers, tenants).load() };
+    let mut gateway = MeasuredGateway::new(load, &inventory::fleet(servers, 0.0, 0), plan.chooser);
+    let mut requests = 0;
     for &at in &plan.memory_at {
-        while done < at {
-            warm.request();
-            done += 1;
+        while requests < at {
+            gateway.handle_request();
+            requests += 1;
         }
         let resident = limits::resident().unwrap_or(0);
         let mib = |bytes: u64| bytes as f64 / (1 << 20) as f64;
         printer.row(&MemoryRow {
-            memory_after: at,
+            requests: at,
             servers,
             tenants,
             grown_mib: mib(resident.saturating_sub(start)),
--- a/capacity/tests/command.rs
+++ b/capacity/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as a user starts it: small measurements, and what it refuses to start.
+//! The command as a user starts it: small measurements, and what it rejects.
 
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -10,7 +10,7 @@
         .expect("the command runs")
 }
 
-/// Rows of a run that has to end well.
+/// The rows of a run that has to succeed.
 fn rows(arguments: &[&str]) -> Vec<Value> {
     let output = run(arguments);
     assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
@@ -42,7 +42,7 @@
 ];
 
 #[test]
-fn a_request_costs_looks_at_a_bounded_number_of_servers_in_every_row() {
+fn slopes_examine_a_bounded_number_of_servers() {
     let rows = rows(&SLOPES);
     let costs: Vec<&Value> = rows.iter().filter(|row| row["us_per_request"].is_number()).collect();
     assert_eq!(costs.len(), 3 * 2 * 3 * 2 + 1);
@@ -52,7 +52,7 @@
         }
         assert!(number(row, "us_per_request") > 0.0);
     }
-    // Counts, not times: the same in every run. Looks at a request that is held are not among them.
+    // Counts, not times: the same in every run. Servers examined for a waiting request are not among them.
     let most = costs.iter().map(|row| number(row, "examined_most")).fold(0.0, f64::max);
     assert!(most <= 2_500.0, "{most} servers for one request with all its attempts");
     let warm = |servers: f64| {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn looking_at_all_servers_shows_in_the_counts() {
+fn scan_policy_examines_all_servers() {
     let rows = rows(&[
         "--json",
         "slopes",
@@ -95,28 +95,28 @@
 }
 
 #[test]
-fn a_small_fleet_keeps_the_rules_and_its_slow_start_budget_under_both_policies() {
-    let plays =
+fn small_fleet_keeps_rules_and_slow_start_budget() {
+    let runs =
         rows(&["--json", "fleet", "--gateways", "35", "--servers", "280", "--seconds", "8", "--seed", "3"]);
-    assert_eq!(plays.len(), 4, "two scenes under two policies");
-    for play in &plays {
+    assert_eq!(runs.len(), 4, "two scenarios under two policies");
+    for run in &runs {
         for field in ["served", "cached", "max_over_mean", "slow_start_worst", "rules_broken", "peak_mib"] {
-            number(play, field);
+            number(run, field);
         }
-        assert_eq!(number(play, "rules_broken"), 0.0, "{play}");
-        assert!(number(play, "slow_start_worst") <= 1.0, "{play}");
-        assert!(number(play, "served") >= 0.95, "{play}");
-        assert!(number(play, "requests") > 5_000.0, "{play}");
+        assert_eq!(number(run, "rules_broken"), 0.0, "{run}");
+        assert!(number(run, "slow_start_worst") <= 1.0, "{run}");
+        assert!(number(run, "served") >= 0.95, "{run}");
+        assert!(number(run, "requests") > 5_000.0, "{run}");
     }
-    let [scan, candidates] = [&plays[0], &plays[1]];
+    let [scan, candidates] = [&runs[0], &runs[1]];
     assert_eq!((scan["policy"].as_str(), candidates["policy"].as_str()), (Some("scan"), Some("candidates")));
     assert!(number(candidates, "examined_per_request") < number(scan, "examined_per_request") / 2.0);
-    assert!(plays[3]["slow_start_worst"].as_f64() > Some(0.0), "the zone came back cold and was used");
+    assert!(runs[3]["slow_start_worst"].as_f64() > Some(0.0), "the zone came back cold and was used");
 }
 
 #[test]
-fn plays_of_one_seed_are_the_same_and_those_of_another_are_not() {
-    let play = |seed: &str| -> Value {
+fn simulations_depend_only_on_their_seed() {
+    let simulate = |seed: &str| -> Value {
         let mut rows = rows(&[
             "--json",
             "fleet",
@@ -133,19 +133,19 @@
             "--scene",
             "zone",
         ]);
-        let mut play = rows.pop().expect("a play");
+        let mut summary = rows.pop().expect("a summary");
         // Times and memory are the machine's.
         for field in ["us_per_request", "real_seconds", "peak_mib"] {
-            play[field].take();
+            summary[field].take();
         }
-        play
+        summary
     };
-    assert!(play("1") == play("1") && play("1") != play("2"));
+    assert!(simulate("1") == simulate("1") && simulate("1") != simulate("2"));
 }
 
 #[test]
-fn what_can_not_be_measured_is_refused_in_one_line_before_anything_starts() {
-    let refused: [(&[&str], &str); 8] = [
+fn invalid_arguments_are_rejected_in_one_line() {
+    let rejected: [(&[&str], &str); 8] = [
         (&["fleet", "--gateways", "0"], "--gateways must be from 1"),
         (&["fleet", "--servers", "0"], "--servers must be from 1"),
         (&["fleet", "--seconds", "0"], "--seconds must be from 1"),
@@ -155,11 +155,11 @@
         (&["slopes", "--requests", "0"], "--requests must be from 1"),
         (&["slopes", "--slow-start", "1.5"], "from 0 to 1"),
     ];
-    for (arguments, why) in refused {
+    for (arguments, why) in rejected {
         let output = run(arguments);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && output.stdout.is_empty(), "{arguments:?}: {said}");
-        assert!(said.lines().count() == 1 && said.contains(why), "{arguments:?}: {said}");
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && output.stdout.is_empty(), "{arguments:?}: {message}");
+        assert!(message.lines().count() == 1 && message.contains(why), "{arguments:?}: {message}");
     }
     for unknown in [&["fleet", "--gateway", "3"][..], &["slope"], &[], &["fleet", "--policy", "best"]] {
         let output = run(unknown);
