--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -154,7 +154,7 @@
             trial::rehearse(&script, record.as_deref(), baseline, front)
         }
         Subcommands::StandIn { role, listen, name, cold, slots, token_ms } => {
-            trial::stand_in(trial::EmulatedServer { role, listen, name, cold, slots, token_ms })
+            trial::stand_in(trial::EmulatedServerArguments { role, listen, name, cold, slots, token_ms })
         }
         Subcommands::Load { to, grpc, reader, writer, streams, tokens, seconds, model, key } => {
             let lasts = std::time::Duration::from_secs(seconds);
--- a/cli/tests/connection_edges.rs
+++ b/cli/tests/connection_edges.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use petrelshore_emulator::platform::{Agent, Manner, ModelServer, entry};
+use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, entry};
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -16,14 +16,14 @@
     gateway: Gateway,
     reader: ScriptedServer,
     writer: ScriptedServer,
-    _agent: Agent,
+    _agent: DiscoveryAgent,
 }
 
 fn scripted_world(name: &str, change: impl Fn(String) -> String) -> ScriptedWorld {
     let (reader, writer) = (ScriptedServer::start(), ScriptedServer::start());
     let entries =
         [entry("r", reader.address, "reader", "active"), entry("w", writer.address, "writer", "active")];
-    let agent = Agent::start(&entries.join(",")).unwrap();
+    let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     ScriptedWorld {
         gateway: Gateway::start(name, agent.address, &entries, change),
         reader,
@@ -93,7 +93,7 @@
 
 #[test]
 fn request_in_the_accept_queue_at_shutdown_is_answered() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let world = PlatformWorld::start_with("queue", command, reader, ["reader", "writer"], without_resume);
     // Every place is taken by a client who asks: one request served, half of the next sent.
     let mut askers = Vec::new();
@@ -165,13 +165,13 @@
     let (mut streams, mut write) = world.streams(1);
     world.gateway.signal("-TERM");
     read_log_until(&mut world.gateway.log, "stopping");
-    let moved = Agent::start("").unwrap();
+    let moved = DiscoveryAgent::start("").unwrap();
     let text = std::fs::read_to_string(&world.gateway.file).unwrap();
     let text = text.replace(&world._agent.address.to_string(), &moved.address.to_string());
     std::fs::write(&world.gateway.file, text).unwrap();
     world.gateway.signal("-HUP");
     let late = Instant::now() + EVENT_TIMEOUT;
-    while moved.asked() == 0 {
+    while moved.polling_connections() == 0 {
         assert!(Instant::now() < late, "the new address is never asked");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -371,7 +371,7 @@
 fn nothing_is_sent_after_client_left_while_waiting() {
     let (reader, writer) = (ScriptedServer::start(), ScriptedServer::start());
     let writes = entry("w", writer.address, "writer", "active");
-    let agent = Agent::start(&writes).unwrap();
+    let agent = DiscoveryAgent::start(&writes).unwrap();
     let gateway = Gateway::start("held", agent.address, std::slice::from_ref(&writes), |text| text);
     let [leaves, mut stays] = [1, 2].map(|id| {
         let mut client = gateway.connect();
@@ -474,7 +474,7 @@
 
 #[test]
 fn evicted_connection_is_closed_and_forwards_nothing() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let world = PlatformWorld::start_with("evicted", command, reader, ["reader", "writer"], |text| text);
     let mut silent: Vec<TcpStream> = (0..200).map(|_| world.connect()).collect();
     // The table holds fewer: the first of them has given its place to another by now, which its end shows.
@@ -486,7 +486,7 @@
             world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
         );
     }
-    let seen = world.reader.seen();
+    let seen = world.reader.requests();
     assert!(seen.iter().all(|line| !line.ends_with("0000000000000007")), "{seen:?}");
 }
 
@@ -596,7 +596,7 @@
     let mut entries = vec![entry("r", reader.address, "reader", "active")];
     let names = ["w0", "w1", "w2"];
     entries.extend((0..3).map(|n| entry(names[n], writers[n].address, "writer", "active")));
-    let agent = Agent::start(&entries.join(",")).unwrap();
+    let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     let gateway = Gateway::start("silent-three", agent.address, &entries, |text| text);
     let mut client = gateway.connect();
     client.write_all(request_text(1, "").as_bytes()).unwrap();
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use petrelshore_emulator::platform::{Agent, Manner, ModelServer, config, entry, events};
+use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, config, entry, events};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Stdio};
@@ -23,7 +23,7 @@
     assert!(answer(&mut lines).2 && answer(&mut lines).2);
     let path = "POST /v1/chat/completions";
     let seen: Vec<String> = (0..12).map(|id| format!("{path} {id:016x}")).collect();
-    assert_eq!((world.reader.seen(), world.writer.seen()), (seen.clone(), seen));
+    assert_eq!((world.reader.requests(), world.writer.requests()), (seen.clone(), seen));
     assert_eq!(
         world.exchange(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").split(' ').nth(1),
         Some("200")
@@ -93,17 +93,17 @@
         let _ = stream.read_to_string(&mut exchange);
         assert!(exchange.starts_with("HTTP/1.1 408") || exchange.is_empty(), "{exchange}");
     }
-    assert_eq!((world.reader.seen(), world.writer.seen()), (vec![], vec![]));
+    assert_eq!((world.reader.requests(), world.writer.requests()), (vec![], vec![]));
     assert!(world.exchange(request_text(3, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
 #[test]
 fn request_id_in_flight_is_rejected_for_another_client() {
     let world = PlatformWorld::start("id");
-    world.reader.set(Manner::Slow);
+    world.reader.set(ServerBehavior::Slow);
     let mut first = world.connect();
     first.write_all(request_text(1, "").as_bytes()).unwrap();
-    world.wait_for("the read begins", || !world.reader.seen().is_empty());
+    world.wait_for("the read begins", || !world.reader.requests().is_empty());
     assert!(world.exchange(request_text(1, "").as_bytes()).starts_with("HTTP/1.1 409"));
     assert!(answer(&mut BufReader::new(first)).2, "the first goes on");
 }
@@ -111,14 +111,14 @@
 #[test]
 fn client_cancellation_ends_attempt_and_releases_cache() {
     let world = PlatformWorld::start("leaves");
-    world.reader.set(Manner::Silent);
+    world.reader.set(ServerBehavior::Silent);
     let mut stream = world.connect();
     stream.write_all(request_text(1, "").as_bytes()).unwrap();
-    world.wait_for("the read begins", || !world.reader.seen().is_empty());
+    world.wait_for("the read begins", || !world.reader.requests().is_empty());
     drop(stream);
     let release = "DELETE /kv/leases/0000000000000001 ".to_owned();
-    world.wait_for("it is let go", || world.reader.seen().contains(&release));
-    assert!(world.writer.seen().is_empty());
+    world.wait_for("it is let go", || world.reader.requests().contains(&release));
+    assert!(world.writer.requests().is_empty());
 }
 
 #[test]
@@ -129,25 +129,36 @@
         stream.write_all(request_text(id, "").as_bytes()).unwrap();
         answer(&mut BufReader::new(stream))
     };
-    for (id, manner) in
-        [Manner::Noise, Manner::EndlessHead, Manner::Fails, Manner::Resets].into_iter().enumerate()
+    for (id, manner) in [
+        ServerBehavior::InvalidResponse,
+        ServerBehavior::EndlessHead,
+        ServerBehavior::Fails,
+        ServerBehavior::Resets,
+    ]
+    .into_iter()
+    .enumerate()
     {
         world.writer.set(manner);
         let (status, _, _) = ask(id as u64);
         assert_eq!(status.split(' ').nth(1), Some("503"), "{manner:?}: repeatable work is rejected, at once");
-        world.writer.set(Manner::Good);
+        world.writer.set(ServerBehavior::Good);
         assert!(ask(1000 + id as u64).0.contains("200"), "{manner:?}: the next is served");
     }
-    for (id, manner) in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream, Manner::SilentInStream]
-        .into_iter()
-        .enumerate()
+    for (id, manner) in [
+        ServerBehavior::BadChunk,
+        ServerBehavior::HugeChunk,
+        ServerBehavior::InvalidEvent,
+        ServerBehavior::SilentInStream,
+    ]
+    .into_iter()
+    .enumerate()
     {
         world.writer.set(manner);
         let (status, body, whole) = ask(100 + id as u64);
         assert_eq!((status.contains("200"), whole), (true, false), "{manner:?}");
         assert!(events().starts_with(&body), "{manner:?}: {body}");
     }
-    world.writer.set(Manner::SecondAnswer);
+    world.writer.set(ServerBehavior::SecondResponse);
     assert_eq!(ask(200), ("HTTP/1.1 200 OK\r\n".to_owned(), events(), true));
 }
 
@@ -155,7 +166,7 @@
 fn bad_configuration_is_rejected_and_a_good_one_applied() {
     let mut world = PlatformWorld::start("reload");
     let text = std::fs::read_to_string(&world.file).unwrap();
-    world.wait_for("discovery is asked", || world.agent.asked() > 0);
+    world.wait_for("discovery is asked", || world.agent.polling_connections() > 0);
     std::fs::write(&world.file, &text[..text.len() / 2]).unwrap();
     world.signal("-HUP");
     let why = read_log_until(&mut world.log, "configuration rejected");
@@ -164,11 +175,11 @@
         entry("r", world.reader.address, "reader", "active"),
         entry("v", world.writer.address, "writer", "active"),
     ];
-    let moved = Agent::start(&entries.join(",")).unwrap();
+    let moved = DiscoveryAgent::start(&entries.join(",")).unwrap();
     std::fs::write(&world.file, text.replace(&world.agent.address.to_string(), &moved.address.to_string()))
         .unwrap();
     world.signal("-HUP");
-    world.wait_for("the new address is asked", || moved.asked() > 0);
+    world.wait_for("the new address is asked", || moved.polling_connections() > 0);
     assert!(world.exchange(request_text(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
@@ -177,7 +188,7 @@
     for half in [true, false] {
         let world = PlatformWorld::start(if half { "half-config" } else { "no-config" });
         let text = std::fs::read_to_string(&world.file).unwrap();
-        let moved = Agent::start(&entry("r", world.reader.address, "reader", "active")).unwrap();
+        let moved = DiscoveryAgent::start(&entry("r", world.reader.address, "reader", "active")).unwrap();
         match half {
             true => std::fs::write(&world.file, &text[..text.len() / 2]).unwrap(),
             false => std::fs::remove_file(&world.file).unwrap(),
@@ -187,7 +198,7 @@
         let address = (world.agent.address.to_string(), moved.address.to_string());
         std::fs::write(&world.file, text.replace(&address.0, &address.1)).unwrap();
         let read_log_until = Instant::now() + Duration::from_secs(3);
-        while moved.asked() == 0 {
+        while moved.polling_connections() == 0 {
             assert!(Instant::now() < read_log_until, "half written: {half}");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -197,11 +208,11 @@
 #[test]
 fn sigterm_answers_everything_and_exits_with_0() {
     let mut world = PlatformWorld::start("stop");
-    world.writer.set(Manner::Slow);
+    world.writer.set(ServerBehavior::Slow);
     let mut kept = world.connect();
     let mut lines = BufReader::new(kept.try_clone().unwrap());
     kept.write_all(request_text(1, "").as_bytes()).unwrap();
-    world.wait_for("it is taken", || !world.reader.seen().is_empty());
+    world.wait_for("it is taken", || !world.reader.requests().is_empty());
     world.signal("-TERM");
     read_log_until(&mut world.log, "stopping");
     assert!(world.exchange(request_text(2, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
@@ -209,7 +220,7 @@
     kept.write_all(request_text(3, "").as_bytes()).unwrap();
     assert!(answer(&mut lines).2, "an open connection is used for as long as it is open");
     // One that would run past the kill is ended without its last chunk, for its client to ask for the rest.
-    world.writer.set(Manner::SilentInStream);
+    world.writer.set(ServerBehavior::SilentInStream);
     kept.write_all(request_text(4, "").as_bytes()).unwrap();
     let (status, _, whole) = answer(&mut lines);
     assert_eq!((status.contains("200"), whole), (true, false));
@@ -264,26 +275,26 @@
 #[test]
 fn release_goes_through_another_server_when_owner_is_silent() {
     let world = PlatformWorld::start("other");
-    world.reader.set(Manner::Deaf);
+    world.reader.set(ServerBehavior::Unresponsive);
     let mut stream = world.connect();
     stream.write_all(request_text(1, "").as_bytes()).unwrap();
-    world.wait_for("the read begins", || !world.reader.seen().is_empty());
+    world.wait_for("the read begins", || !world.reader.requests().is_empty());
     drop(stream);
     let release = "DELETE /kv/leases/0000000000000001 ".to_owned();
-    world.wait_for("it is let go", || world.writer.seen().contains(&release));
+    world.wait_for("it is let go", || world.writer.requests().contains(&release));
 }
 
 #[test]
 fn server_is_found_at_its_changed_address() {
     let world = PlatformWorld::start("address");
-    let next = ModelServer::start(false, Manner::Good).unwrap();
+    let next = ModelServer::start(false, ServerBehavior::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
     let mut id = 0;
     let read_log_until = Instant::now() + EVENT_TIMEOUT;
-    while next.seen().is_empty() {
+    while next.requests().is_empty() {
         assert!(Instant::now() < read_log_until, "never found");
         id += 1;
         assert!(
@@ -296,7 +307,7 @@
 #[test]
 fn flood_beyond_capacity_is_rejected_and_the_rest_completes() {
     let world = PlatformWorld::start("flood");
-    world.reader.set(Manner::Silent);
+    world.reader.set(ServerBehavior::Silent);
     let mut flood: Vec<TcpStream> = (0..120)
         .map(|id| {
             let mut stream = world.connect();
@@ -316,9 +327,9 @@
         |exchange: &String| exchange.starts_with("HTTP/1.1 503") && exchange.contains("Retry-After: ");
     assert!(!exchange.is_empty() && exchange.iter().all(with_a_time), "{exchange:?}");
     drop(flood);
-    world.reader.set(Manner::Good);
+    world.reader.set(ServerBehavior::Good);
     world.wait_for("the next is served", || {
-        let id = 1000 + world.reader.seen().len() as u64;
+        let id = 1000 + world.reader.requests().len() as u64;
         world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
     });
 }
@@ -326,21 +337,21 @@
 #[test]
 fn cached_endpoint_list_serves_while_discovery_is_silent() {
     let world = PlatformWorld::start("silent");
-    world.wait_for("discovery is asked", || world.agent.asked() > 0);
+    world.wait_for("discovery is asked", || world.agent.polling_connections() > 0);
     world.agent.silence(true);
-    let next = ModelServer::start(false, Manner::Good).unwrap();
+    let next = ModelServer::start(false, ServerBehavior::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
-    world.wait_for("it is asked anew", || world.agent.asked() > 2);
+    world.wait_for("it is asked anew", || world.agent.polling_connections() > 2);
     assert!(world.exchange(request_text(1, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200"));
-    assert!(next.seen().is_empty(), "nobody has told of it");
+    assert!(next.requests().is_empty(), "nobody has told of it");
     world.agent.silence(false);
     world.wait_for("the next list is taken up", || {
-        let id = 2 + world.reader.seen().len() as u64;
+        let id = 2 + world.reader.requests().len() as u64;
         world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
-            && !next.seen().is_empty()
+            && !next.requests().is_empty()
     });
 }
 
@@ -357,7 +368,7 @@
     std::thread::sleep(Duration::from_millis(200));
     drop(crowd);
     world.wait_for("it serves again", || {
-        let id = 1 + world.reader.seen().len() as u64;
+        let id = 1 + world.reader.requests().len() as u64;
         world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
     });
 }
@@ -387,7 +398,7 @@
 
 #[test]
 fn combined_servers_alone_serve_drain_and_fail() {
-    let first = ModelServer::start(false, Manner::Good).unwrap();
+    let first = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let world = PlatformWorld::start_with("round", command, first, ["round"; 2], all_round);
     let servers = [&world.reader, &world.writer];
     let ask = |id: u64, kind: &str| {
@@ -399,7 +410,7 @@
     // How often a server has seen an id.
     let came = |server: &ModelServer, id: u64| {
         let word = format!("{id:016x}");
-        server.seen().iter().filter(|seen| seen.ends_with(&word)).count()
+        server.requests().iter().filter(|seen| seen.ends_with(&word)).count()
     };
     // Each serves whole: one attempt a sequence, no read before it, nothing to let go of.
     for id in 0..12 {
@@ -407,7 +418,7 @@
         assert_eq!(servers.map(|server| came(server, id)).iter().sum::<usize>(), 1);
     }
     // The one that was turned to drains: nothing new goes to it once that is told.
-    let first = usize::from(servers[0].seen().len() < servers[1].seen().len());
+    let first = usize::from(servers[0].requests().len() < servers[1].requests().len());
     let (leaving, other) = (servers[first], servers[1 - first]);
     let listed = |status: &str| {
         let status = |n: usize| if n == first { status } else { "active" };
@@ -417,22 +428,22 @@
     listed("leaving");
     world.wait_for("the drain is taken up", || {
         let (before, id) =
-            (leaving.seen().len(), 100 + leaving.seen().len() as u64 + other.seen().len() as u64);
+            (leaving.requests().len(), 100 + leaving.requests().len() as u64 + other.requests().len() as u64);
         assert_eq!(ask(id, "chat"), "200");
-        leaving.seen().len() == before
+        leaving.requests().len() == before
     });
     // The other is lost. Repeatable work is rejected, and once-only work that may have run is aborted after one attempt.
-    other.set(Manner::Resets);
+    other.set(ServerBehavior::Resets);
     assert_eq!((ask(200, "chat").as_str(), ask(201, "unlock").as_str()), ("503", "502"));
     assert_eq!((came(leaving, 200) + came(leaving, 201), came(other, 201)), (0, 1));
     // What provably never ran is rejected, whatever it does.
-    other.set(Manner::Declines);
+    other.set(ServerBehavior::Declines);
     assert_eq!((ask(202, "unlock").as_str(), came(leaving, 202)), ("503", 0));
     // The one that drained is back, and serves alone.
     listed("active");
-    other.set(Manner::Fails);
+    other.set(ServerBehavior::Fails);
     world.wait_for("it is found again", || {
-        let id = 300 + leaving.seen().len() as u64 + other.seen().len() as u64;
+        let id = 300 + leaving.requests().len() as u64 + other.requests().len() as u64;
         ask(id, "chat") == "200" && came(leaving, id) == 1
     });
 }
@@ -440,19 +451,19 @@
 #[test]
 fn nothing_is_sent_after_a_pipelining_client_left() {
     let world = PlatformWorld::start("goes");
-    world.reader.set(Manner::Slow);
+    world.reader.set(ServerBehavior::Slow);
     let mut stream = world.connect();
     // More than is kept of what comes behind an open request, and no more than the system takes.
     let flood: String = (0..350).map(|id| request_text(id, "")).collect();
     stream.set_nonblocking(true).unwrap();
     let _ = stream.write_all(flood.as_bytes());
-    world.wait_for("the first is read", || !world.reader.seen().is_empty());
+    world.wait_for("the first is read", || !world.reader.requests().is_empty());
     drop(stream);
     std::thread::sleep(Duration::from_millis(100));
-    let asked = || world.reader.seen().iter().filter(|line| line.starts_with("POST")).count();
-    let (before, written) = (asked(), world.writer.seen().len());
+    let asked = || world.reader.requests().iter().filter(|line| line.starts_with("POST")).count();
+    let (before, written) = (asked(), world.writer.requests().len());
     std::thread::sleep(Duration::from_millis(1500));
-    assert_eq!((asked(), world.writer.seen().len()), (before, written), "sent 0.1 s after it had gone");
+    assert_eq!((asked(), world.writer.requests().len()), (before, written), "sent 0.1 s after it had gone");
 }
 
 #[test]
@@ -465,26 +476,26 @@
         limited.stderr(Stdio::piped());
         limited
     });
-    world.wait_for("discovery is asked", || world.agent.asked() > 0);
+    world.wait_for("discovery is asked", || world.agent.polling_connections() > 0);
     world.agent.silence(true);
     let idle: Vec<TcpStream> = (0..600).map(|_| world.connect()).collect();
-    let asked = world.agent.asked();
-    world.wait_for("discovery is asked on", || world.agent.asked() > asked + 1);
+    let asked = world.agent.polling_connections();
+    world.wait_for("discovery is asked on", || world.agent.polling_connections() > asked + 1);
     for id in 0..5 {
         let exchange = world.exchange(request_text(id, "Connection: close\r\n").as_bytes());
         assert!(exchange.starts_with("HTTP/1.1 200"), "request {id}: {exchange}");
     }
     drop(idle);
-    let next = ModelServer::start(false, Manner::Good).unwrap();
+    let next = ModelServer::start(false, ServerBehavior::Good).unwrap();
     world.agent.set(
         &[entry("r", world.reader.address, "reader", "active"), entry("w", next.address, "writer", "active")]
             .join(","),
     );
     world.agent.silence(false);
     world.wait_for("the next list is taken up", || {
-        let id = 100 + world.reader.seen().len() as u64;
+        let id = 100 + world.reader.requests().len() as u64;
         world.exchange(request_text(id, "Connection: close\r\n").as_bytes()).starts_with("HTTP/1.1 200")
-            && !next.seen().is_empty()
+            && !next.requests().is_empty()
     });
 }
 
@@ -583,7 +594,7 @@
 
 #[test]
 fn full_list_is_polled_within_six_seconds_of_any_failure() {
-    let reader = ModelServer::start(true, Manner::Good).unwrap();
+    let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let list = format!(
         "{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}}",
         entry("r", reader.address, "reader", "active")
--- a/platform-engine-client/tests/server_behaviour/liveness.rs
+++ b/platform-engine-client/tests/server_behaviour/liveness.rs
@@ -1,7 +1,7 @@
 //! While a KV cache is held, a server has to prove that it is alive.
 
 use crate::support::{client, let_it_idle, prefill_within, request};
-use petrelshore_emulator::platform::{Manner, ModelServer};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_platform_engine_client::AttemptRequest;
 use std::cell::Cell;
@@ -53,13 +53,13 @@
 
 #[test]
 fn pooled_connection_without_liveness_proof_is_a_reset() {
-    let server = ModelServer::start(true, Manner::Good).unwrap();
+    let server = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let client = client(1);
     async_io::block_on(async {
         assert!(client.prefill(&request(server.address), &|| {}).await.result.is_ok());
         let_it_idle().await;
     });
-    server.set(Manner::Silent);
+    server.set(ServerBehavior::Silent);
     // Its own connection holds the only permit, so none can be established as a proof.
     let held = AttemptRequest {
         holds_cache: true,
--- a/platform-engine-client/tests/server_behaviour/responses.rs
+++ b/platform-engine-client/tests/server_behaviour/responses.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{client, let_it_idle, read_stream, request};
 use petrelshore::interface::Outcome;
-use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_platform_engine_client::ConnectionCounts;
 use std::io::{Read, Write};
@@ -10,7 +10,7 @@
 
 #[test]
 fn good_stream_is_forwarded_unchanged_and_its_connection_reused() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     async_io::block_on(async {
         for _ in 0..3 {
@@ -22,32 +22,32 @@
         (server.connections(), client.connection_counts()),
         (1, ConnectionCounts { open: 1, idle: 1 })
     );
-    assert_eq!(server.seen()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
+    assert_eq!(server.requests()[2], "POST /v1/chat/completions?a=b 00000000000000aa");
 }
 
 #[test]
 fn prefill_reports_cached_tokens_and_load() {
-    let server = ModelServer::start(true, Manner::Interim).unwrap();
+    let server = ModelServer::start(true, ServerBehavior::Interim).unwrap();
     let client = client(4);
     let reply = async_io::block_on(client.prefill(&request(server.address), &|| {}));
     assert_eq!((reply.result, reply.load.is_none()), (Ok(4.0), true), "a malformed load is none");
-    server.set(Manner::Good);
+    server.set(ServerBehavior::Good);
     let reply = async_io::block_on(client.prefill(&request(server.address), &|| {}));
     assert_eq!((reply.result, reply.load.unwrap().memory_share), (Ok(4.0), Some(0.25)));
 }
 
 #[test]
 fn each_bad_response_has_its_attempt_end() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     let cases = [
-        (Manner::Declines, AttemptEnd::AtCapacity),
-        (Manner::StateGone, AttemptEnd::KvCacheMissing),
-        (Manner::Overloaded, AttemptEnd::ErrorStatus { status: 503 }),
-        (Manner::Fails, AttemptEnd::ErrorStatus { status: 500 }),
-        (Manner::Resets, AttemptEnd::Reset),
-        (Manner::Noise, AttemptEnd::Malformed),
-        (Manner::EndlessHead, AttemptEnd::Malformed),
+        (ServerBehavior::Declines, AttemptEnd::AtCapacity),
+        (ServerBehavior::CacheMissing, AttemptEnd::KvCacheMissing),
+        (ServerBehavior::Overloaded, AttemptEnd::ErrorStatus { status: 503 }),
+        (ServerBehavior::Fails, AttemptEnd::ErrorStatus { status: 500 }),
+        (ServerBehavior::Resets, AttemptEnd::Reset),
+        (ServerBehavior::InvalidResponse, AttemptEnd::Malformed),
+        (ServerBehavior::EndlessHead, AttemptEnd::Malformed),
     ];
     for (behavior, end) in cases {
         server.set(behavior);
@@ -61,9 +61,9 @@
 
 #[test]
 fn malformed_stream_forwards_complete_events_and_closes_connection() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
-    for behavior in [Manner::BadChunk, Manner::HugeChunk, Manner::NoiseInStream] {
+    for behavior in [ServerBehavior::BadChunk, ServerBehavior::HugeChunk, ServerBehavior::InvalidEvent] {
         server.set(behavior);
         let (forwarded, ended) = async_io::block_on(read_stream(&client, server.address));
         assert_eq!(ended, Err(AttemptEnd::Malformed), "{behavior:?}");
--- a/platform-engine-client/tests/server_behaviour/reuse.rs
+++ b/platform-engine-client/tests/server_behaviour/reuse.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{TEST_TIMEOUT, client, let_it_idle, read_stream, request};
 use futures_lite::future;
-use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_platform_engine_client::{ConnectionCounts, SendPermission};
 use std::io::{Read, Write};
@@ -11,7 +11,7 @@
 
 #[test]
 fn connection_with_unsolicited_bytes_is_not_reused() {
-    let server = ModelServer::start(false, Manner::SecondAnswer).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::SecondResponse).unwrap();
     let client = client(4);
     for _ in 0..2 {
         assert_eq!(async_io::block_on(read_stream(&client, server.address)), (events(), Ok(())));
@@ -23,7 +23,7 @@
 
 #[test]
 fn longest_idle_connection_is_closed_at_the_limit() {
-    let servers = [Manner::Good; 3].map(|behavior| ModelServer::start(false, behavior).unwrap());
+    let servers = [ServerBehavior::Good; 3].map(|behavior| ModelServer::start(false, behavior).unwrap());
     let client = client(2);
     for server in &servers {
         assert_eq!(async_io::block_on(read_stream(&client, server.address)).1, Ok(()));
@@ -32,12 +32,12 @@
     let released =
         client.release(servers[0].address, "00000000000000aa", TEST_TIMEOUT, &|| SendPermission::Granted);
     assert_eq!(async_io::block_on(released), Ok(()));
-    assert_eq!(servers[0].seen()[1], "DELETE /kv/leases/00000000000000aa ");
+    assert_eq!(servers[0].requests()[1], "DELETE /kv/leases/00000000000000aa ");
 }
 
 #[test]
 fn pooled_connection_closed_under_request_is_a_reset() {
-    let server = ModelServer::start(false, Manner::OncePerConnection).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::OncePerConnection).unwrap();
     let client = client(4);
     async_io::block_on(async {
         assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
@@ -94,8 +94,8 @@
 
 #[test]
 fn exhausted_connection_limit_is_not_sent() {
-    let silent = ModelServer::start(false, Manner::Silent).unwrap();
-    let good = ModelServer::start(false, Manner::Good).unwrap();
+    let silent = ModelServer::start(false, ServerBehavior::Silent).unwrap();
+    let good = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(1);
     async_io::block_on(async {
         let unanswered = async {
@@ -103,7 +103,7 @@
             unreachable!("it never responds")
         };
         let second = async {
-            while silent.seen().is_empty() {
+            while silent.requests().is_empty() {
                 async_io::Timer::after(Duration::from_millis(1)).await;
             }
             client.prefill(&request(good.address), &|| {}).await.result
--- a/platform-engine-client/tests/server_behaviour/sending.rs
+++ b/platform-engine-client/tests/server_behaviour/sending.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use petrelshore::interface::Outcome;
-use petrelshore_emulator::platform::{Manner, ModelServer, events};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_platform_engine_client::{AttemptRequest, ConnectionCounts, SendPermission};
 use std::cell::Cell;
@@ -18,7 +18,7 @@
 
 #[test]
 fn nothing_is_sent_once_the_client_has_left() {
-    let server = ModelServer::start(false, Manner::Good).unwrap();
+    let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     async_io::block_on(async {
         // Checked before a connection is established, and again once it is.
@@ -37,7 +37,7 @@
             assert_eq!(reply.result.err(), Some(AttemptEnd::ReturnedUnsent), "{denied_from}");
         }
     });
-    assert!(server.seen().is_empty(), "{:?}", server.seen());
+    assert!(server.requests().is_empty(), "{:?}", server.requests());
     // The unused connection serves the next request.
     assert_eq!(async_io::block_on(read_stream(&client, server.address)), (events(), Ok(())));
     assert_eq!(server.connections(), 1);
--- a/platform-gateway/tests/gateway.rs
+++ b/platform-gateway/tests/gateway.rs
@@ -4,7 +4,7 @@
 use async_io::Timer;
 use bytes::Bytes;
 use petrelshore::interface::*;
-use petrelshore_emulator::platform::{Manner, ModelServer, config as config_text, entry, events};
+use petrelshore_emulator::platform::{ModelServer, ServerBehavior, config as config_text, entry, events};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
 use petrelshore_gateway_core::passthrough::FinalAnswer;
 use petrelshore_gateway_core::{NewSequence, Relay};
@@ -48,8 +48,8 @@
 
 #[test]
 fn dropped_completed_answer_leaves_new_request_with_same_id_running() {
-    let prefill_server = ModelServer::start(true, Manner::Good).unwrap();
-    let decode_server = ModelServer::start(false, Manner::Good).unwrap();
+    let prefill_server = ModelServer::start(true, ServerBehavior::Good).unwrap();
+    let decode_server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let entries = [
         entry("r", prefill_server.address, "reader", "active"),
         entry("w", decode_server.address, "writer", "active"),
@@ -64,7 +64,7 @@
         while gateway.tracked() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
-        prefill_server.set(Manner::Slow);
+        prefill_server.set(ServerBehavior::Slow);
         let mut next = accept(&gateway, SequenceId(7));
         drop(unread);
         let mut received = String::new();
