--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -158,7 +158,7 @@
         What::Load { to, grpc, reader, writer, streams, tokens, seconds, model, key } => {
             let lasts = std::time::Duration::from_secs(seconds);
             let direct = reader.zip(writer);
-            trial::load(to, grpc, direct, &load::Load { streams, tokens, lasts, model, key })
+            trial::load(to, grpc, direct, &load::Load { streams, tokens, duration: lasts, model, key })
         }
     };
     match outcome {
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -40,12 +40,13 @@
     let folder = std::env::temp_dir().join(format!("petrelshore-try-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
-        let (fleet, running) = fleet::try_out(executor.clone(), &folder, listen).await?;
-        let at = running.at.chat;
+        let (fleet, running) =
+            fleet::try_out(executor.clone(), &folder, listen).await.map_err(|error| error.to_string())?;
+        let at = running.addresses.chat;
         println!(
             "petrelshore ready: chat on {at}, gRPC on {}, before {} stand-ins of this process",
-            running.at.grpc,
-            fleet.places.len()
+            running.addresses.grpc,
+            fleet.members.len()
         );
         println!("try it:\n");
         println!("  curl -N http://{at}/v1/chat/completions -H 'content-type: application/json' \\");
@@ -106,25 +107,25 @@
     let mut script = script::read(file).map_err(|problem| problem.to_string())?;
     if let Some(front) = front {
         let front = match front {
-            FrontName::Chat => script::Fronts::Chat,
-            FrontName::Grpc => script::Fronts::Grpc,
-            FrontName::Both => script::Fronts::Both,
+            FrontName::Chat => script::ApiChoice::Chat,
+            FrontName::Grpc => script::ApiChoice::Grpc,
+            FrontName::Both => script::ApiChoice::Both,
         };
-        script.clients.iter_mut().for_each(|clients| clients.front = front);
+        script.clients.iter_mut().for_each(|clients| clients.api = front);
     }
     let folder = std::env::temp_dir().join(format!("petrelshore-rehearse-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
-    println!("rehearsing {}: {} s and what follows", script.name, script.lasts_ms / 1e3);
+    println!("rehearsing {}: {} s and what follows", script.name, script.duration_ms / 1e3);
     let chooser = if baseline { Chooser::Baseline } else { Chooser::Decisions };
     let run = rehearse::rehearse(&executor, &folder, &script, "", chooser, |line| println!("{line}"));
     let outcome = future::block_on(executor.run(run));
     let _ = std::fs::remove_dir_all(&folder);
-    let outcome = outcome?;
+    let outcome = outcome.map_err(|error| error.to_string())?;
     if let Some(file) = record {
         write_record(file, &outcome).map_err(|error| format!("{}: {error}", file.display()))?;
     }
     print(&outcome);
-    match (outcome.verdict.breaks.len(), outcome.left_in_gateways + outcome.left_in_boxes) {
+    match (outcome.verdict.violations.len(), outcome.left_in_gateways + outcome.left_in_servers) {
         (0, 0) => Ok(()),
         (0, left) => Err(format!("{left} sequences or states were left behind")),
         (breaks, _) => Err(format!("rules were broken {breaks} times")),
@@ -142,10 +143,10 @@
 fn print(outcome: &Outcome) {
     let verdict = &outcome.verdict;
     println!("\nservice {:.3} (utility within the latency SLO over utility asked)", outcome.service);
-    for (front, service) in &outcome.fronts {
+    for (front, service) in &outcome.service_by_api {
         println!("  by {front:?}: {service:.3}");
     }
-    for (model, answers) in &outcome.answers {
+    for (model, answers) in &outcome.outcomes {
         let counts: Vec<String> = answers.iter().map(|(answer, count)| format!("{answer} {count}")).collect();
         let times = outcome.first_tokens.get(model).map(|times| {
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
@@ -155,20 +156,20 @@
     }
     println!(
         "judged from sockets: {} requests, {} arrivals at servers, {} held states, {} words to stop",
-        verdict.asked, verdict.arrivals, verdict.states, verdict.told_closed
+        verdict.requests, verdict.arrivals, verdict.reservations, verdict.drain_notifications
     );
     println!(
         "left at the end: {} in gateways, {} states in boxes",
-        outcome.left_in_gateways, outcome.left_in_boxes
+        outcome.left_in_gateways, outcome.left_in_servers
     );
     for rule in 1..=5 {
-        let breaks: Vec<_> = verdict.breaks.iter().filter(|found| found.rule == rule).collect();
+        let breaks: Vec<_> = verdict.violations.iter().filter(|found| found.rule == rule).collect();
         println!(
             "rule {rule}: {}",
             if breaks.is_empty() { "kept".to_owned() } else { format!("BROKEN {} times", breaks.len()) }
         );
         for found in breaks.iter().take(5) {
-            println!("  {:.3} s: {}", found.at as f64 / 1e9, found.what);
+            println!("  {:.3} s: {}", found.at as f64 / 1e9, found.description);
         }
     }
 }
@@ -181,12 +182,16 @@
     load: &load::Load,
 ) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
-    let ways = [("gateway", load::Way::Gateway(to))]
+    let ways = [("gateway", load::Target::Gateway(to))]
         .into_iter()
-        .chain(grpc.map(|to| ("gateway by gRPC", load::Way::Grpc(to))))
-        .chain(direct.map(|(reader, writer)| ("direct", load::Way::Direct { reader, writer })));
+        .chain(grpc.map(|to| ("gateway by gRPC", load::Target::Grpc(to))))
+        .chain(
+            direct
+                .map(|(reader, writer)| ("direct", load::Target::Direct { prefill: reader, decode: writer })),
+        );
     for (name, way) in ways {
-        let times = future::block_on(executor.run(load::run(&executor, way, load)))?;
+        let times = future::block_on(executor.run(load::run(&executor, way, load)))
+            .map_err(|error| error.to_string())?;
         let row = |times: &hdrhistogram::Histogram<u64>| {
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
             format!("p50 {:.2} ms, p90 {:.2}, p99 {:.2}", at(0.5), at(0.9), at(0.99))
@@ -197,8 +202,8 @@
             times.answers,
             times.tokens,
             times.failed,
-            row(&times.first),
-            row(&times.between)
+            row(&times.first_token),
+            row(&times.between_tokens)
         );
     }
     Ok(())
--- a/cli/tests/daemon.rs
+++ b/cli/tests/daemon.rs
@@ -1,7 +1,7 @@
 //! The command as a process: start, reload, stop, and what it says when it can't.
 
 use futures_lite::future;
-use petrelshore_e2e::client::{Question, Seen};
+use petrelshore_e2e::client::{Observation, Question};
 use petrelshore_e2e::grpc_client;
 use petrelshore_emulator::record::FinalOutcome;
 use petrelshore_soak::shim::{Fault, Faults, Library};
@@ -208,7 +208,7 @@
     std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", both)).unwrap();
     let mut gateway = start(&["serve", &file]);
     let grpc = gateway.second.unwrap();
-    let (mut seen, mut told) = (Seen::nothing(), false);
+    let (mut seen, mut told) = (Observation::nothing(), false);
     let exchange = async {
         let (mut sender, driver) = grpc_client::connect(grpc).await.expect("the daemon listens");
         let asked = async {
@@ -228,7 +228,7 @@
         future::or(asked, drive).await;
     };
     future::block_on(exchange);
-    assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 100), "{seen:?}");
+    assert_eq!((seen.outcome, seen.tokens), (FinalOutcome::Completed, 100), "{seen:?}");
     assert_eq!(ended(&mut gateway), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/e2e/src/grpc_client.rs
+++ b/e2e/src/grpc_client.rs
@@ -1,9 +1,9 @@
-//! The gRPC side of the client: frames read as they come, with its own end of flow control.
+//! The gRPC side of the client: frames are read as they arrive, with flow control of its own.
 
-use crate::client::{Question, Seen, shared_text};
+use crate::client::{Observation, Question, shared_text};
 use async_io::Timer;
 use async_net::TcpStream;
-use bytes::{Buf, BytesMut};
+use bytes::{Buf, Bytes, BytesMut};
 use futures_lite::future;
 use h2::client::{ResponseFuture, SendRequest};
 use http::{HeaderMap, Request};
@@ -17,27 +17,35 @@
 use tonic_types::StatusExt;
 use v1::chat_event::Event;
 
-const UNREAD: usize = 64 << 20;
+/// Bytes of small messages that may wait to be read on a connection.
+const MAX_UNREAD_BYTES: usize = 64 << 20;
 
-pub type Sender = SendRequest<bytes::Bytes>;
-/// Moves a connection on; a client polls it beside its calls.
-pub type Driver = h2::client::Connection<tokio_util::compat::Compat<TcpStream>, bytes::Bytes>;
+const STATUS_TRAILER: &str = "grpc-status";
+/// The compression flag and the length before each message.
+const MESSAGE_PREFIX_BYTES: usize = 5;
 
-pub async fn connect(to: SocketAddr) -> Option<(Sender, Driver)> {
-    let stream = TcpStream::connect(to).await.ok()?;
+/// Sends calls on a connection.
+pub type Sender = SendRequest<Bytes>;
+/// Drives a connection; a client polls it beside its calls.
+pub type Driver = h2::client::Connection<tokio_util::compat::Compat<TcpStream>, Bytes>;
+
+/// Opens a connection.
+pub async fn connect(address: SocketAddr) -> Option<(Sender, Driver)> {
+    let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
-    // The library ends connections on which many small messages wait to be read, as those of a stalled stream do.
-    h2::client::Builder::new().data_frame_budget(UNREAD).handshake(stream.compat()).await.ok()
+    // The library would end connections on which many small messages wait to be read, as those of a stalled stream do.
+    h2::client::Builder::new().data_frame_budget(MAX_UNREAD_BYTES).handshake(stream.compat()).await.ok()
 }
 
-/// A request message with its head before it, as it goes out.
-pub fn framed(message: &impl Message) -> bytes::Bytes {
+/// A message with its prefix, as it is sent.
+pub fn framed(message: &impl Message) -> Bytes {
     let mut bytes = vec![0];
     bytes.extend_from_slice(&(message.encoded_len() as u32).to_be_bytes());
     bytes.extend_from_slice(&message.encode_to_vec());
     bytes.into()
 }
 
+/// The request message of a question.
 pub fn message(question: &Question) -> v1::ChatRequest {
     let text = |role: v1::Role, text: String| v1::Message { role: role.into(), text };
     v1::ChatRequest {
@@ -48,7 +56,7 @@
     }
 }
 
-/// Sends a call; its answer is still to come.
+/// Sends a call; its response is still to come.
 pub async fn call(sender: &mut Sender, question: &Question) -> Option<ResponseFuture> {
     let path = format!("http://gateway/{SERVICE}/Stream");
     let mut request = Request::post(path).header("content-type", "application/grpc").header("te", "trailers");
@@ -61,99 +69,108 @@
     Some(response)
 }
 
-/// Puts a question on a connection of its own and reads until its end, or until `leave_after`.
-pub async fn exchange(to: SocketAddr, question: &Question, leave_after: Duration) -> Seen {
+/// Sends a question on a connection of its own and reads the stream to its end; disconnects after `timeout`.
+pub async fn exchange(address: SocketAddr, question: &Question, timeout: Duration) -> Observation {
     let started = Instant::now();
-    let mut seen = Seen::nothing();
-    let talk = async {
-        let Some((mut sender, driver)) = connect(to).await else { return false };
-        let asked = async {
+    let mut observation = Observation::nothing();
+    let exchange = async {
+        let Some((mut sender, driver)) = connect(address).await else { return false };
+        let call = async {
             let Some(response) = call(&mut sender, question).await else { return };
-            read(response, started, &mut seen).await;
+            read(response, started, &mut observation).await;
         };
         let drive = async {
             let _ = driver.await;
-            // What has come is read to its end.
+            // What was received is read to its end.
             future::pending().await
         };
-        future::or(asked, drive).await;
+        future::or(call, drive).await;
         false
     };
-    let left = future::or(talk, async {
-        Timer::after(leave_after).await;
+    let disconnected = future::or(exchange, async {
+        Timer::after(timeout).await;
         true
     })
     .await;
-    seen.took = started.elapsed().as_nanos() as Nanos;
-    if left && seen.finished == FinalOutcome::NoResponse {
-        seen.finished = FinalOutcome::Disconnected;
+    observation.took = started.elapsed().as_nanos() as Nanos;
+    if disconnected && observation.outcome == FinalOutcome::NoResponse {
+        observation.outcome = FinalOutcome::Disconnected;
     }
-    seen
+    observation
 }
 
-/// Reads an answer to its trailers.
-pub async fn read(response: ResponseFuture, started: Instant, seen: &mut Seen) {
-    read_with(response, started, seen, |_| ()).await;
+/// Reads a response to its trailers.
+pub async fn read(response: ResponseFuture, started: Instant, observation: &mut Observation) {
+    read_with(response, started, observation, |_| ()).await;
 }
 
-/// The same, telling how many tokens came together each time.
+/// The same, reporting how many tokens were received together each time.
 pub async fn read_with(
     response: ResponseFuture,
     started: Instant,
-    seen: &mut Seen,
-    mut came: impl FnMut(u64),
+    observation: &mut Observation,
+    mut on_tokens: impl FnMut(u64),
 ) {
     let Ok(response) = response.await else { return };
     let mut ended = false;
-    if response.headers().contains_key("grpc-status") {
-        return judge(response.headers(), ended, seen);
+    if response.headers().contains_key(STATUS_TRAILER) {
+        return read_status(response.headers(), ended, observation);
     }
-    let (mut body, mut part, mut last) = (response.into_body(), BytesMut::new(), 0);
-    loop {
-        match body.data().await {
-            Some(Ok(bytes)) => {
-                let _ = body.flow_control().release_capacity(bytes.len());
-                part.extend_from_slice(&bytes);
-            }
-            Some(Err(_)) => return,
-            None => break,
-        }
-        let mut tokens = 0;
-        while part.len() >= 5 && part.len() >= 5 + (&part[1..5]).get_u32() as usize {
-            part.advance(1);
-            let length = part.get_u32() as usize;
-            let Ok(event) = v1::ChatEvent::decode(part.split_to(length).freeze()) else { return };
-            seen.after_final |= ended;
-            match event.event {
-                Some(Event::Text(text)) => {
-                    tokens += 1;
-                    seen.body.push_str(&text);
-                }
-                Some(Event::End(_)) => ended = true,
-                _ => {}
-            }
-        }
-        seen.came(started.elapsed().as_nanos() as Nanos, tokens, &mut last);
+    let (mut body, mut buffer, mut last) = (response.into_body(), BytesMut::new(), 0);
+    while let Some(data) = body.data().await {
+        let Ok(data) = data else { return };
+        let _ = body.flow_control().release_capacity(data.len());
+        buffer.extend_from_slice(&data);
+        let Some(tokens) = read_events(&mut buffer, &mut ended, observation) else { return };
+        observation.count_tokens(started.elapsed().as_nanos() as Nanos, tokens, &mut last);
         if tokens > 0 {
-            came(tokens);
+            on_tokens(tokens);
         }
     }
     if let Ok(Some(trailers)) = body.trailers().await {
-        judge(&trailers, ended, seen);
+        read_status(&trailers, ended, observation);
+    }
+}
+
+/// Reads all complete events of a buffer; returns their tokens, or `None` where one is invalid.
+fn read_events(buffer: &mut BytesMut, ended: &mut bool, observation: &mut Observation) -> Option<u64> {
+    let mut tokens = 0;
+    while let Some(message) = next_message(buffer) {
+        let event = v1::ChatEvent::decode(message).ok()?;
+        observation.after_final |= *ended;
+        match event.event {
+            Some(Event::Text(text)) => {
+                tokens += 1;
+                observation.body.push_str(&text);
+            }
+            Some(Event::End(_)) => *ended = true,
+            _ => {}
+        }
+    }
+    Some(tokens)
+}
+
+/// Removes the next message from a buffer, where it is complete.
+fn next_message(buffer: &mut BytesMut) -> Option<Bytes> {
+    let length = (buffer.get(1..MESSAGE_PREFIX_BYTES)?).get_u32() as usize;
+    if buffer.len() < MESSAGE_PREFIX_BYTES + length {
+        return None;
     }
+    buffer.advance(MESSAGE_PREFIX_BYTES);
+    Some(buffer.split_to(length).freeze())
 }
 
-fn judge(trailers: &HeaderMap, ended: bool, seen: &mut Seen) {
+fn read_status(trailers: &HeaderMap, ended: bool, observation: &mut Observation) {
     let Some(status) = Status::from_header_map(trailers) else { return };
-    seen.status = status.code() as u16;
-    seen.code = status.get_details_error_info().map(|info| info.reason.to_lowercase());
+    observation.status = status.code() as u16;
+    observation.code = status.get_details_error_info().map(|info| info.reason.to_lowercase());
     let pushback = trailers.get("grpc-retry-pushback-ms").and_then(|value| value.to_str().ok()?.parse().ok());
-    // Clients send again by themselves after these codes only, and not against a pushback.
-    let again = matches!(status.code(), Code::Unavailable | Code::ResourceExhausted);
-    seen.retry_after = pushback.filter(|_| again).map(Duration::from_millis);
-    seen.finished = match status.code() {
+    // Clients retry by themselves after these codes only, and not against a pushback.
+    let may_retry = matches!(status.code(), Code::Unavailable | Code::ResourceExhausted);
+    observation.retry_after = pushback.filter(|_| may_retry).map(Duration::from_millis);
+    observation.outcome = match status.code() {
         Code::Ok if ended => FinalOutcome::Completed,
         Code::Ok => FinalOutcome::NoResponse,
-        _ => seen.judged_by_code().unwrap_or(FinalOutcome::NotAccepted),
+        _ => observation.outcome_by_code().unwrap_or(FinalOutcome::NotAccepted),
     };
 }
--- a/e2e/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -1,5 +1,5 @@
-//! Rehearsals on loopback: fleets of stand-ins with gateways before them, clients, faults by script, and the
-//! auditor that judges the five rules from what passed on the sockets.
+//! Rehearsals on loopback: fleets of emulated servers with gateways before them, clients, faults by script, and the
+//! auditor that judges the five rules from what was observed on the sockets.
 
 pub mod auditor;
 pub mod client;
--- a/e2e/src/load.rs
+++ b/e2e/src/load.rs
@@ -1,210 +1,289 @@
-//! Steady load: so many streams at once, through a gateway or straight at a reader and a writer, with times to the
-//! first token and between tokens.
+//! Steady load: a number of concurrent streams, through a gateway or straight at a prefill and a decode server, with
+//! times to the first token and between tokens.
 
-use crate::client::{Question, Seen, chat_body, request};
+mod direct;
+
+use crate::client::{Observation, Question, chat_body, request};
 use crate::fleet::Executor;
 use crate::grpc_client;
+use async_executor::Task;
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use hdrhistogram::Histogram;
 use petrelshore_emulator::record::FinalOutcome;
-use serde_json::{Value, json};
 use std::cell::RefCell;
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Streams that share a connection where the protocol lets them.
-const ON_A_CONNECTION: usize = 100;
+/// Streams that share a connection where the protocol allows it.
+const STREAMS_PER_CONNECTION: usize = 100;
+/// The part of the time in which streams start, and in which nothing is counted.
+const START_PHASE_DIVISOR: u32 = 5;
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Two minutes, in microseconds.
+const MAX_TIME_MICROS: u64 = 120_000_000;
+const READ_BUFFER_BYTES: usize = 8192;
+const STREAM_END: &[u8] = b"data: [DONE]";
+/// What each token begins with, through a gateway and straight from a server.
+const GATEWAY_TOKEN_MARKER: &[u8] = b"\"content\":\"t";
+const SERVER_TOKEN_MARKER: &[u8] = b"\"text\":\"t";
 
 /// Where streams go.
 #[derive(Clone, Copy, Debug)]
-pub enum Way {
+pub enum Target {
+    /// Chat completions of a gateway.
     Gateway(SocketAddr),
-    /// The same gateway's gRPC front.
+    /// The gRPC service of a gateway.
     Grpc(SocketAddr),
     /// The two exchanges that a gateway would make, by the client itself.
     Direct {
-        reader: SocketAddr,
-        writer: SocketAddr,
+        /// The prefill server.
+        prefill: SocketAddr,
+        /// The decode server.
+        decode: SocketAddr,
     },
 }
 
+/// The load.
 #[derive(Clone, Debug)]
 pub struct Load {
+    /// Concurrent streams.
     pub streams: usize,
+    /// Tokens of each answer.
     pub tokens: u64,
-    pub lasts: Duration,
+    /// How long it lasts.
+    pub duration: Duration,
+    /// The model.
     pub model: String,
+    /// The API key.
     pub key: Option<String>,
 }
 
-/// Times in microseconds.
-pub struct Times {
-    pub first: Histogram<u64>,
-    pub between: Histogram<u64>,
+/// Why load was not generated.
+#[derive(Debug)]
+pub enum LoadError {
+    /// An address does not accept connections.
+    Unreachable(SocketAddr),
+    /// No histogram for the times.
+    Histogram(hdrhistogram::CreationError),
+}
+
+impl fmt::Display for LoadError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LoadError::Unreachable(address) => write!(formatter, "{address} is not reached"),
+            LoadError::Histogram(error) => error.fmt(formatter),
+        }
+    }
+}
+
+impl std::error::Error for LoadError {}
+
+/// What was measured, times in microseconds.
+pub struct Measurements {
+    /// Times to the first token.
+    pub first_token: Histogram<u64>,
+    /// Times between tokens.
+    pub between_tokens: Histogram<u64>,
+    /// Complete answers.
     pub answers: u64,
+    /// Tokens of complete answers.
     pub tokens: u64,
+    /// Incomplete answers.
     pub failed: u64,
 }
 
-impl Times {
-    fn new() -> Result<Times, String> {
-        let empty = || Histogram::new_with_max(120_000_000, 3).map_err(|error| error.to_string());
-        Ok(Times { first: empty()?, between: empty()?, answers: 0, tokens: 0, failed: 0 })
+impl Measurements {
+    fn new() -> Result<Measurements, LoadError> {
+        let empty = || Histogram::new_with_max(MAX_TIME_MICROS, 3).map_err(LoadError::Histogram);
+        Ok(Measurements { first_token: empty()?, between_tokens: empty()?, answers: 0, tokens: 0, failed: 0 })
     }
-}
 
-/// Keeps that many streams going for the time, each beginning anew when it ends.
-pub async fn run(executor: &Executor, way: Way, load: &Load) -> Result<Times, String> {
-    let times = Rc::new(RefCell::new(Times::new()?));
-    let until = Instant::now() + load.lasts;
-    // Streams begin spread over the first fifth, and what begins there is not counted.
-    let spread = load.lasts / 5;
-    let counted = Instant::now() + spread;
-    let mut connections = Vec::new();
-    if let Way::Grpc(to) = way {
-        for _ in 0..load.streams.div_ceil(ON_A_CONNECTION) {
-            let (sender, driver) = grpc_client::connect(to).await.ok_or(format!("{to} is not reached"))?;
-            connections.push((sender, executor.spawn(async move { driver.await.err() })));
+    /// Records tokens that were received together; returns when.
+    fn record_tokens(&mut self, began: Instant, last: Option<Instant>) -> Instant {
+        let now = Instant::now();
+        match last {
+            None => self.first_token.saturating_record((now - began).as_micros() as u64),
+            Some(last) => self.between_tokens.saturating_record((now - last).as_micros() as u64),
         }
+        now
     }
-    let mut tasks = Vec::new();
+
+    fn record_answer(&mut self, tokens: u64) {
+        self.answers += 1;
+        self.tokens += tokens;
+    }
+}
+
+/// A shared connection, driven for as long as this is kept.
+struct SharedConnection {
+    sender: grpc_client::Sender,
+    _driver: Task<Option<h2::Error>>,
+}
+
+/// What all streams share.
+struct Generator {
+    target: Target,
+    load: Load,
+    measurements: RefCell<Measurements>,
+    /// Streams begin no further answers after this.
+    until: Instant,
+    /// Answers that begin earlier are not part of the times.
+    counted_from: Instant,
+}
+
+/// Whether an answer is part of the times.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Timing {
+    Recorded,
+    Skipped,
+}
+
+/// Keeps the streams going for the time, each beginning anew when it ends.
+pub async fn run(executor: &Executor, target: Target, load: &Load) -> Result<Measurements, LoadError> {
+    let start_phase = load.duration / START_PHASE_DIVISOR;
+    let generator = Rc::new(Generator {
+        target,
+        load: load.clone(),
+        measurements: RefCell::new(Measurements::new()?),
+        until: Instant::now() + load.duration,
+        counted_from: Instant::now() + start_phase,
+    });
+    let connections = connect(executor, target, load.streams).await?;
+    let mut streams = Vec::new();
     for number in 0..load.streams {
-        let (times, load) = (times.clone(), load.clone());
-        let mut sender = connections.get(number / ON_A_CONNECTION).map(|(sender, _)| sender.clone());
-        tasks.push(executor.spawn(async move {
-            Timer::after(spread * number as u32 / load.streams as u32).await;
-            let mut turn = 0;
-            while Instant::now() < until {
-                turn += 1;
-                let began = Instant::now();
-                let (asked, counts) = (format!("stream {number} turn {turn}"), began >= counted);
-                let done = match &mut sender {
-                    Some(sender) => multiplexed(sender, &load, &asked, &times, counts).await,
-                    None => stream(way, &load, &asked, &times, counts).await,
-                };
-                if done.is_none() {
-                    times.borrow_mut().failed += 1;
-                    Timer::after(Duration::from_millis(100)).await;
-                }
-            }
+        let generator = generator.clone();
+        let connection = connections.get(number / STREAMS_PER_CONNECTION);
+        let sender = connection.map(|connection| connection.sender.clone());
+        let delay = start_phase * number as u32 / load.streams as u32;
+        streams.push(executor.spawn(async move {
+            Timer::after(delay).await;
+            generator.run_stream(number, sender).await;
         }));
     }
-    for task in tasks {
-        task.await;
+    for stream in streams {
+        stream.await;
     }
-    let times = Rc::try_unwrap(times).map_err(|_| "a stream is still running")?;
-    Ok(times.into_inner())
+    let empty = Measurements::new()?;
+    Ok(generator.measurements.replace(empty))
 }
 
-impl Times {
-    /// Tokens have come together; tells when.
-    fn came(&mut self, began: Instant, last: Option<Instant>) -> Instant {
-        let now = Instant::now();
-        match last {
-            None => self.first.saturating_record((now - began).as_micros() as u64),
-            Some(last) => self.between.saturating_record((now - last).as_micros() as u64),
-        }
-        now
+/// The shared connections of a target whose protocol allows them.
+async fn connect(
+    executor: &Executor,
+    target: Target,
+    streams: usize,
+) -> Result<Vec<SharedConnection>, LoadError> {
+    let Target::Grpc(address) = target else { return Ok(Vec::new()) };
+    let mut connections = Vec::new();
+    for _ in 0..streams.div_ceil(STREAMS_PER_CONNECTION) {
+        let connection = grpc_client::connect(address).await;
+        let (sender, driver) = connection.ok_or(LoadError::Unreachable(address))?;
+        let driver = executor.spawn(async move { driver.await.err() });
+        connections.push(SharedConnection { sender, _driver: driver });
     }
+    Ok(connections)
 }
 
-/// One answer on a shared connection; none where it did not come whole.
-async fn multiplexed(
-    sender: &mut grpc_client::Sender,
-    load: &Load,
-    question: &str,
-    times: &RefCell<Times>,
-    counted: bool,
-) -> Option<()> {
-    let began = Instant::now();
-    let mut question = Question::new(&load.model, question, load.tokens);
-    if let Some(key) = &load.key {
-        question = question.with("authorization", &format!("Bearer {key}"));
-    }
-    let response = grpc_client::call(sender, &question).await?;
-    let (mut seen, mut last) = (Seen::nothing(), None);
-    let came = |_| {
-        if counted {
-            last = Some(times.borrow_mut().came(began, last));
+impl Generator {
+    async fn run_stream(&self, number: usize, mut sender: Option<grpc_client::Sender>) {
+        let mut turn = 0;
+        while Instant::now() < self.until {
+            turn += 1;
+            let counted = Instant::now() >= self.counted_from;
+            let timing = if counted { Timing::Recorded } else { Timing::Skipped };
+            let question = format!("stream {number} turn {turn}");
+            let answer = match &mut sender {
+                Some(sender) => self.answer_by_grpc(sender, &question, timing).await,
+                None => self.answer_by_http(&question, timing).await,
+            };
+            match answer {
+                Some(tokens) => self.measurements.borrow_mut().record_answer(tokens),
+                None => {
+                    self.measurements.borrow_mut().failed += 1;
+                    Timer::after(RETRY_PAUSE).await;
+                }
+            }
         }
-    };
-    grpc_client::read_with(response, began, &mut seen, came).await;
-    if seen.finished != FinalOutcome::Completed {
-        return None;
     }
-    let mut times = times.borrow_mut();
-    (times.answers, times.tokens) = (times.answers + 1, times.tokens + seen.tokens);
-    Some(())
-}
 
-/// One answer; none where it did not come whole.
-async fn stream(way: Way, load: &Load, question: &str, times: &RefCell<Times>, counted: bool) -> Option<()> {
-    let began = Instant::now();
-    let (to, text, mark): (SocketAddr, String, &[u8]) = match way {
-        Way::Gateway(to) => {
-            let key = load.key.as_ref().map(|key| format!("Bearer {key}"));
-            let headers: Vec<(&str, &str)> = key.iter().map(|key| ("authorization", key.as_str())).collect();
-            let body = chat_body(&load.model, question, load.tokens, true);
-            (to, request("/v1/chat/completions", &headers, &body), b"\"content\":\"t")
+    fn record_tokens(&self, began: Instant, last: &mut Option<Instant>, timing: Timing) {
+        if timing == Timing::Recorded {
+            *last = Some(self.measurements.borrow_mut().record_tokens(began, *last));
         }
-        Way::Direct { reader, writer } => {
-            let asked = json!({ "do_remote_decode": true, "do_remote_prefill": false });
-            let read = completion(load, question, 1, false, asked);
-            let answer = whole(reader, &read).await?;
-            let params = answer.get("kv_transfer_params")?.clone();
-            (writer, completion(load, question, load.tokens, true, params), b"\"text\":\"t")
+    }
+
+    /// The tokens of one answer on a shared connection; `None` where it is incomplete.
+    async fn answer_by_grpc(
+        &self,
+        sender: &mut grpc_client::Sender,
+        question: &str,
+        timing: Timing,
+    ) -> Option<u64> {
+        let began = Instant::now();
+        let mut question = Question::new(&self.load.model, question, self.load.tokens);
+        if let Some(key) = &self.load.key {
+            question = question.with("authorization", &format!("Bearer {key}"));
         }
-        // Its streams share connections.
-        Way::Grpc(_) => return None,
-    };
-    let mut stream = TcpStream::connect(to).await.ok()?;
-    stream.set_nodelay(true).ok()?;
-    stream.write_all(text.as_bytes()).await.ok()?;
-    let (mut last, mut seen, mut tail): (Option<Instant>, u64, Vec<u8>) = (None, 0, Vec::new());
-    let mut part = [0u8; 8192];
-    loop {
-        let count = stream.read(&mut part).await.ok().filter(|count| *count > 0)?;
-        tail.extend_from_slice(&part[..count]);
-        let tokens = tail.windows(mark.len()).filter(|window| *window == mark).count() as u64;
-        let done = tail.windows(12).any(|window| window == b"data: [DONE]");
-        if tokens > 0 {
-            if counted {
-                last = Some(times.borrow_mut().came(began, last));
+        let response = grpc_client::call(sender, &question).await?;
+        let (mut observation, mut last) = (Observation::nothing(), None);
+        let on_tokens = |_| self.record_tokens(began, &mut last, timing);
+        grpc_client::read_with(response, began, &mut observation, on_tokens).await;
+        (observation.outcome == FinalOutcome::Completed).then_some(observation.tokens)
+    }
+
+    /// The tokens of one answer on a connection of its own; `None` where it is incomplete.
+    async fn answer_by_http(&self, question: &str, timing: Timing) -> Option<u64> {
+        let began = Instant::now();
+        match self.target {
+            Target::Gateway(address) => {
+                let key = self.load.key.as_ref().map(|key| format!("Bearer {key}"));
+                let headers: Vec<(&str, &str)> =
+                    key.iter().map(|key| ("authorization", key.as_str())).collect();
+                let body = chat_body(&self.load.model, question, self.load.tokens, true);
+                let request = request("/v1/chat/completions", &headers, &body);
+                self.read_stream(address, &request, GATEWAY_TOKEN_MARKER, began, timing).await
             }
-            seen += tokens;
-        }
-        if done {
-            break;
+            Target::Direct { prefill, decode } => {
+                let request = direct::prefill(prefill, &self.load, question).await?;
+                self.read_stream(decode, &request, SERVER_TOKEN_MARKER, began, timing).await
+            }
+            // Its streams share connections.
+            Target::Grpc(_) => None,
         }
-        let keep = tail.len().min(mark.len() - 1);
-        tail.drain(..tail.len() - keep);
     }
-    let mut times = times.borrow_mut();
-    (times.answers, times.tokens) = (times.answers + 1, times.tokens + seen);
-    Some(())
-}
-
-fn completion(load: &Load, question: &str, tokens: u64, stream: bool, params: Value) -> String {
-    let body = json!({
-        "model": load.model, "prompt": format!("{}{question}", "You explain events. ".repeat(20)),
-        "max_tokens": tokens, "stream": stream, "kv_transfer_params": params,
-    });
-    request(
-        "/v1/completions",
-        &[("x-request-id", &format!("load-{question}").replace(' ', "-"))],
-        &body.to_string(),
-    )
-}
 
-async fn whole(to: SocketAddr, text: &str) -> Option<Value> {
-    let mut stream = TcpStream::connect(to).await.ok()?;
-    stream.set_nodelay(true).ok()?;
-    stream.write_all(text.as_bytes()).await.ok()?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.ok()?;
-    let text = String::from_utf8(answer).ok()?;
-    serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()
+    /// Sends a request and reads its stream; returns its tokens.
+    async fn read_stream(
+        &self,
+        address: SocketAddr,
+        request: &str,
+        token_marker: &[u8],
+        began: Instant,
+        timing: Timing,
+    ) -> Option<u64> {
+        let mut stream = TcpStream::connect(address).await.ok()?;
+        stream.set_nodelay(true).ok()?;
+        stream.write_all(request.as_bytes()).await.ok()?;
+        let (mut last, mut total, mut tail): (Option<Instant>, u64, Vec<u8>) = (None, 0, Vec::new());
+        let mut buffer = [0u8; READ_BUFFER_BYTES];
+        loop {
+            let count = stream.read(&mut buffer).await.ok().filter(|count| *count > 0)?;
+            tail.extend_from_slice(&buffer[..count]);
+            let tokens = tail.windows(token_marker.len()).filter(|window| *window == token_marker).count();
+            let ended = tail.windows(STREAM_END.len()).any(|window| window == STREAM_END);
+            if tokens > 0 {
+                self.record_tokens(began, &mut last, timing);
+                total += tokens as u64;
+            }
+            if ended {
+                return Some(total);
+            }
+            let keep = tail.len().min(token_marker.len() - 1);
+            tail.drain(..tail.len() - keep);
+        }
+    }
 }
--- a/e2e/tests/auditor.rs
+++ b/e2e/tests/auditor.rs
@@ -1,16 +1,16 @@
-//! The auditor against records in which one rule at a time is broken, and against the same without the break.
+//! The auditor on records in which one rule at a time is broken, and on the same without the breach.
 
-use petrelshore_e2e::auditor::{Effect, Figures, judge, left_behind};
+use petrelshore_e2e::auditor::{Bounds, Effect, caches_left_behind, judge};
 use petrelshore_emulator::record::{Entry, Event, FinalOutcome};
 
 const MS: u64 = 1_000_000;
 const NONE: [u8; 0] = [];
 
-fn figures() -> Figures {
-    let mut figures = Figures::new(500 * MS, 250 * MS);
-    figures.effects.insert("once".to_owned(), Effect::OnceOnly);
-    figures.effects.insert("marked".to_owned(), Effect::TokenedInCell(5_000 * MS));
-    figures
+fn bounds() -> Bounds {
+    let mut bounds = Bounds::new(500 * MS, 250 * MS);
+    bounds.effects.insert("once".to_owned(), Effect::AtMostOnce);
+    bounds.effects.insert("marked".to_owned(), Effect::KeyedInCell(5_000 * MS));
+    bounds
 }
 
 fn asked(traffic: &str) -> Event {
@@ -41,19 +41,19 @@
     what(server.to_owned(), format!("s-{number}"))
 }
 
-fn over(server: &str, number: u32) -> Event {
+fn ended(server: &str, number: u32) -> Event {
     of(|server, request| Event::AttemptEnded { server, request }, server, number)
 }
 
-fn held(server: &str, number: u32) -> Event {
+fn reserved(server: &str, number: u32) -> Event {
     of(|server, request| Event::CacheReserved { server, request }, server, number)
 }
 
-fn gone(server: &str, number: u32) -> Event {
+fn released(server: &str, number: u32) -> Event {
     of(|server, request| Event::CacheReleased { server, request }, server, number)
 }
 
-fn turned(server: &str, number: u32, code: &str) -> Event {
+fn rejected(server: &str, number: u32, code: &str) -> Event {
     Event::AttemptRejected {
         server: server.to_owned(),
         request: format!("s-{number}"),
@@ -65,7 +65,7 @@
     Event::FaultSet { server: server.to_owned(), cell: cell.to_owned(), fault: "None".to_owned() }
 }
 
-fn told(open: bool) -> Event {
+fn notified(open: bool) -> Event {
     Event::GatewayNotified { gateway: "gw".to_owned(), server: "w1".to_owned(), open }
 }
 
@@ -73,16 +73,17 @@
     Event::GatewayKilled { gateway: "gw".to_owned() }
 }
 
-/// The rules that the auditor finds broken in a record of (milliseconds, what passed).
+/// The rules that the auditor finds broken in a record of events with their milliseconds.
 fn broken(record: Vec<(u64, Event)>) -> Vec<u8> {
     let entries: Vec<Entry> = record.into_iter().map(|(at, event)| Entry { at: at * MS, event }).collect();
-    let mut rules: Vec<u8> = judge(&entries, &figures()).breaks.iter().map(|found| found.rule).collect();
+    let mut rules: Vec<u8> =
+        judge(&entries, &bounds()).violations.iter().map(|violation| violation.rule).collect();
     rules.dedup();
     rules
 }
 
 #[test]
-fn rule_one_a_final_answer_once_in_time_and_nothing_after_it() {
+fn rule_one_requires_one_final_response_in_time() {
     assert_eq!(broken(vec![(0, asked("any")), (100, answered(FinalOutcome::Completed))]), NONE);
     assert_eq!(broken(vec![(0, asked("any"))]), [1]);
     assert_eq!(broken(vec![(0, asked("any")), (100, answered(FinalOutcome::NoResponse))]), [1]);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn rule_two_no_effect_twice() {
+fn rule_two_forbids_repeated_effects() {
     let twice = |traffic, second: &str, at| {
         let cells = [(0, cell("w1", "a")), (0, cell("w2", "a")), (0, cell("w3", "b")), (0, asked(traffic))];
         let sent = [(10, arrived("w1", 1, "write")), (at, arrived(second, 2, "write"))];
@@ -129,7 +130,7 @@
     assert_eq!(broken(twice("marked", "w2", 500)), NONE);
     assert_eq!(broken(twice("marked", "w3", 500)), [2]);
     let mut proven = twice("once", "w2", 500);
-    proven.insert(5, (20, turned("w1", 1, "full")));
+    proven.insert(5, (20, rejected("w1", 1, "full")));
     assert_eq!(broken(proven), NONE);
     let refused = |answer| vec![(0, asked("once")), (9, arrived("w1", 1, "write")), (99, answered(answer))];
     assert_eq!(
@@ -142,41 +143,46 @@
 }
 
 #[test]
-fn rule_three_drains_are_kept() {
-    let sent = |at| vec![(0, told(false)), (at, arrived("w1", 0, "write"))];
+fn rule_three_forbids_sends_to_draining_servers() {
+    let sent = |at| vec![(0, notified(false)), (at, arrived("w1", 0, "write"))];
     assert_eq!((broken(sent(300)), broken(sent(900))), (vec![], vec![3]));
-    assert_eq!(broken(vec![(0, told(false)), (100, told(true)), (900, arrived("w1", 0, "write"))]), NONE);
+    assert_eq!(
+        broken(vec![(0, notified(false)), (100, notified(true)), (900, arrived("w1", 0, "write"))]),
+        NONE
+    );
 }
 
 #[test]
-fn rule_four_nothing_cold_is_pushed_over() {
+fn rule_four_forbids_overload_during_warm_up() {
     assert_eq!(broken(vec![(0, Event::ServerOverloaded { server: "w1".to_owned() })]), [4]);
 }
 
 #[test]
-fn rule_five_nothing_is_left_pinned() {
-    let read = || vec![(0, arrived("r1", 0, "read")), (50, held("r1", 0)), (50, over("r1", 0))];
+fn rule_five_requires_cache_releases() {
+    let read = || vec![(0, arrived("r1", 0, "read")), (50, reserved("r1", 0)), (50, ended("r1", 0))];
     let with = |more: Vec<(u64, Event)>| broken(read().into_iter().chain(more).collect());
-    assert_eq!(with(vec![(400, gone("r1", 0)), (5_000, told(true))]), NONE);
-    assert_eq!(with(vec![(5_000, gone("r1", 0))]), [5]);
-    assert_eq!(with(vec![(5_000, told(true))]), [5]);
-    // An attempt that is out takes it along for as long as that runs.
-    let out = vec![(300, arrived("w1", 1, "write")), (4_000, over("w1", 1)), (4_100, gone("r1", 0))];
+    assert_eq!(with(vec![(400, released("r1", 0)), (5_000, notified(true))]), NONE);
+    assert_eq!(with(vec![(5_000, released("r1", 0))]), [5]);
+    assert_eq!(with(vec![(5_000, notified(true))]), [5]);
+    // An attempt in flight keeps it for as long as that runs.
+    let out = vec![(300, arrived("w1", 1, "write")), (4_000, ended("w1", 1)), (4_100, released("r1", 0))];
     assert_eq!(with(out), NONE);
-    assert_eq!(with(vec![(100, killed()), (5_000, told(true))]), NONE);
-    // A read that was on its way as its gateway was killed is nobody's duty; one from the gateway after its return is.
+    assert_eq!(with(vec![(100, killed()), (5_000, notified(true))]), NONE);
+    // A prefill in transit as its gateway was killed need not be released; one from the restarted gateway has to be.
     let back = || Event::GatewayRestarted { gateway: "gw".to_owned() };
     let killed_first = |returns: u64, arrives: u64| {
         let read = read().into_iter().map(|(at, event)| (at + arrives, event));
         let mut record: Vec<(u64, Event)> =
-            read.chain([(9, killed()), (returns, back()), (5_000, told(true))]).collect();
+            read.chain([(9, killed()), (returns, back()), (5_000, notified(true))]).collect();
         record.sort_by_key(|(at, _)| *at);
         record
     };
     assert_eq!(broken(killed_first(600, 10)), NONE);
     assert_eq!(broken(killed_first(600, 700)), [5]);
     let left = |record: Vec<(u64, Event)>| {
-        left_behind(&record.into_iter().map(|(at, event)| Entry { at: at * MS, event }).collect::<Vec<_>>())
+        caches_left_behind(
+            &record.into_iter().map(|(at, event)| Entry { at: at * MS, event }).collect::<Vec<_>>(),
+        )
     };
     assert_eq!((left(killed_first(600, 10)), left(killed_first(600, 700))), (0, 1));
 }
--- a/e2e/tests/grpc_cases.rs
+++ b/e2e/tests/grpc_cases.rs
@@ -1,29 +1,30 @@
-//! The hard cases that only the gRPC front has: its frames, windows, deadlines and floods, each on loopback through
-//! the whole program.
+//! The hard cases that only the gRPC API has: its frames, windows, deadlines and floods, each on loopback through the
+//! whole program.
 
-mod world;
+mod testbed;
 
 use async_io::Timer;
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use h2::client::ResponseFuture;
 use http::Request;
-use petrelshore_e2e::client::{Front, Question, Seen};
+use petrelshore_e2e::client::{Api, Observation, Question};
 use petrelshore_e2e::grpc_client::{call, connect, framed, message, read};
+use petrelshore_emulator::model::Step;
 use petrelshore_emulator::profile::{Fault, Profile};
 use petrelshore_emulator::record::FinalOutcome;
 use petrelshore_grpc_api::{SERVICE, v1};
 use prost::Message;
 use std::time::{Duration, Instant};
+use testbed::{LONG, Testbed, case_of, quick, small};
 use tonic::Code;
 use tonic_health::pb::{HealthCheckRequest, HealthCheckResponse};
 use tonic_reflection::pb::v1::server_reflection_request::MessageRequest;
 use tonic_reflection::pb::v1::server_reflection_response::MessageResponse;
 use tonic_reflection::pb::v1::{ServerReflectionRequest, ServerReflectionResponse};
-use world::{LONG, World, case_of, quick, small};
 
-fn case<F: Future<Output = ()>>(name: &str, more: &str, run: impl Fn(World) -> F) {
-    case_of(Front::Grpc, name, &small(), more, quick, run);
+fn case<F: Future<Output = ()>>(name: &str, more: &str, run: impl Fn(Testbed) -> F) {
+    case_of(Api::Grpc, name, &small(), more, quick, run);
 }
 
 fn chat(tokens: u64) -> Question {
@@ -37,24 +38,24 @@
 }
 
 impl Line {
-    async fn open(world: &World) -> Line {
-        let (sender, driver) = connect(world.gateway.at.grpc).await.expect("the gateway listens");
-        Line { sender, driver: world.executor.spawn(async move { driver.await.err() }) }
+    async fn open(testbed: &Testbed) -> Line {
+        let (sender, driver) = connect(testbed.gateway.addresses.grpc).await.expect("the gateway listens");
+        Line { sender, driver: testbed.executor.spawn(async move { driver.await.err() }) }
     }
 
     async fn call(&mut self, question: &Question) -> ResponseFuture {
         call(&mut self.sender, question).await.expect("the connection takes a call")
     }
 
-    async fn ask(&mut self, question: &Question) -> Seen {
+    async fn ask(&mut self, question: &Question) -> Observation {
         let response = self.call(question).await;
-        let mut seen = Seen::nothing();
-        let read = read(response, Instant::now(), &mut seen);
+        let mut observation = Observation::nothing();
+        let read = read(response, Instant::now(), &mut observation);
         let late = async {
             Timer::after(LONG).await;
         };
         future::or(read, late).await;
-        seen
+        observation
     }
 
     /// Sends bytes as a call's body and returns the status that came.
@@ -113,51 +114,60 @@
 }
 
 #[test]
-fn a_time_out_shorter_than_the_way_here_makes_no_work() {
-    case("grpc-short", "", |world| async move {
+fn expired_grpc_timeout_makes_no_work() {
+    case("grpc-short", "", |testbed| async move {
         for time in ["1n", "900u", "4m", "0S"] {
-            let seen = world.ask_this(chat(3).with("grpc-timeout", time), LONG).await;
-            let said = (seen.status, seen.code.as_deref(), seen.retry_after);
-            assert_eq!(said, (Code::DeadlineExceeded as u16, Some("no_time"), None), "{time}: {seen:?}");
+            let observation = testbed.send(chat(3).with("grpc-timeout", time), LONG).await;
+            let said = (observation.status, observation.code.as_deref(), observation.retry_after);
+            assert_eq!(
+                said,
+                (Code::DeadlineExceeded as u16, Some("no_time"), None),
+                "{time}: {observation:?}"
+            );
         }
         for time in ["", "5", "123456789S", "soon"] {
-            let seen =
-                Question::ask(&chat(3).with("grpc-timeout", time), Front::Grpc, world.gateway.at, LONG).await;
-            assert_eq!(seen.status, Code::InvalidArgument as u16, "{time}: {seen:?}");
+            let observation = Question::send(
+                &chat(3).with("grpc-timeout", time),
+                Api::Grpc,
+                testbed.gateway.addresses,
+                LONG,
+            )
+            .await;
+            assert_eq!(observation.status, Code::InvalidArgument as u16, "{time}: {observation:?}");
         }
-        assert_eq!((world.gateway.gateway.counts().accepted, world.arrivals("read")), (0, 0));
-        world.clean().await;
+        assert_eq!((testbed.gateway.gateway.counts().accepted, testbed.arrivals(Step::Prefill)), (0, 0));
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_deadline_ends_what_runs_before_the_client_does_so_itself() {
-    case("grpc-deadline", "", |world| async move {
+fn grpc_deadline_aborts_the_call() {
+    case("grpc-deadline", "", |testbed| async move {
         // While the prompt waits, and while the answer runs.
-        world.fault("writer", Fault::Hangs);
-        let waits = world.ask_this(chat(5).with("grpc-timeout", "400m"), LONG).await;
-        assert!(matches!(waits.finished, FinalOutcome::Aborted | FinalOutcome::Rejected), "{waits:?}");
-        world.fault("writer", Fault::None);
-        let runs = world.ask_this(chat(400).with("grpc-timeout", "700m"), LONG).await;
-        let said = (runs.status, runs.finished, runs.retry_after);
+        testbed.set_fault("writer", Fault::Hangs);
+        let waits = testbed.send(chat(5).with("grpc-timeout", "400m"), LONG).await;
+        assert!(matches!(waits.outcome, FinalOutcome::Aborted | FinalOutcome::Rejected), "{waits:?}");
+        testbed.set_fault("writer", Fault::None);
+        let runs = testbed.send(chat(400).with("grpc-timeout", "700m"), LONG).await;
+        let said = (runs.status, runs.outcome, runs.retry_after);
         assert_eq!(said, (Code::DeadlineExceeded as u16, FinalOutcome::Aborted, None), "{runs:?}");
         assert!(runs.tokens > 0 && runs.tokens < 400, "{runs:?}");
-        world.clean().await;
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_deadline_between_the_last_token_and_the_trailers_still_ends_the_call() {
-    case("grpc-trailers", "", |world| async move {
+fn deadline_before_the_trailers_ends_the_call() {
+    case("grpc-trailers", "", |testbed| async move {
         // The whole answer is there; the client's window holds but a part of it, until its time is up.
-        let stream = TcpStream::connect(world.gateway.at.grpc).await.unwrap();
+        let stream = TcpStream::connect(testbed.gateway.addresses.grpc).await.unwrap();
         let stream = tokio_util::compat::FuturesAsyncReadCompatExt::compat(stream);
         let small = h2::client::Builder::new().initial_window_size(60).handshake(stream).await;
         let (mut sender, driver) = small.expect("the gateway shakes hands");
-        let driver = world.executor.spawn(async move { driver.await.unwrap_or_default() });
+        let driver = testbed.executor.spawn(async move { driver.await.unwrap_or_default() });
         let response = call(&mut sender, &chat(8).with("grpc-timeout", "1500m")).await.unwrap();
         let body = response.await.expect("it began").into_body();
-        until("generated", || world.gateway.gateway.counts().completed == 1).await;
+        until("generated", || testbed.gateway.gateway.counts().completed == 1).await;
         let mut body = body;
         let mut given = 0;
         let status = loop {
@@ -172,81 +182,89 @@
         assert_eq!(Code::from_bytes(status["grpc-status"].as_bytes()), Code::DeadlineExceeded);
         assert_eq!(status["grpc-retry-pushback-ms"], "-1");
         drop(driver);
-        world.clean().await;
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_reset_in_the_middle_of_a_read_or_a_write_ends_only_that_call() {
-    let slow = |build: Profile| Profile { prefill_tokens_per_second: 300.0, ..quick(build) };
-    case_of(Front::Grpc, "grpc-reset", &small(), "", slow, |world| async move {
-        let mut line = Line::open(&world).await;
+fn stream_reset_cancels_only_its_call() {
+    let slow = |profile: Profile| Profile { prefill_tokens_per_second: 300.0, ..quick(profile) };
+    case_of(Api::Grpc, "grpc-reset", &small(), "", slow, |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         let response = line.call(&chat(50)).await;
-        until("it is read", || world.arrivals("read") == 1).await;
+        until("it is read", || testbed.arrivals(Step::Prefill) == 1).await;
         drop(response);
-        until("withdrawn", || world.gateway.gateway.counts().cancelled == 1).await;
-        assert_eq!(world.arrivals("write"), 0);
+        until("withdrawn", || testbed.gateway.gateway.counts().cancelled == 1).await;
+        assert_eq!(testbed.arrivals(Step::Decode), 0);
         let response = line.call(&chat(2000)).await;
         let mut body = response.await.expect("it is written").into_body();
         assert!(body.data().await.is_some_and(|part| part.is_ok()));
         drop(body);
-        until("withdrawn", || world.gateway.gateway.counts().cancelled == 2).await;
+        until("withdrawn", || testbed.gateway.gateway.counts().cancelled == 2).await;
         // The connection serves on.
-        let seen = line.ask(&chat(3)).await;
-        assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 3), "{seen:?}");
-        world.clean().await;
+        let observation = line.ask(&chat(3)).await;
+        assert_eq!(
+            (observation.outcome, observation.tokens),
+            (FinalOutcome::Completed, 3),
+            "{observation:?}"
+        );
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn on_a_drain_running_calls_end_whole_and_new_ones_are_told_to_go_elsewhere() {
-    case("grpc-drain", "", |world| async move {
-        let mut line = Line::open(&world).await;
+fn drain_completes_open_calls_and_rejects_new_ones() {
+    case("grpc-drain", "", |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         let running = line.call(&chat(200)).await;
-        until("it is written", || world.arrivals("write") == 1).await;
-        let gateway = world.gateway.gateway.clone();
-        let drain = world.executor.spawn(async move { gateway.drain().await });
-        until("draining", || world.gateway.gateway.is_draining()).await;
+        until("it is written", || testbed.arrivals(Step::Decode) == 1).await;
+        let gateway = testbed.gateway.gateway.clone();
+        let drain = testbed.executor.spawn(async move { gateway.drain().await });
+        until("draining", || testbed.gateway.gateway.is_draining()).await;
         // A new connection is told GOAWAY at once; a call that crosses it is refused, and may come again elsewhere.
-        let refused = chat(3).ask(Front::Grpc, world.gateway.at, LONG).await;
-        assert!(refused.finished == FinalOutcome::NoResponse || refused.retry_after.is_some(), "{refused:?}");
-        assert_eq!(world.gateway.gateway.counts().accepted, 1);
-        let mut seen = Seen::nothing();
-        read(running, Instant::now(), &mut seen).await;
-        assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 200), "{seen:?}");
+        let refused = chat(3).send(Api::Grpc, testbed.gateway.addresses, LONG).await;
+        assert!(refused.outcome == FinalOutcome::NoResponse || refused.retry_after.is_some(), "{refused:?}");
+        assert_eq!(testbed.gateway.gateway.counts().accepted, 1);
+        let mut observation = Observation::nothing();
+        read(running, Instant::now(), &mut observation).await;
+        assert_eq!(
+            (observation.outcome, observation.tokens),
+            (FinalOutcome::Completed, 200),
+            "{observation:?}"
+        );
         assert_eq!(drain.await, 0, "nothing had to be ended");
         // It was told to go: the connection is over by the gateway's word, without an error.
         assert!(line.driver.await.is_none_or(|error| error.reason() == Some(h2::Reason::NO_ERROR)));
         let again = call(&mut line.sender, &chat(3)).await;
         assert!(again.is_none(), "a call was taken after GOAWAY");
-        world.clean().await;
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn more_calls_at_once_than_a_connection_may_carry_wait_at_the_client_or_are_refused_unrun() {
-    case("grpc-streams", "limits.streams = 4", |world| async move {
-        let mut line = Line::open(&world).await;
+fn calls_beyond_the_stream_limit_are_refused() {
+    case("grpc-streams", "limits.streams = 4", |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         let first = line.ask(&chat(2)).await;
-        assert_eq!(first.finished, FinalOutcome::Completed, "{first:?}");
+        assert_eq!(first.outcome, FinalOutcome::Completed, "{first:?}");
         assert_eq!(line.sender.current_max_send_streams(), 4);
         // A client that heeds nothing: six at once, of which two are refused as never run.
-        let mut raw = Raw::open(&world).await;
+        let mut raw = Raw::open(&testbed).await;
         let six: Vec<u8> = (0..6).flat_map(|number| raw_call(1 + 2 * number, &chat(60))).collect();
         raw.send(&six).await;
         let refused = raw.frames_until(|frames| resets(frames).len() >= 2).await;
         const REFUSED_STREAM: u32 = 7;
         assert_eq!(resets(&refused)[..2], [(9, REFUSED_STREAM), (11, REFUSED_STREAM)]);
-        until("four are answered", || world.gateway.gateway.counts().completed == 5).await;
-        assert_eq!(world.gateway.gateway.counts().accepted, 5);
-        world.clean().await;
+        until("four are answered", || testbed.gateway.gateway.counts().completed == 5).await;
+        assert_eq!(testbed.gateway.gateway.counts().accepted, 5);
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn bad_messages_wrong_services_and_missing_fields_get_their_status_and_take_nothing() {
-    case("grpc-bad", "", |world| async move {
-        let mut line = Line::open(&world).await;
+fn invalid_calls_get_their_status() {
+    case("grpc-bad", "", |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         let stream = format!("/{SERVICE}/Stream");
         let grpc = [("content-type", "application/grpc+proto")];
         let good = message(&chat(3));
@@ -285,36 +303,40 @@
         assert_eq!(line.post(&stream, &gzip, whole.clone()).await.1, Some(Code::Unimplemented));
         let key = [grpc[0], ("idempotency-key", "")];
         assert_eq!(line.post(&stream, &key, whole).await.1, Some(Code::InvalidArgument));
-        assert_eq!((world.gateway.gateway.counts().accepted, world.arrivals("read")), (0, 0));
-        let seen = line.ask(&chat(3)).await;
-        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
-        world.clean().await;
+        assert_eq!((testbed.gateway.gateway.counts().accepted, testbed.arrivals(Step::Prefill)), (0, 0));
+        let observation = line.ask(&chat(3)).await;
+        assert_eq!(observation.outcome, FinalOutcome::Completed, "{observation:?}");
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn calls_without_a_known_key_are_refused_where_keys_are_needed() {
+fn calls_without_a_known_api_key_are_unauthenticated() {
     let more = r#"open | force = false, tenants.shops = { keys = ["shop-key"], per_second = 10 }"#;
-    case("grpc-keys", more, |world| async move {
+    case("grpc-keys", more, |testbed| async move {
         for key in [None, Some("Bearer nobody"), Some("shop-key")] {
             let question = chat(3);
             let question = key.map_or(question.clone(), |key| question.with("authorization", key));
-            let seen = question.ask(Front::Grpc, world.gateway.at, LONG).await;
-            assert_eq!((seen.status, seen.retry_after), (Code::Unauthenticated as u16, None), "{seen:?}");
+            let observation = question.send(Api::Grpc, testbed.gateway.addresses, LONG).await;
+            assert_eq!(
+                (observation.status, observation.retry_after),
+                (Code::Unauthenticated as u16, None),
+                "{observation:?}"
+            );
         }
-        assert_eq!(world.gateway.gateway.counts().accepted, 0);
-        let seen = world.ask_this(chat(3).with("authorization", "Bearer shop-key"), LONG).await;
-        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
-        world.clean().await;
+        assert_eq!(testbed.gateway.gateway.counts().accepted, 0);
+        let observation = testbed.send(chat(3).with("authorization", "Bearer shop-key"), LONG).await;
+        assert_eq!(observation.outcome, FinalOutcome::Completed, "{observation:?}");
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_flood_of_calls_opened_and_reset_at_once_makes_no_work_for_the_readers() {
-    case("grpc-flood", "", |world| async move {
+fn flood_of_reset_calls_makes_no_prefill_work() {
+    case("grpc-flood", "", |testbed| async move {
         // Open and reset in one breath, again and again, on several connections.
         for _ in 0..5 {
-            let mut raw = Raw::open(&world).await;
+            let mut raw = Raw::open(&testbed).await;
             for round in 0..100u32 {
                 let pair = |number: u32| {
                     let id = 1 + 2 * (round * 10 + number);
@@ -323,18 +345,22 @@
                 raw.send(&(0..10).flat_map(pair).collect::<Vec<u8>>()).await;
             }
         }
-        assert_eq!(world.arrivals("read"), 0, "a reset that came with its call was read all the same");
+        assert_eq!(
+            testbed.arrivals(Step::Prefill),
+            0,
+            "a reset that came with its call was read all the same"
+        );
         // Each taken, and withdrawn while it is read.
-        let mut line = Line::open(&world).await;
+        let mut line = Line::open(&testbed).await;
         for _ in 0..400 {
-            let before = world.gateway.gateway.counts();
+            let before = testbed.gateway.gateway.counts();
             // A slow machine's gateway sees many resets at once, and ends the connection for them.
             let Some(response) = call(&mut line.sender, &chat(50)).await else {
-                line = Line::open(&world).await;
+                line = Line::open(&testbed).await;
                 continue;
             };
             for _ in 0..200 {
-                let now = world.gateway.gateway.counts();
+                let now = testbed.gateway.gateway.counts();
                 if now.accepted > before.accepted {
                     break;
                 }
@@ -342,57 +368,57 @@
             }
             drop(response);
         }
-        let taken = world.gateway.gateway.counts().accepted;
+        let taken = testbed.gateway.gateway.counts().accepted;
         assert!((32..=60).contains(&taken), "{taken} were taken of a flood");
-        let refused = chat(3).ask(Front::Grpc, world.gateway.at, LONG).await;
+        let refused = chat(3).send(Api::Grpc, testbed.gateway.addresses, LONG).await;
         assert_eq!(refused.code.as_deref(), Some("too_many_withdrawn"), "{refused:?}");
         assert!(refused.retry_after.is_some_and(|wait| wait > Duration::ZERO), "{refused:?}");
-        world.clean().await;
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn pings_without_end_are_answered_with_a_goaway() {
-    case("grpc-pings", "", |world| async move {
-        let mut raw = Raw::open(&world).await;
+fn ping_flood_gets_a_goaway() {
+    case("grpc-pings", "", |testbed| async move {
+        let mut raw = Raw::open(&testbed).await;
         for _ in 0..100 {
             raw.send(&(0..10).flat_map(|_| frame(6, 0, 0, &[0; 8])).collect::<Vec<u8>>()).await;
         }
         const ENHANCE_YOUR_CALM: u32 = 11;
         let frames = raw.frames_until(|frames| goaway(frames).is_some()).await;
         assert_eq!(goaway(&frames), Some(ENHANCE_YOUR_CALM));
-        let mut line = Line::open(&world).await;
-        let seen = line.ask(&chat(3)).await;
-        assert_eq!(seen.finished, FinalOutcome::Completed, "{seen:?}");
-        world.clean().await;
+        let mut line = Line::open(&testbed).await;
+        let observation = line.ask(&chat(3)).await;
+        assert_eq!(observation.outcome, FinalOutcome::Completed, "{observation:?}");
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_client_that_vanished_without_a_word_is_found_out_while_its_answer_runs() {
-    let slow = |build: Profile| Profile { token_interval: 250_000_000, ..build };
-    case_of(Front::Grpc, "grpc-vanished", &small(), "", slow, |world| async move {
+fn vanished_client_is_detected_during_its_stream() {
+    let slow = |profile: Profile| Profile { token_interval: 250_000_000, ..profile };
+    case_of(Api::Grpc, "grpc-vanished", &small(), "", slow, |testbed| async move {
         // It takes whatever is sent, as a dead machine's peer does for long, and answers nothing.
-        let mut raw = Raw::open(&world).await;
+        let mut raw = Raw::open(&testbed).await;
         raw.send(&raw_call(1, &chat(1000))).await;
-        until("it is written", || world.arrivals("write") == 1).await;
+        until("it is written", || testbed.arrivals(Step::Decode) == 1).await;
         for _ in 0..500 {
-            if world.gateway.gateway.counts().cancelled == 1 {
+            if testbed.gateway.gateway.counts().cancelled == 1 {
                 break;
             }
             Timer::after(Duration::from_millis(100)).await;
         }
-        assert_eq!(world.gateway.gateway.counts().cancelled, 1, "nobody asked whether it is there");
-        world.clean().await;
+        assert_eq!(testbed.gateway.gateway.counts().cancelled, 1, "nobody asked whether it is there");
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn of_many_calls_on_one_connection_those_that_are_not_read_hold_up_no_other() {
-    let flood = |build: Profile| Profile { token_interval: 20_000, slots: 300, queue: 300, ..build };
+fn unread_call_blocks_no_other_call_of_its_connection() {
+    let flood = |profile: Profile| Profile { token_interval: 20_000, slots: 300, queue: 300, ..profile };
     let more = r#"traffic."workshop-chat".max_tokens = 400000"#;
-    case_of(Front::Grpc, "grpc-many", &small(), more, flood, |world| async move {
-        let mut line = Line::open(&world).await;
+    case_of(Api::Grpc, "grpc-many", &small(), more, flood, |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         // It would fill the whole connection's window many times over, and is never read.
         let stalled = line.call(&chat(100_000)).await.await.expect("it began");
         Timer::after(Duration::from_secs(1)).await;
@@ -402,20 +428,24 @@
                 calls.push(line.call(&Question::new("rider-query", "why", 20)).await);
             }
             for response in calls {
-                let mut seen = Seen::nothing();
-                read(response, Instant::now(), &mut seen).await;
-                assert_eq!((seen.finished, seen.tokens), (FinalOutcome::Completed, 20), "{seen:?}");
+                let mut observation = Observation::nothing();
+                read(response, Instant::now(), &mut observation).await;
+                assert_eq!(
+                    (observation.outcome, observation.tokens),
+                    (FinalOutcome::Completed, 20),
+                    "{observation:?}"
+                );
             }
         }
         drop(stalled);
-        world.clean_after_stall().await;
+        testbed.assert_clean_after_stall().await;
     });
 }
 
 #[test]
-fn health_and_reflection_answer_clients_that_explore() {
-    case("grpc-explore", "", |world| async move {
-        let mut line = Line::open(&world).await;
+fn health_and_reflection_services_respond() {
+    case("grpc-explore", "", |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         for (service, status) in [("", Some(1)), (SERVICE, Some(1)), ("nobody", None)] {
             let asked = HealthCheckRequest { service: service.to_owned() };
             let state: Vec<HealthCheckResponse> = line.all("/grpc.health.v1.Health/Check", &asked).await;
@@ -438,7 +468,7 @@
         }
         // Who watches is told of a drain at once, and that it is the end.
         let watch = HealthCheckRequest { service: SERVICE.to_owned() };
-        let gateway = world.gateway.gateway.clone();
+        let gateway = testbed.gateway.gateway.clone();
         let drains = async {
             Timer::after(Duration::from_millis(200)).await;
             gateway.drain().await
@@ -446,39 +476,39 @@
         let watches = line.all::<HealthCheckResponse>("/grpc.health.v1.Health/Watch", &watch);
         let (states, _) = future::zip(watches, drains).await;
         assert_eq!(states.iter().map(|state| state.status).collect::<Vec<_>>(), [1, 2]);
-        world.clean().await;
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_key_that_ran_by_one_front_runs_no_second_time_by_the_other() {
-    case("grpc-both", "", |world| async move {
+fn idempotency_key_is_shared_by_both_apis() {
+    case("grpc-both", "", |testbed| async move {
         let keyed = || Question::new("unlock-once", "open", 3).with("idempotency-key", "door-7");
-        let first = keyed().ask(Front::Chat, world.gateway.at, LONG).await;
-        let again = keyed().ask(Front::Grpc, world.gateway.at, LONG).await;
-        let ends = (first.finished, again.finished);
+        let first = keyed().send(Api::Chat, testbed.gateway.addresses, LONG).await;
+        let again = keyed().send(Api::Grpc, testbed.gateway.addresses, LONG).await;
+        let ends = (first.outcome, again.outcome);
         assert_eq!(ends, (FinalOutcome::Completed, FinalOutcome::Completed), "{first:?} {again:?}");
-        assert_eq!((world.arrivals("read"), world.arrivals("write")), (1, 1));
-        world.clean().await;
+        assert_eq!((testbed.arrivals(Step::Prefill), testbed.arrivals(Step::Decode)), (1, 1));
+        testbed.assert_clean().await;
     });
 }
 
 #[test]
-fn a_whole_answer_comes_in_one_message_and_its_broken_writer_is_not_seen() {
-    case("grpc-whole", "attempts = 8", |world| async move {
-        let mut line = Line::open(&world).await;
+fn buffered_answer_hides_a_broken_decode_server() {
+    case("grpc-whole", "attempts = 8", |testbed| async move {
+        let mut line = Line::open(&testbed).await;
         let path = format!("/{SERVICE}/Complete");
         let answers: Vec<v1::ChatAnswer> = line.all(&path, &message(&chat(12))).await;
         let [answer] = answers.as_slice() else { panic!("{answers:?}") };
         assert!(answer.text.starts_with("t1 ") && answer.text.contains("t12 "), "{answer:?}");
         assert_eq!(answer.usage.map(|usage| usage.completion_tokens), Some(12));
-        // One of both writers breaks every answer: nobody has seen a part, so it is written anew elsewhere.
-        world.fault("writer-1-1", Fault::ResetAfter(2));
+        // One of both writers breaks every answer: nobody has observation a part, so it is written anew elsewhere.
+        testbed.set_fault("writer-1-1", Fault::ResetAfter(2));
         for _ in 0..4 {
             let answers: Vec<v1::ChatAnswer> = line.all(&path, &message(&chat(12))).await;
             assert_eq!(answers.len(), 1);
         }
-        world.clean().await;
+        testbed.assert_clean().await;
     });
 }
 
@@ -538,8 +568,8 @@
 }
 
 impl Raw {
-    async fn open(world: &World) -> Raw {
-        let mut stream = TcpStream::connect(world.gateway.at.grpc).await.unwrap();
+    async fn open(testbed: &Testbed) -> Raw {
+        let mut stream = TcpStream::connect(testbed.gateway.addresses.grpc).await.unwrap();
         let settings = frame(4, 0, 0, &[]);
         stream.write_all(&[b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", settings.as_slice()].concat()).await.unwrap();
         Raw { stream, got: Vec::new() }
--- a/e2e/tests/rehearsals.rs
+++ b/e2e/tests/rehearsals.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-fn play(name: &str, text: &str) -> Outcome {
+fn rehearse_script(name: &str, text: &str) -> Outcome {
     let script = script::read_text(Path::new(name), text).unwrap();
     let folder = std::env::temp_dir().join(format!("petrelshore-{name}-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
@@ -19,9 +19,14 @@
     outcome
 }
 
-/// What passed for the sequences that breaks name, so that a rare one can be told from the run in which it came.
+/// What was recorded for the sequences that violations name, so that a rare one can be explained by its run.
 fn trace(outcome: &Outcome) -> String {
-    let broken: Vec<&str> = outcome.verdict.breaks.iter().flat_map(|b| b.what.split([' ', '-'])).collect();
+    let broken: Vec<&str> = outcome
+        .verdict
+        .violations
+        .iter()
+        .flat_map(|violation| violation.description.split([' ', '-']))
+        .collect();
     let names = |request: &str| broken.contains(&request.split('-').next().unwrap_or(request));
     let lines = outcome.entries.iter().filter(|entry| match &entry.event {
         Event::FaultSet { .. } | Event::GatewayKilled { .. } | Event::GatewayRestarted { .. } => true,
@@ -36,8 +41,8 @@
 }
 
 #[test]
-fn a_kind_that_falls_silent_together_and_comes_back_cold_is_not_pushed_over_by_all_gateways() {
-    let outcome = play(
+fn mass_restart_does_not_overload_cold_servers() {
+    let outcome = rehearse_script(
         "mass-restart",
         r#"{
           name = "mass-restart", lasts_ms = 7000, gateways = 3,
@@ -56,16 +61,16 @@
           ],
         }"#,
     );
-    assert_eq!(outcome.verdict.breaks, [], "{}", trace(&outcome));
-    assert_eq!((outcome.left_in_gateways, outcome.left_in_boxes), (0, 0));
+    assert_eq!(outcome.verdict.violations, [], "{}", trace(&outcome));
+    assert_eq!((outcome.left_in_gateways, outcome.left_in_servers), (0, 0));
     // It saw something: work was asked, sent, held and answered.
-    let generated: usize = outcome.answers.values().filter_map(|answers| answers.get("generated")).sum();
-    assert!(outcome.verdict.asked > 100 && outcome.verdict.states > 20 && generated > 50);
+    let generated: usize = outcome.outcomes.values().filter_map(|outcomes| outcomes.get("generated")).sum();
+    assert!(outcome.verdict.requests > 100 && outcome.verdict.reservations > 20 && generated > 50);
 }
 
 #[test]
-fn a_drain_is_kept_by_every_gateway_through_once_only_and_tokened_work() {
-    let outcome = play(
+fn drain_is_respected_by_all_gateways() {
+    let outcome = rehearse_script(
         "drain",
         r#"{
           name = "drain", lasts_ms = 3000, gateways = 3,
@@ -83,10 +88,10 @@
           ],
         }"#,
     );
-    // Neither front starves beside the other.
-    let served: Vec<f64> = outcome.fronts.values().copied().collect();
-    assert!(served.len() == 2 && served.iter().all(|served| *served > 0.5), "{:?}", outcome.fronts);
-    assert_eq!(outcome.verdict.breaks, [], "{}", trace(&outcome));
-    assert_eq!((outcome.left_in_gateways, outcome.left_in_boxes), (0, 0));
-    assert!(outcome.verdict.told_closed == 9 && outcome.service > 0.5, "service {}", outcome.service);
+    // Neither API starves beside the other.
+    let served: Vec<f64> = outcome.service_by_api.values().copied().collect();
+    assert!(served.len() == 2 && served.iter().all(|served| *served > 0.5), "{:?}", outcome.service_by_api);
+    assert_eq!(outcome.verdict.violations, [], "{}", trace(&outcome));
+    assert_eq!((outcome.left_in_gateways, outcome.left_in_servers), (0, 0));
+    assert!(outcome.verdict.drain_notifications == 9 && outcome.service > 0.5, "service {}", outcome.service);
 }
