--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -157,9 +157,9 @@
             trial::stand_in(trial::EmulatedServerArguments { role, listen, name, cold, slots, token_ms })
         }
         Subcommands::Load { to, grpc, reader, writer, streams, tokens, seconds, model, key } => {
-            let lasts = std::time::Duration::from_secs(seconds);
+            let duration = std::time::Duration::from_secs(seconds);
             let direct = reader.zip(writer);
-            trial::load(to, grpc, direct, &load::Load { streams, tokens, lasts, model, key })
+            trial::load(to, grpc, direct, &load::Load { streams, tokens, duration, model, key })
         }
     };
     match outcome {
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -46,11 +46,11 @@
     let run = async {
         let (fleet, running) =
             fleet::try_out(executor.clone(), &folder, listen).await.map_err(CommandError::emulation)?;
-        let at = running.at.chat;
+        let at = running.addresses.chat;
         println!(
             "petrelshore ready: chat on {at}, gRPC on {}, before {} stand-ins of this process",
-            running.at.grpc,
-            fleet.places.len()
+            running.addresses.grpc,
+            fleet.members.len()
         );
         println!("try it:\n");
         println!("  curl -N http://{at}/v1/chat/completions -H 'content-type: application/json' \\");
@@ -119,15 +119,15 @@
     let mut script = script::read(file).map_err(CommandError::emulation)?;
     if let Some(front) = front {
         let front = match front {
-            FrontName::Chat => script::Fronts::Chat,
-            FrontName::Grpc => script::Fronts::Grpc,
-            FrontName::Both => script::Fronts::Both,
+            FrontName::Chat => script::ApiChoice::Chat,
+            FrontName::Grpc => script::ApiChoice::Grpc,
+            FrontName::Both => script::ApiChoice::Both,
         };
-        script.clients.iter_mut().for_each(|clients| clients.front = front);
+        script.clients.iter_mut().for_each(|clients| clients.api = front);
     }
     let folder = std::env::temp_dir().join(format!("petrelshore-rehearse-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
-    println!("rehearsing {}: {} s and what follows", script.name, script.lasts_ms / 1e3);
+    println!("rehearsing {}: {} s and what follows", script.name, script.duration_ms / 1e3);
     let chooser = if baseline { Chooser::Baseline } else { Chooser::Decisions };
     let run = rehearse::rehearse(&executor, &folder, &script, "", chooser, |line| println!("{line}"));
     let outcome = future::block_on(executor.run(run));
@@ -137,7 +137,7 @@
         write_record(file, &outcome).map_err(CommandError::io(file.display()))?;
     }
     print(&outcome);
-    match (outcome.verdict.breaks.len(), outcome.left_in_gateways + outcome.left_in_boxes) {
+    match (outcome.verdict.violations.len(), outcome.left_in_gateways + outcome.left_in_servers) {
         (0, 0) => Ok(()),
         (0, left) => Err(CommandError::LeftBehind(left)),
         (breaks, _) => Err(CommandError::RulesBroken(breaks)),
@@ -155,10 +155,10 @@
 fn print(outcome: &Outcome) {
     let verdict = &outcome.verdict;
     println!("\nservice {:.3} (utility within the latency SLO over utility asked)", outcome.service);
-    for (front, service) in &outcome.fronts {
-        println!("  by {front:?}: {service:.3}");
+    for (api, service) in &outcome.service_by_api {
+        println!("  by {api:?}: {service:.3}");
     }
-    for (model, answers) in &outcome.answers {
+    for (model, answers) in &outcome.outcomes {
         let counts: Vec<String> = answers.iter().map(|(answer, count)| format!("{answer} {count}")).collect();
         let times = outcome.first_tokens.get(model).map(|times| {
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
@@ -168,20 +168,20 @@
     }
     println!(
         "judged from sockets: {} requests, {} arrivals at servers, {} held states, {} words to stop",
-        verdict.asked, verdict.arrivals, verdict.states, verdict.told_closed
+        verdict.requests, verdict.arrivals, verdict.reservations, verdict.drain_notifications
     );
     println!(
         "left at the end: {} in gateways, {} states in boxes",
-        outcome.left_in_gateways, outcome.left_in_boxes
+        outcome.left_in_gateways, outcome.left_in_servers
     );
     for rule in 1..=5 {
-        let breaks: Vec<_> = verdict.breaks.iter().filter(|found| found.rule == rule).collect();
+        let breaks: Vec<_> = verdict.violations.iter().filter(|found| found.rule == rule).collect();
         println!(
             "rule {rule}: {}",
             if breaks.is_empty() { "kept".to_owned() } else { format!("BROKEN {} times", breaks.len()) }
         );
         for found in breaks.iter().take(5) {
-            println!("  {:.3} s: {}", found.at as f64 / 1e9, found.what);
+            println!("  {:.3} s: {}", found.at as f64 / 1e9, found.description);
         }
     }
 }
@@ -194,12 +194,15 @@
     load: &load::Load,
 ) -> Result<(), CommandError> {
     let executor = Rc::new(LocalExecutor::new());
-    let ways = [("gateway", load::Way::Gateway(to))]
+    let targets = [("gateway", load::Target::Gateway(to))]
         .into_iter()
-        .chain(grpc.map(|to| ("gateway by gRPC", load::Way::Grpc(to))))
-        .chain(direct.map(|(reader, writer)| ("direct", load::Way::Direct { reader, writer })));
-    for (name, way) in ways {
-        let times = future::block_on(executor.run(load::run(&executor, way, load)))
+        .chain(grpc.map(|to| ("gateway by gRPC", load::Target::Grpc(to))))
+        .chain(
+            direct
+                .map(|(reader, writer)| ("direct", load::Target::Direct { prefill: reader, decode: writer })),
+        );
+    for (name, target) in targets {
+        let times = future::block_on(executor.run(load::run(&executor, target, load)))
             .map_err(CommandError::emulation)?;
         let row = |times: &hdrhistogram::Histogram<u64>| {
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
@@ -211,8 +214,8 @@
             times.answers,
             times.tokens,
             times.failed,
-            row(&times.first),
-            row(&times.between)
+            row(&times.first_token),
+            row(&times.between_tokens)
         );
     }
     Ok(())
