--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -89,7 +89,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
         let record = Record::default();
-        // Nobody reads what a lone stand-in writes down, and it may run for long.
+        // Nobody reads what a lone emulated server writes down, and it may run for long.
         record.disable();
         let usual = Profile::default_for(role);
         let profile = Profile {
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -12,7 +12,7 @@
 /// For what must come at all; nothing here is judged by how fast it is.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A gateway before a stand-in of each kind.
+/// A gateway before an emulated server of each kind.
 pub struct PlatformWorld {
     process: Gateway,
     pub reader: ModelServer,
