--- a/cli/src/platform/configuration.rs
+++ b/cli/src/platform/configuration.rs
@@ -62,7 +62,7 @@
                 info!(discovery = %config.discovery, "configuration reloaded");
                 return gateway.set_discovery_address(config.discovery);
             }
-            Err(error) => warn!(%error, reading, "configuration rejected, the one before stays"),
+            Err(error) => warn!(%error, reading, "configuration rejected, last good configuration stays"),
         }
         let interval = if reading < QUICK_READINGS { QUICK_INTERVAL } else { SLOW_INTERVAL };
         Timer::after(interval).await;
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -102,7 +102,7 @@
     while signals.next().await == Signal::Reload {
         match gateway.reload() {
             Ok(servers) => info!(servers, "inventory reloaded"),
-            Err(error) => warn!(%error, "inventory rejected, the last good one stays"),
+            Err(error) => warn!(%error, "inventory rejected, last good endpoint list stays"),
         }
     }
 }
