--- a/e2e/tests/grpc_cases.rs
+++ b/e2e/tests/grpc_cases.rs
@@ -5,7 +5,7 @@
 
 use async_io::Timer;
 use async_net::TcpStream;
-use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
+use futures_lite::future;
 use h2::client::ResponseFuture;
 use http::Request;
 use petrelshore_e2e::client::{Api, Observation, Question};
@@ -16,6 +16,7 @@
 use petrelshore_grpc_api::{SERVICE, v1};
 use prost::Message;
 use std::time::{Duration, Instant};
+use testbed::raw_http2::{RawConnection, frame, goaway, number, raw_call, reset, resets};
 use testbed::{LONG, Testbed, case_of, quick, small};
 use tonic::Code;
 use tonic_health::pb::{HealthCheckRequest, HealthCheckResponse};
@@ -31,16 +32,16 @@
     Question::new("workshop-chat", "why", tokens)
 }
 
-/// A connection that is moved on beside the test; dropping it closes the connection.
-struct Line {
+/// A connection that is driven beside the test; dropping it closes the connection.
+struct GrpcConnection {
     sender: h2::client::SendRequest<bytes::Bytes>,
     driver: async_executor::Task<Option<h2::Error>>,
 }
 
-impl Line {
-    async fn open(testbed: &Testbed) -> Line {
+impl GrpcConnection {
+    async fn open(testbed: &Testbed) -> GrpcConnection {
         let (sender, driver) = connect(testbed.gateway.addresses.grpc).await.expect("the gateway listens");
-        Line { sender, driver: testbed.executor.spawn(async move { driver.await.err() }) }
+        GrpcConnection { sender, driver: testbed.executor.spawn(async move { driver.await.err() }) }
     }
 
     async fn call(&mut self, question: &Question) -> ResponseFuture {
@@ -79,7 +80,7 @@
     }
 }
 
-impl Line {
+impl GrpcConnection {
     /// One message, and all that come back; none with a status that is no success.
     async fn all<R: Message + Default>(&mut self, path: &str, asked: &impl Message) -> Vec<R> {
         let request =
@@ -190,19 +191,19 @@
 fn stream_reset_cancels_only_its_call() {
     let slow = |profile: Profile| Profile { prefill_tokens_per_second: 300.0, ..quick(profile) };
     case_of(Api::Grpc, "grpc-reset", &small(), "", slow, |testbed| async move {
-        let mut line = Line::open(&testbed).await;
-        let response = line.call(&chat(50)).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
+        let response = connection.call(&chat(50)).await;
         until("it is read", || testbed.arrivals(Step::Prefill) == 1).await;
         drop(response);
         until("withdrawn", || testbed.gateway.gateway.counts().cancelled == 1).await;
         assert_eq!(testbed.arrivals(Step::Decode), 0);
-        let response = line.call(&chat(2000)).await;
+        let response = connection.call(&chat(2000)).await;
         let mut body = response.await.expect("it is written").into_body();
         assert!(body.data().await.is_some_and(|part| part.is_ok()));
         drop(body);
         until("withdrawn", || testbed.gateway.gateway.counts().cancelled == 2).await;
         // The connection serves on.
-        let observation = line.ask(&chat(3)).await;
+        let observation = connection.ask(&chat(3)).await;
         assert_eq!(
             (observation.outcome, observation.tokens),
             (FinalOutcome::Completed, 3),
@@ -215,8 +216,8 @@
 #[test]
 fn drain_completes_open_calls_and_rejects_new_ones() {
     case("grpc-drain", "", |testbed| async move {
-        let mut line = Line::open(&testbed).await;
-        let running = line.call(&chat(200)).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
+        let running = connection.call(&chat(200)).await;
         until("it is written", || testbed.arrivals(Step::Decode) == 1).await;
         let gateway = testbed.gateway.gateway.clone();
         let drain = testbed.executor.spawn(async move { gateway.drain().await });
@@ -234,8 +235,8 @@
         );
         assert_eq!(drain.await, 0, "nothing had to be ended");
         // It was told to go: the connection is over by the gateway's word, without an error.
-        assert!(line.driver.await.is_none_or(|error| error.reason() == Some(h2::Reason::NO_ERROR)));
-        let again = call(&mut line.sender, &chat(3)).await;
+        assert!(connection.driver.await.is_none_or(|error| error.reason() == Some(h2::Reason::NO_ERROR)));
+        let again = call(&mut connection.sender, &chat(3)).await;
         assert!(again.is_none(), "a call was taken after GOAWAY");
         testbed.assert_clean().await;
     });
@@ -244,12 +245,12 @@
 #[test]
 fn calls_beyond_the_stream_limit_are_refused() {
     case("grpc-streams", "limits.streams = 4", |testbed| async move {
-        let mut line = Line::open(&testbed).await;
-        let first = line.ask(&chat(2)).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
+        let first = connection.ask(&chat(2)).await;
         assert_eq!(first.outcome, FinalOutcome::Completed, "{first:?}");
-        assert_eq!(line.sender.current_max_send_streams(), 4);
+        assert_eq!(connection.sender.current_max_send_streams(), 4);
         // A client that heeds nothing: six at once, of which two are refused as never run.
-        let mut raw = Raw::open(&testbed).await;
+        let mut raw = RawConnection::open(&testbed).await;
         let six: Vec<u8> = (0..6).flat_map(|number| raw_call(1 + 2 * number, &chat(60))).collect();
         raw.send(&six).await;
         let refused = raw.frames_until(|frames| resets(frames).len() >= 2).await;
@@ -264,7 +265,7 @@
 #[test]
 fn invalid_calls_get_their_status() {
     case("grpc-bad", "", |testbed| async move {
-        let mut line = Line::open(&testbed).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
         let stream = format!("/{SERVICE}/Stream");
         let grpc = [("content-type", "application/grpc+proto")];
         let good = message(&chat(3));
@@ -295,16 +296,20 @@
             (&stream, with(&|m| m.max_tokens = Some(0)), Code::InvalidArgument),
         ];
         for (path, body, code) in cases {
-            assert_eq!(line.post(path, &grpc, body.clone()).await, (200, Some(code)), "{path} {body:?}");
+            assert_eq!(
+                connection.post(path, &grpc, body.clone()).await,
+                (200, Some(code)),
+                "{path} {body:?}"
+            );
         }
-        let http = line.post(&stream, &[("content-type", "application/json")], whole.clone()).await;
+        let http = connection.post(&stream, &[("content-type", "application/json")], whole.clone()).await;
         assert_eq!(http, (415, None));
         let gzip = [grpc[0], ("grpc-encoding", "gzip")];
-        assert_eq!(line.post(&stream, &gzip, whole.clone()).await.1, Some(Code::Unimplemented));
+        assert_eq!(connection.post(&stream, &gzip, whole.clone()).await.1, Some(Code::Unimplemented));
         let key = [grpc[0], ("idempotency-key", "")];
-        assert_eq!(line.post(&stream, &key, whole).await.1, Some(Code::InvalidArgument));
+        assert_eq!(connection.post(&stream, &key, whole).await.1, Some(Code::InvalidArgument));
         assert_eq!((testbed.gateway.gateway.counts().accepted, testbed.arrivals(Step::Prefill)), (0, 0));
-        let observation = line.ask(&chat(3)).await;
+        let observation = connection.ask(&chat(3)).await;
         assert_eq!(observation.outcome, FinalOutcome::Completed, "{observation:?}");
         testbed.assert_clean().await;
     });
@@ -336,7 +341,7 @@
     case("grpc-flood", "", |testbed| async move {
         // Open and reset in one breath, again and again, on several connections.
         for _ in 0..5 {
-            let mut raw = Raw::open(&testbed).await;
+            let mut raw = RawConnection::open(&testbed).await;
             for round in 0..100u32 {
                 let pair = |number: u32| {
                     let id = 1 + 2 * (round * 10 + number);
@@ -351,12 +356,12 @@
             "a reset that came with its call was read all the same"
         );
         // Each taken, and withdrawn while it is read.
-        let mut line = Line::open(&testbed).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
         for _ in 0..400 {
             let before = testbed.gateway.gateway.counts();
             // A slow machine's gateway sees many resets at once, and ends the connection for them.
-            let Some(response) = call(&mut line.sender, &chat(50)).await else {
-                line = Line::open(&testbed).await;
+            let Some(response) = call(&mut connection.sender, &chat(50)).await else {
+                connection = GrpcConnection::open(&testbed).await;
                 continue;
             };
             for _ in 0..200 {
@@ -380,15 +385,15 @@
 #[test]
 fn ping_flood_gets_a_goaway() {
     case("grpc-pings", "", |testbed| async move {
-        let mut raw = Raw::open(&testbed).await;
+        let mut raw = RawConnection::open(&testbed).await;
         for _ in 0..100 {
             raw.send(&(0..10).flat_map(|_| frame(6, 0, 0, &[0; 8])).collect::<Vec<u8>>()).await;
         }
         const ENHANCE_YOUR_CALM: u32 = 11;
         let frames = raw.frames_until(|frames| goaway(frames).is_some()).await;
         assert_eq!(goaway(&frames), Some(ENHANCE_YOUR_CALM));
-        let mut line = Line::open(&testbed).await;
-        let observation = line.ask(&chat(3)).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
+        let observation = connection.ask(&chat(3)).await;
         assert_eq!(observation.outcome, FinalOutcome::Completed, "{observation:?}");
         testbed.assert_clean().await;
     });
@@ -399,7 +404,7 @@
     let slow = |profile: Profile| Profile { token_interval: 250_000_000, ..profile };
     case_of(Api::Grpc, "grpc-vanished", &small(), "", slow, |testbed| async move {
         // It takes whatever is sent, as a dead machine's peer does for long, and answers nothing.
-        let mut raw = Raw::open(&testbed).await;
+        let mut raw = RawConnection::open(&testbed).await;
         raw.send(&raw_call(1, &chat(1000))).await;
         until("it is written", || testbed.arrivals(Step::Decode) == 1).await;
         for _ in 0..500 {
@@ -418,14 +423,14 @@
     let flood = |profile: Profile| Profile { token_interval: 20_000, slots: 300, queue: 300, ..profile };
     let more = r#"traffic."workshop-chat".max_tokens = 400000"#;
     case_of(Api::Grpc, "grpc-many", &small(), more, flood, |testbed| async move {
-        let mut line = Line::open(&testbed).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
         // It would fill the whole connection's window many times over, and is never read.
-        let stalled = line.call(&chat(100_000)).await.await.expect("it began");
+        let stalled = connection.call(&chat(100_000)).await.await.expect("it began");
         Timer::after(Duration::from_secs(1)).await;
         for _ in 0..5 {
             let mut calls = Vec::new();
             for _ in 0..10 {
-                calls.push(line.call(&Question::new("rider-query", "why", 20)).await);
+                calls.push(connection.call(&Question::new("rider-query", "why", 20)).await);
             }
             for response in calls {
                 let mut observation = Observation::nothing();
@@ -445,20 +450,21 @@
 #[test]
 fn health_and_reflection_services_respond() {
     case("grpc-explore", "", |testbed| async move {
-        let mut line = Line::open(&testbed).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
         for (service, status) in [("", Some(1)), (SERVICE, Some(1)), ("nobody", None)] {
             let asked = HealthCheckRequest { service: service.to_owned() };
-            let state: Vec<HealthCheckResponse> = line.all("/grpc.health.v1.Health/Check", &asked).await;
+            let state: Vec<HealthCheckResponse> =
+                connection.all("/grpc.health.v1.Health/Check", &asked).await;
             assert_eq!(state.first().map(|state| state.status), status, "{service}");
         }
         let models: Vec<v1::ListModelsResponse> =
-            line.all(&format!("/{SERVICE}/ListModels"), &v1::ListModelsRequest {}).await;
+            connection.all(&format!("/{SERVICE}/ListModels"), &v1::ListModelsRequest {}).await;
         assert_eq!(models[0].models, ["dock-tokened", "rider-query", "unlock-once", "workshop-chat"]);
         for version in ["v1", "v1alpha"] {
             let path = format!("/grpc.reflection.{version}.ServerReflection/ServerReflectionInfo");
             let asked = MessageRequest::FileContainingSymbol(SERVICE.to_owned());
             let asked = ServerReflectionRequest { host: String::new(), message_request: Some(asked) };
-            let found: Vec<ServerReflectionResponse> = line.all(&path, &asked).await;
+            let found: Vec<ServerReflectionResponse> = connection.all(&path, &asked).await;
             let Some(MessageResponse::FileDescriptorResponse(found)) = found[0].message_response.clone()
             else {
                 panic!("{version}: {found:?}");
@@ -473,7 +479,7 @@
             Timer::after(Duration::from_millis(200)).await;
             gateway.drain().await
         };
-        let watches = line.all::<HealthCheckResponse>("/grpc.health.v1.Health/Watch", &watch);
+        let watches = connection.all::<HealthCheckResponse>("/grpc.health.v1.Health/Watch", &watch);
         let (states, _) = future::zip(watches, drains).await;
         assert_eq!(states.iter().map(|state| state.status).collect::<Vec<_>>(), [1, 2]);
         testbed.assert_clean().await;
@@ -496,122 +502,18 @@
 #[test]
 fn buffered_answer_hides_a_broken_decode_server() {
     case("grpc-whole", "attempts = 8", |testbed| async move {
-        let mut line = Line::open(&testbed).await;
+        let mut connection = GrpcConnection::open(&testbed).await;
         let path = format!("/{SERVICE}/Complete");
-        let answers: Vec<v1::ChatAnswer> = line.all(&path, &message(&chat(12))).await;
+        let answers: Vec<v1::ChatAnswer> = connection.all(&path, &message(&chat(12))).await;
         let [answer] = answers.as_slice() else { panic!("{answers:?}") };
         assert!(answer.text.starts_with("t1 ") && answer.text.contains("t12 "), "{answer:?}");
         assert_eq!(answer.usage.map(|usage| usage.completion_tokens), Some(12));
         // One of both writers breaks every answer: nobody has observation a part, so it is written anew elsewhere.
         testbed.set_fault("writer-1-1", Fault::ResetAfter(2));
         for _ in 0..4 {
-            let answers: Vec<v1::ChatAnswer> = line.all(&path, &message(&chat(12))).await;
+            let answers: Vec<v1::ChatAnswer> = connection.all(&path, &message(&chat(12))).await;
             assert_eq!(answers.len(), 1);
         }
         testbed.assert_clean().await;
     });
 }
-
-/// A client that sends whatever frames it likes.
-struct Raw {
-    stream: TcpStream,
-    got: Vec<u8>,
-}
-
-struct Frame {
-    kind: u8,
-    stream: u32,
-    payload: Vec<u8>,
-}
-
-fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
-    let length = (payload.len() as u32).to_be_bytes();
-    [&length[1..], &[kind, flags], &stream.to_be_bytes(), payload].concat()
-}
-
-fn reset(stream: u32) -> Vec<u8> {
-    frame(3, 0, stream, &8u32.to_be_bytes())
-}
-
-/// A whole call: its head, each field spelt out, and its message.
-fn raw_call(stream: u32, question: &Question) -> Vec<u8> {
-    let path = format!("/{SERVICE}/Stream");
-    let fields = [
-        (":method", "POST"),
-        (":scheme", "http"),
-        (":path", path.as_str()),
-        (":authority", "gateway"),
-        ("content-type", "application/grpc"),
-        ("te", "trailers"),
-    ];
-    let spelt = fields.iter().flat_map(|(name, value)| {
-        let parts = [&[0, name.len() as u8][..], name.as_bytes(), &[value.len() as u8], value.as_bytes()];
-        parts.concat()
-    });
-    const END_HEADERS: u8 = 4;
-    const END_STREAM: u8 = 1;
-    let head = frame(1, END_HEADERS, stream, &spelt.collect::<Vec<u8>>());
-    [head, frame(0, END_STREAM, stream, &framed(&message(question)))].concat()
-}
-
-fn resets(frames: &[Frame]) -> Vec<(u32, u32)> {
-    let found = frames.iter().filter(|frame| frame.kind == 3);
-    found.map(|frame| (frame.stream, number(&frame.payload))).collect()
-}
-
-fn goaway(frames: &[Frame]) -> Option<u32> {
-    frames.iter().find(|frame| frame.kind == 7).map(|frame| number(&frame.payload[4..]))
-}
-
-fn number(bytes: &[u8]) -> u32 {
-    u32::from_be_bytes(bytes[..4].try_into().unwrap())
-}
-
-impl Raw {
-    async fn open(testbed: &Testbed) -> Raw {
-        let mut stream = TcpStream::connect(testbed.gateway.addresses.grpc).await.unwrap();
-        let settings = frame(4, 0, 0, &[]);
-        stream.write_all(&[b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", settings.as_slice()].concat()).await.unwrap();
-        Raw { stream, got: Vec::new() }
-    }
-
-    async fn send(&mut self, bytes: &[u8]) {
-        // A connection that was ended for what came before takes no more.
-        let _ = self.stream.write_all(bytes).await;
-        Timer::after(Duration::from_millis(2)).await;
-    }
-
-    /// All frames so far, once they hold what is waited for.
-    async fn frames_until(&mut self, holds: impl Fn(&[Frame]) -> bool) -> Vec<Frame> {
-        let mut part = [0; 4096];
-        let deadline = Instant::now() + LONG;
-        while Instant::now() < deadline {
-            let frames = self.frames();
-            if holds(&frames) {
-                return frames;
-            }
-            let late = async {
-                Timer::after(Duration::from_secs(1)).await;
-                Err(std::io::ErrorKind::TimedOut.into())
-            };
-            match future::or(self.stream.read(&mut part), late).await {
-                Err(error) if error.kind() == std::io::ErrorKind::TimedOut => {}
-                Ok(0) | Err(_) => break,
-                Ok(count) => self.got.extend_from_slice(&part[..count]),
-            }
-        }
-        self.frames()
-    }
-
-    fn frames(&self) -> Vec<Frame> {
-        let (mut rest, mut frames) = (self.got.as_slice(), Vec::new());
-        while rest.len() >= 9 {
-            let length = number(&[0, rest[0], rest[1], rest[2]]) as usize;
-            let Some(payload) = rest.get(9..9 + length) else { break };
-            let stream = number(&rest[5..9]);
-            frames.push(Frame { kind: rest[3], stream, payload: payload.to_vec() });
-            rest = &rest[9 + length..];
-        }
-        frames
-    }
-}
--- a/e2e/tests/testbed/mod.rs
+++ b/e2e/tests/testbed/mod.rs
@@ -2,6 +2,8 @@
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
+pub mod raw_http2;
+
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::future;
