--- a/e2e/tests/hard_cases.rs
+++ b/e2e/tests/hard_cases.rs
@@ -350,7 +350,11 @@
 /// A client that sends a request and then reads nothing for long.
 enum StalledClient {
     Chat(async_net::TcpStream),
-    Grpc(Option<h2::client::ResponseFuture>, #[allow(dead_code)] async_executor::Task<()>),
+    Grpc(
+        Option<h2::client::ResponseFuture>,
+        #[allow(dead_code, reason = "drives the connection for as long as it is kept")]
+        async_executor::Task<()>,
+    ),
 }
 
 impl StalledClient {
