--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, as it is told on standard error.
+//! Why a command failed, as it is printed on standard error.
 
 use petrelshore_chat_gateway::ReloadError;
 use std::fmt;
@@ -37,7 +37,7 @@
         move |source| CommandError::Io { subject, source }
     }
 
-    /// What kept an emulated fleet from being played against.
+    /// Why an emulated fleet could not be started or played against.
     pub fn emulation(error: impl fmt::Display) -> CommandError {
         CommandError::Emulation(error.to_string())
     }
--- a/cli/src/logs.rs
+++ b/cli/src/logs.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use tracing_subscriber::fmt::writer::BoxMakeWriter;
 
-/// Standard error as it was inherited, by a name under which it can be opened anew.
+/// Standard error as it was inherited, by a name under which it can be opened again.
 const STANDARD_ERROR: &str = "/proc/self/fd/2";
 
 /// Standard error. Where it is a pipe whose reader has stopped, lines are dropped: one thread serves all requests, and
@@ -18,7 +18,7 @@
     }
 }
 
-/// The pipe that standard error is, opened anew: what others write to the inherited one goes on as before.
+/// The pipe that standard error is, opened again: what others write to the inherited one is not affected.
 fn without_waiting() -> Option<File> {
     let told = fstat(std::io::stderr()).ok()?;
     if FileType::from_raw_mode(told.st_mode) != FileType::Fifo {
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -138,7 +138,7 @@
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(logs::writer())
-        // A line that can't be written is dropped. It must not be told on standard error either: that would panic.
+        // A line that can't be written is dropped. It must not be reported on standard error either: that would panic.
         .log_internal_errors(false)
         .with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
     match command.logs.logs {
--- a/cli/src/platform/shutdown.rs
+++ b/cli/src/platform/shutdown.rs
@@ -78,7 +78,7 @@
     }
 
     /// A request that is still being read is owed its answer too, and so is one on a connection that waits to be
-    /// accepted: the listener is open to the end, and late requests are told to retry elsewhere.
+    /// accepted: the listener is open to the end, and late requests are rejected with a Retry-After.
     async fn until_idle(&self) {
         loop {
             self.clients.until_empty().await;
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -186,7 +186,7 @@
     }
 }
 
-/// Keeps streams going, through the gateway and then, where asked for, straight at the servers.
+/// Keeps streams running, through the gateway and then, if requested, straight at the servers.
 pub fn load(
     to: SocketAddr,
     grpc: Option<SocketAddr>,
