--- a/chat-gateway/src/answer.rs
+++ b/chat-gateway/src/answer.rs
@@ -95,9 +95,12 @@
 
     /// The ingress has dropped its answer, with its final answer read or not.
     fn answer_dropped(self: &Rc<Self>, id: SequenceId, final_answer_read: bool) {
-        self.apply(|requests, now, commands| match final_answer_read {
-            true => requests.answer_consumed(now, id),
-            false => requests.client_cancelled(now, id, commands),
+        self.apply(|requests, now, commands| {
+            if final_answer_read {
+                requests.answer_consumed(now, id);
+            } else {
+                requests.client_cancelled(now, id, commands);
+            }
         });
         // Dropping the entry cancels whatever of it still runs.
         let entry = self.entries.borrow_mut().remove(&id);
--- a/cli/src/platform/mod.rs
+++ b/cli/src/platform/mod.rs
@@ -55,7 +55,7 @@
     let listener = bound.map_err(CommandError::io(format_args!("listen: {}", config.listen)))?;
     let limits = ConnectionLimits::new(config.descriptors);
     let (name, memory, listen) = (config.name.clone(), config.memory_bytes, listener.address);
-    let (longest_abandon, clients_resume) = (config.longest_abandon, config.clients_resume);
+    let (longest_abandon, client_resumption) = (config.longest_abandon, config.client_resumption);
     let gateway = PlatformGateway::start(config, limits.servers, Spawner::new(executor));
     executor.spawn(discovery::watch(gateway.clone())).detach();
     let clients = Clients::new(gateway.clone(), limits.clients, memory);
@@ -69,7 +69,7 @@
         executor.spawn(follow_signals(signals, gateway.clone(), executor.clone(), stop_signal.clone()));
     stopped.await;
     info!(in_flight = gateway.tracked(), "stopping");
-    Shutdown::new(gateway.clone(), clients, longest_abandon, clients_resume).run().await;
+    Shutdown::new(gateway.clone(), clients, longest_abandon, client_resumption).run().await;
     drop((ingress, following));
     info!(counts = ?gateway.counts(), violations = ?gateway.violations(), "stopped");
     Ok(())
--- a/cli/src/platform/shutdown.rs
+++ b/cli/src/platform/shutdown.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use petrelshore::interface::Nanos;
-use petrelshore_gateway_core::graceful_shutdown::{MigrationWindow, ShutdownPlan};
+use petrelshore_gateway_core::graceful_shutdown::{ClientResumption, MigrationWindow, ShutdownPlan};
 use petrelshore_platform_gateway::PlatformGateway;
 use petrelshore_platform_ingress::Clients;
 use std::time::Duration;
@@ -30,10 +30,10 @@
         gateway: PlatformGateway,
         clients: Clients,
         longest_abandon: Nanos,
-        clients_resume: bool,
+        client_resumption: ClientResumption,
     ) -> Self {
         let signalled_at = gateway.clock().now();
-        let plan = gateway.shutdown_plan(longest_abandon, clients_resume);
+        let plan = gateway.shutdown_plan(longest_abandon, client_resumption);
         Shutdown { gateway, clients, plan, signalled_at }
     }
 
--- a/gateway-core/src/graceful_shutdown.rs
+++ b/gateway-core/src/graceful_shutdown.rs
@@ -70,6 +70,13 @@
     Unsupported,
 }
 
+impl ClientResumption {
+    /// [`ClientResumption::Supported`] where the condition holds.
+    pub fn supported_if(condition: bool) -> Self {
+        if condition { ClientResumption::Supported } else { ClientResumption::Unsupported }
+    }
+}
+
 /// Whether another gateway can resume the streams of this one now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerGateways {
--- a/gateway-core/src/request_table/passthrough.rs
+++ b/gateway-core/src/request_table/passthrough.rs
@@ -250,13 +250,11 @@
         &self,
         now: Nanos,
         max_first_token_budget: Nanos,
-        clients_resume: bool,
+        client_resumption: ClientResumption,
     ) -> ShutdownPlan {
         let alone = self.gateways == 1 || self.resume_rate.another_gateway_stopped(now, self.tracked());
         let peers = if alone { PeerGateways::Unavailable } else { PeerGateways::Available };
-        let resumption =
-            if clients_resume { ClientResumption::Supported } else { ClientResumption::Unsupported };
-        plan_shutdown(max_first_token_budget, resumption, peers)
+        plan_shutdown(max_first_token_budget, client_resumption, peers)
     }
 
     /// Terminates as many of the running streams as the plan has terminated in this time since the stop signal, for
--- a/platform-gateway/src/shutdown.rs
+++ b/platform-gateway/src/shutdown.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::PlatformGateway;
 use petrelshore::interface::Nanos;
-use petrelshore_gateway_core::graceful_shutdown::ShutdownPlan;
+use petrelshore_gateway_core::graceful_shutdown::{ClientResumption, ShutdownPlan};
 use petrelshore_runtime::{EventDriven, wait_until};
 use std::ops::Range;
 
@@ -12,10 +12,10 @@
         self.0.event_loop.requests_mut().drain();
     }
 
-    /// The schedule of a shutdown that begins now. `longest_abandon` and `clients_resume` are settings of the platform.
-    pub fn shutdown_plan(&self, longest_abandon: Nanos, clients_resume: bool) -> ShutdownPlan {
+    /// The schedule of a shutdown that begins now. `longest_abandon` and `client_resumption` are settings of the platform.
+    pub fn shutdown_plan(&self, longest_abandon: Nanos, client_resumption: ClientResumption) -> ShutdownPlan {
         let now = self.0.event_loop.now();
-        self.0.event_loop.requests().shutdown_plan(now, longest_abandon, clients_resume)
+        self.0.event_loop.requests().shutdown_plan(now, longest_abandon, client_resumption)
     }
 
     /// Ends the streams that such a plan has end within a range of times since the stop signal.
--- a/platform-protocol/src/config.rs
+++ b/platform-protocol/src/config.rs
@@ -5,6 +5,7 @@
 use crate::json::{array, at, boolean, decode_each, invalid, nanos, string};
 use crate::settings::{self, Names};
 use petrelshore::interface::{Deployment, Nanos, StartTimeClock};
+use petrelshore_gateway_core::graceful_shutdown::ClientResumption;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -36,7 +37,7 @@
     /// A model server closes a connection that was idle for so long.
     pub idle_for: Nanos,
     /// Whether clients request the rest of a stream that broke.
-    pub clients_resume: bool,
+    pub client_resumption: ClientResumption,
     /// The longest time for which a client waits for a first token.
     pub longest_abandon: Nanos,
 }
@@ -63,7 +64,7 @@
         known: endpoint_list::decode(at(&json, "known")?, &names)?,
         drain_grace: nanos(settings, "rules.drainGrace")?,
         idle_for: nanos(settings, "allowed.connIdle")?,
-        clients_resume: boolean(settings, "specifics.resume")?,
+        client_resumption: ClientResumption::supported_if(boolean(settings, "specifics.resume")?),
         longest_abandon: abandon_times
             .into_iter()
             .max()
