--- a/src/scheduler/affinity.rs
+++ b/src/scheduler/affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: which prefill servers should get a session or a shared prefix.
+//! Prefix affinity: selects the prefill servers that should get a session or a shared prefix.
 
 use super::Scheduler;
 use super::parameters::MIN_DIVISOR;
@@ -7,32 +7,34 @@
 use crate::statistics::PrefixKey;
 use std::collections::HashMap;
 
-/// Affinity replicas of a session, or of its shared prefix, that are candidates.
+/// Maximum number of affinity replicas of a session, or of its shared prefix, that are candidates.
 const MAX_REPLICA_CANDIDATES: u64 = 8;
-/// Affinity replicas of a shared prefix, as a multiple of its share of this gateway's sends times all prefill servers.
+/// The share of all prefill servers that are affinity replicas of a shared prefix, as a multiple of the prefix's share
+/// of this gateway's sends.
 const REPLICAS_PER_SEND_SHARE: f64 = 8.0;
-/// Sends that a shared prefix's share starts out from: until enough are counted, it counts as one of so many prefixes.
+/// Number of sends of shared prefixes that are assumed before the first counted send. Until enough sends are counted, a
+/// prefix counts as at most one of these assumed sends.
 const PREFIX_SHARE_PRIOR: f64 = 10.0;
-/// Distance from a sequence of a prefill server that is none of its affinity replicas.
+/// Distance between a sequence and a prefill server that is not one of its affinity replicas.
 pub(super) const NON_REPLICA_DISTANCE: f64 = 1e9;
 
-/// The prefill servers that a sequence's prefixes belong to, the same ones at every gateway.
+/// The prefill servers that a sequence's prefixes belong to. Every gateway computes the same servers.
 pub(super) struct AffinityReplicas {
-    /// How far each server is from being the session's replica; [`NON_REPLICA_DISTANCE`] and more for those that are no
-    /// replicas of its shared prefix.
+    /// The distance of each server from the session; the nearest server is the session's first replica. A server that
+    /// is not a replica of the shared prefix has a distance of [`NON_REPLICA_DISTANCE`] or more.
     pub(super) distances: HashMap<ServerId, f64>,
     /// The prefill servers to choose from.
     pub(super) candidates: Candidates,
 }
 
 impl AffinityReplicas {
-    /// The least of the distances; infinite where there are none.
+    /// The smallest of the distances; infinite if there are none.
     pub(super) fn nearest(&self) -> f64 {
         self.distances.values().copied().fold(f64::INFINITY, f64::min)
     }
 }
 
-/// How far a prefill server is from a sequence's prefixes.
+/// The distances of a prefill server from a sequence's session and from its shared prefix.
 struct AffinityDistance {
     server: ServerId,
     to_session: f64,
@@ -40,9 +42,10 @@
 }
 
 impl Scheduler {
-    /// How far prefill servers are from being this session's replica, and the candidates. A hash decides, weighted by the
-    /// share of all prefills that each server should get, so that all gateways prefer the same servers. Guards against
-    /// prefilling prefixes again when a gateway has restarted or a session comes through another one.
+    /// Returns the distances of prefill servers from a sequence's session, and the candidates. The distances come from
+    /// a hash that is weighted by each server's intended share of all prefills, so that all gateways prefer the same
+    /// servers. This avoids prefilling prefixes again after a gateway has restarted or when a session comes through
+    /// another gateway.
     pub(super) fn affinity_replicas(&self, now: Nanos, sequence: &Sequence) -> AffinityReplicas {
         let session_key = sequence.session.map_or(sequence.id.0, |session| session.0);
         let prefill_servers = self.fleet.index().prefill_servers().max(1) as f64;
@@ -54,9 +57,9 @@
         }
     }
 
-    /// The share of all prefill servers that are to cache a sequence's shared prefix: proportional to its share of this
-    /// gateway's sends, so that frequent prefixes do not evict all others. The more often prefixes are not found, the
-    /// fewer servers a new one gets.
+    /// The share of all prefill servers that should cache a sequence's shared prefix. It is proportional to the
+    /// prefix's share of this gateway's sends, so that frequent prefixes do not evict all others. The more often
+    /// prefills miss their prefix, the fewer servers a new prefix gets.
     fn prefix_replica_share(&self, now: Nanos, sequence: &Sequence, prefill_servers: f64) -> f64 {
         let new_prefix =
             (self.new_prefix_replicas * PREFIX_SHARE_PRIOR / prefill_servers).min(REPLICAS_PER_SEND_SHARE);
@@ -64,13 +67,14 @@
             / (PREFIX_SHARE_PRIOR + self.statistics.all_prefix_sends.read(now))
     }
 
-    /// How often this gateway has sent a sequence's shared prefix of late.
+    /// The decayed number of this gateway's recent sends of a sequence's shared prefix.
     fn prefix_send_count(&self, now: Nanos, sequence: &Sequence) -> f64 {
         let sends = sequence.prefix.and_then(|id| self.statistics.prefix_sends.get(&id));
         sends.map_or(0.0, |sends| sends.read(now))
     }
 
-    /// The replicas among a few servers of a large fleet, those that the prefixes were sent to last among them.
+    /// Computes the replicas of a large fleet from a few servers. The candidates are these replicas, the servers that
+    /// the prefixes were last sent to, and a sample.
     fn sampled_replicas(&self, sequence: &Sequence, session_key: u64, replicas: f64) -> AffinityReplicas {
         let mut slots = self.replica_slots(session_key, sequence.prefix, replicas);
         let distance_of = |slot: &Slot| {
@@ -85,7 +89,7 @@
         AffinityReplicas { distances, candidates: Candidates::distinct(slots) }
     }
 
-    /// The replicas among all servers of a small fleet.
+    /// Computes the replicas from all servers of a small fleet.
     fn scanned_replicas(
         &self,
         sequence: &Sequence,
@@ -93,23 +97,23 @@
         replica_share: f64,
     ) -> AffinityReplicas {
         let prefill_servers = self.fleet.values().filter(|s| s.role == Role::Prefill);
-        let known: Vec<AffinityDistance> =
+        let distances: Vec<AffinityDistance> =
             prefill_servers.filter_map(|s| self.affinity_distance(s, sequence, session_key)).collect();
-        // The nearest server is a replica, however few there are to be.
-        let nearest = known.iter().map(|known| known.to_shared_prefix).fold(f64::INFINITY, f64::min);
+        // The nearest server is always a replica, even if the replica share is smaller than its distance.
+        let nearest = distances.iter().map(|d| d.to_shared_prefix).fold(f64::INFINITY, f64::min);
         let max_distance = nearest.max(replica_share);
-        let distance_of = |known: AffinityDistance| {
-            let is_replica = known.to_shared_prefix <= max_distance;
-            (known.server, known.to_session + if is_replica { 0.0 } else { NON_REPLICA_DISTANCE })
+        let distance_of = |distance: AffinityDistance| {
+            let is_replica = distance.to_shared_prefix <= max_distance;
+            (distance.server, distance.to_session + if is_replica { 0.0 } else { NON_REPLICA_DISTANCE })
         };
         AffinityReplicas {
-            distances: known.into_iter().map(distance_of).collect(),
+            distances: distances.into_iter().map(distance_of).collect(),
             candidates: Candidates::All,
         }
     }
 
-    /// The prefill servers that are affinity replicas of a session, or of its shared prefix: so many over the zones that
-    /// this gateway sends prefills to.
+    /// The prefill servers that are affinity replicas of a session, or of its shared prefix. The replicas are spread
+    /// over the zones that this gateway sends prefills to.
     fn replica_slots(&self, session_key: u64, prefix: Option<PrefixId>, replicas: f64) -> Vec<Slot> {
         let zones = &self.quotas.zones;
         let per_zone = ((replicas / zones.len().max(1) as f64).ceil() as u64).max(1);
@@ -121,7 +125,8 @@
             .collect()
     }
 
-    /// How far a prefill server is from a sequence's prefixes; none where its cell has no quota of prefills yet.
+    /// The distances of a prefill server from a sequence's session and shared prefix; `None` if the server's cell has
+    /// no prefill quota yet.
     fn affinity_distance(
         &self,
         server: &Server,
@@ -140,8 +145,8 @@
     }
 }
 
-/// The hash key of one affinity replica. A shared prefix with more replicas than are candidates has its sessions dealt
-/// out over them.
+/// The hash key of one affinity replica. If a shared prefix has more replicas than may be candidates, a hash of the
+/// session selects the candidates among them.
 fn replica_key(session_key: u64, prefix: Option<PrefixId>, replicas: u64, number: u64) -> u64 {
     match prefix {
         None => mix_bits(session_key ^ mix_bits(number)),
--- a/src/scheduler/cell_quota.rs
+++ b/src/scheduler/cell_quota.rs
@@ -1,4 +1,4 @@
-//! Cell quotas: what share of all prefills each cell should get, computed from time to time over the whole fleet.
+//! Cell quotas: the share of all prefills that each cell should get, recomputed periodically over the whole fleet.
 
 use super::Scheduler;
 use super::decode_load::MAX_DECODE_LOAD;
@@ -10,29 +10,32 @@
 use crate::interface::{CellId, EndpointState, Nanos, Role, Step, ZoneId};
 use std::collections::BTreeMap;
 
-/// Share by which a prefill server may get more than its even part while no migration times are known.
+/// Share by which a server's prefills may exceed its proportional share while no migration times are known.
 const DEFAULT_PREFILL_EXCESS: f64 = 0.1;
-/// Share by which a prefill server may get more than its even part at most.
+/// Maximum share by which a server's prefills may exceed its proportional share.
 const MAX_PREFILL_EXCESS: f64 = 2.0;
-/// The part of a migration's extra time that makes up for a busier prefill server.
+/// Share of a migration's extra time that may be spent at a busier prefill server instead.
 const MIGRATION_TIME_SHARE: f64 = 0.5;
-/// Nanoseconds between the starts of two scans for quotas.
+/// Time between the end of one scan for quotas and the start of the next, in nanoseconds.
 const QUOTA_INTERVAL: Nanos = 200_000_000;
-/// Nanoseconds in which one server of a large fleet is scanned.
-const SCAN_TIME_PER_SERVER: Nanos = 300_000;
-/// Bounds of the servers that one request scans.
+/// Scan time per server of a large fleet, in nanoseconds: a request scans one server for each such period since the
+/// last batch.
+const SCAN_INTERVAL_PER_SERVER: Nanos = 300_000;
+/// Minimum number of servers that one request scans.
 const MIN_SCAN_BATCH: usize = 16;
+/// Maximum number of servers that one request scans, except when all servers are scanned at once.
 const MAX_SCAN_BATCH: usize = 256;
 
 impl Scheduler {
-    /// Recomputes the quotas when they are due: over a large fleet by scanning a batch of servers at each request.
+    /// Recomputes the quotas when they are due. In a large fleet, each request scans one batch of servers until the
+    /// scan is complete.
     pub(super) fn refresh_quotas(&mut self, now: Nanos) {
-        let is_recent = self.quota_scan_started_at.is_some_and(|at| now < at + QUOTA_INTERVAL);
+        let is_recent = self.quotas_scanned_at.is_some_and(|at| now < at + QUOTA_INTERVAL);
         if self.quota_scan.is_none() && is_recent {
             return;
         }
         let batch = self.scan_batch(now);
-        self.quota_scan_started_at = Some(now);
+        self.quotas_scanned_at = Some(now);
         let mut scan = self.quota_scan.take().unwrap_or_default();
         self.scan_servers(now, &mut scan, batch);
         if scan.capacities.is_finished() {
@@ -42,16 +45,17 @@
         }
     }
 
-    /// How many servers to scan now.
+    /// The number of servers to scan now.
     fn scan_batch(&self, now: Nanos) -> usize {
         if self.scans_in_full() || self.quotas.cells.is_empty() {
             return usize::MAX;
         }
-        let elapsed = now.saturating_sub(self.quota_scan_started_at.unwrap_or(0));
-        ((elapsed / SCAN_TIME_PER_SERVER) as usize).clamp(MIN_SCAN_BATCH, MAX_SCAN_BATCH)
+        let elapsed = now.saturating_sub(self.quotas_scanned_at.unwrap_or(0));
+        ((elapsed / SCAN_INTERVAL_PER_SERVER) as usize).clamp(MIN_SCAN_BATCH, MAX_SCAN_BATCH)
     }
 
-    /// Scans the next batch of servers: first for their response times, then for the capacities that depend on these.
+    /// Scans the next batch of servers: first for their response times, then for their capacities, which depend on the
+    /// response times.
     fn scan_servers(&mut self, now: Nanos, scan: &mut FleetScan, batch: usize) {
         if !scan.response_times.is_finished() {
             for server in scan.response_times.next_batch(&self.fleet, batch) {
@@ -60,26 +64,29 @@
             if !scan.response_times.is_finished() {
                 return;
             }
-            self.typical_times = std::array::from_fn(|role| medians(&mut scan.high_response_times[role]));
+            self.typical_response_times =
+                std::array::from_fn(|role| medians(&mut scan.high_response_times[role]));
         }
         for server in scan.capacities.next_batch(&self.fleet, batch) {
             scan.sums.add(&server.endpoint, self.server_capacity(now, server));
         }
     }
 
-    /// What one server adds to its cell.
+    /// The capacity that one server adds to its cell.
     fn server_capacity(&self, now: Nanos, server: &Server) -> ServerCapacity {
         let capacity = server.weight * self.capacity_share(now, server);
         match server.role {
             Role::Prefill => {
-                // By the endpoint list alone: a verdict that comes and goes must not move sessions between replicas.
-                let counts = server.endpoint.state == EndpointState::Ready;
-                ServerCapacity { prefill: if counts { capacity } else { 0.0 }, ..Default::default() }
+                // Prefill capacity depends on the endpoint list alone: a health verdict that changes often must not
+                // move sessions between replicas.
+                let is_ready = server.endpoint.state == EndpointState::Ready;
+                ServerCapacity { prefill: if is_ready { capacity } else { 0.0 }, ..Default::default() }
             }
             Role::Decode => {
-                let counts = self.is_healthy(now, server) && self.decode_load(now, server) <= MAX_DECODE_LOAD;
+                let has_capacity =
+                    self.is_healthy(now, server) && self.decode_load(now, server) <= MAX_DECODE_LOAD;
                 ServerCapacity {
-                    decode: if counts { capacity } else { 0.0 },
+                    decode: if has_capacity { capacity } else { 0.0 },
                     reported_memory_share: self.reported_memory_share(now, server),
                     ..Default::default()
                 }
@@ -91,7 +98,7 @@
         }
     }
 
-    /// Quotas from the sums over the fleet.
+    /// Computes the quotas from the sums over the fleet.
     fn compute_quotas(&self, now: Nanos, sums: &CapacitySums) -> Quotas {
         let mut cells = sums.cells.clone();
         normalize_capacities(&mut cells);
@@ -105,7 +112,8 @@
         }
     }
 
-    /// Prefills go to where decode servers are, as far as the prefill servers there can do more than their even part.
+    /// Assigns prefills to cells in proportion to their decode capacity, as far as the prefill servers of a cell may
+    /// exceed their proportional share.
     fn assign_prefills(&self, now: Nanos, cells: &mut BTreeMap<CellId, CellQuota>) {
         let excess = self.prefill_excess(now);
         for cell in cells.values_mut() {
@@ -113,24 +121,26 @@
         }
     }
 
-    /// Each zone's share of all prefills, and what this gateway sends of its own there: its own zone first, as far as that
-    /// has an even part to give.
+    /// Computes each zone's share of all prefills, and how this gateway divides its own prefills among the zones. The
+    /// gateway uses its own zone first, up to an even share of all prefills. If its own zone's quota is below an even
+    /// share, the gateway takes the difference from the zones whose quota exceeds an even share.
     fn zone_quotas(&self, cells: &BTreeMap<CellId, CellQuota>) -> BTreeMap<ZoneId, ZoneQuota> {
         let zones = prefills_by_zone(cells);
-        let even = 1.0 / zones.len().max(1) as f64;
-        let own = zones.get(&self.deployment.zone).copied().unwrap_or(0.0);
-        let spare: f64 = zones.values().map(|quota| (quota - even).max(0.0)).sum();
-        let shortage = (even - own).max(0.0) / spare.max(MIN_DIVISOR);
+        let even_share = 1.0 / zones.len().max(1) as f64;
+        let own_quota = zones.get(&self.deployment.zone).copied().unwrap_or(0.0);
+        let excess: f64 = zones.values().map(|quota| (quota - even_share).max(0.0)).sum();
+        let shortage_ratio = (even_share - own_quota).max(0.0) / excess.max(MIN_DIVISOR);
         let zone_quota = |(zone, quota): (ZoneId, f64)| {
             let is_own = zone == self.deployment.zone;
-            let gateway_quota = if is_own { quota.min(even) } else { (quota - even).max(0.0) * shortage };
+            let gateway_quota =
+                if is_own { quota.min(even_share) } else { (quota - even_share).max(0.0) * shortage_ratio };
             (zone, ZoneQuota { prefill_quota: quota.max(MIN_DIVISOR), gateway_quota })
         };
         zones.into_iter().map(zone_quota).collect()
     }
 
-    /// By which share a prefill server may get more than its even part: KV caches are migrated as far as that takes less
-    /// time than waiting for a busier prefill server beside the decode server.
+    /// The share by which a server's prefills may exceed its proportional share. KV caches are migrated only as far as
+    /// this takes less time than the wait for a busier prefill server in the decode server's cell.
     fn prefill_excess(&self, now: Nanos) -> f64 {
         let median_time = |step| self.fleet_response_time(now, step, 0.0);
         let (Some(migrated), Some(prefill)) = (median_time(Step::MigratedDecode), median_time(Step::Prefill))
@@ -142,22 +152,22 @@
     }
 }
 
-/// Makes each cell's capacities shares of the fleet's.
+/// Converts each cell's capacities to shares of the fleet's capacities.
 fn normalize_capacities(cells: &mut BTreeMap<CellId, CellQuota>) {
-    let prefill = sum_over(cells, |cell| cell.prefill_capacity);
-    let decode = sum_over(cells, |cell| cell.decode_capacity);
+    let prefill_sum = sum_over(cells, |cell| cell.prefill_capacity);
+    let decode_sum = sum_over(cells, |cell| cell.decode_capacity);
     for cell in cells.values_mut() {
-        cell.prefill_capacity /= prefill;
-        cell.decode_capacity /= decode;
+        cell.prefill_capacity /= prefill_sum;
+        cell.decode_capacity /= decode_sum;
     }
 }
 
-/// Assigns the rest of all prefills to where prefill servers are left over.
+/// Assigns the remaining prefills to the cells whose prefill servers have spare capacity.
 fn assign_remainder(cells: &mut BTreeMap<CellId, CellQuota>) {
     let remainder = 1.0 - sum_over(cells, |cell| cell.prefill_quota);
-    let idle = sum_over(cells, |cell| (cell.prefill_capacity - cell.prefill_quota).max(0.0));
+    let spare_capacity = sum_over(cells, |cell| (cell.prefill_capacity - cell.prefill_quota).max(0.0));
     for cell in cells.values_mut() {
         cell.prefill_quota +=
-            remainder.max(0.0) * (cell.prefill_capacity - cell.prefill_quota).max(0.0) / idle;
+            remainder.max(0.0) * (cell.prefill_capacity - cell.prefill_quota).max(0.0) / spare_capacity;
     }
 }
--- a/src/scheduler/combined.rs
+++ b/src/scheduler/combined.rs
@@ -1,4 +1,4 @@
-//! Selection of servers that take a sequence from its prompt to its last token.
+//! Selection of a server that takes a sequence from its prompt to its last token.
 
 use super::candidates::DECODE_ROLES;
 use super::{Scheduler, Selection};
@@ -6,9 +6,10 @@
 use crate::interface::{Nanos, Role, Sequence, ServerId, Step};
 
 impl Scheduler {
-    /// Combined servers take their share of sequences from the prompt on: while one is less loaded than the least loaded
-    /// decode server and has begun all that it was sent. A prefill slows its answers, so each gateway gives it one prompt
-    /// at a time.
+    /// Selects the least loaded combined server if it is less loaded than the least loaded decode server, so that
+    /// combined servers get their share of sequences. A combined server is not selected while an attempt of this
+    /// gateway awaits its first token there: a prefill slows down the server's answers, so each gateway sends it one
+    /// prompt at a time.
     pub(super) fn select_combined(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
         if self.fleet.pool(Role::Combined, None).is_empty() {
             return None;
@@ -23,26 +24,27 @@
         is_less_loaded.then(|| self.combined_selection(sequence, combined))
     }
 
-    /// The least loaded of the available servers that have capacity for a sequence and are wanted.
+    /// The least loaded available server that passes the filter and has capacity for a sequence.
     fn least_loaded(
         &self,
         now: Nanos,
         sequence: &Sequence,
         candidates: &Candidates,
-        is_wanted: impl Fn(&Server) -> bool,
+        filter: impl Fn(&Server) -> bool,
     ) -> Option<ServerId> {
         let rank = |s: &Server| {
-            let open = is_wanted(s) && self.can_decode(now, s, sequence);
-            open.then(|| self.ranked_load(now, s))
+            let is_selectable = filter(s) && self.can_decode(now, s, sequence);
+            is_selectable.then(|| self.ranked_load(now, s))
         };
         self.lowest_ranked(now, sequence, candidates, &rank)
     }
 
-    /// Where no prefill server can be had, or no attempt would be left to decode after a prefill: a server that does both.
+    /// Selects a server that prefills and decodes. This is the fallback if no prefill server can be selected, or if no
+    /// attempt would be left to decode after a prefill.
     pub(super) fn select_combined_fallback(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
         let rank = |s: &Server| {
-            let open = self.deployment.serves_combined(s.role) && self.is_available(now, s);
-            open.then(|| self.ranked_load(now, s))
+            let is_selectable = self.deployment.serves_combined(s.role) && self.is_available(now, s);
+            is_selectable.then(|| self.ranked_load(now, s))
         };
         let candidates = self.decode_candidates(sequence, None);
         let server = self.select_lowest(now, sequence, &candidates, &DECODE_ROLES, &rank)?;
--- a/src/scheduler/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -1,4 +1,5 @@
-//! Outcomes of attempts: what follows each one for its sequence, and what it shows of its server.
+//! Outcomes of attempts: determines the next step of the sequence, and updates the state of the server and the
+//! statistics.
 
 use super::Scheduler;
 use super::is_finished;
@@ -9,63 +10,67 @@
 use crate::interface::{Attempt, AttemptStatus, KvCacheLocation, Nanos, NextStep, Outcome, Sequence, Step};
 use crate::statistics::{RequestClass, ServerClass};
 
-/// Half-life of failure shares, in nanoseconds: time for a few of a gateway's own sequences.
+/// Half-life of failure shares, in nanoseconds. It is long enough for a few of a gateway's own sequences.
 const FAILURE_HALF_LIFE: Nanos = 10_000_000_000;
-/// Ejection time after a connection attempt that failed, in nanoseconds: some attempts' time, short against an outage.
+/// Ejection time after a failed connection attempt, in nanoseconds. It is as long as some attempts take, and short
+/// compared with an outage.
 const CONNECT_FAILURE_EJECTION: Nanos = 2_000_000_000;
-/// Factor on the replicas of new prefixes after a prefill that found its prefix cached.
+/// Factor on the number of replicas of new prefixes after a prefill that found its prefix cached.
 const CACHE_HIT_FACTOR: f64 = 1.2;
-/// The same after one that did not.
+/// Factor on the number of replicas of new prefixes after a prefill that did not find its prefix cached.
 const CACHE_MISS_FACTOR: f64 = 0.4;
-/// Bounds of the replicas of new prefixes, in servers.
+/// Minimum number of replicas of new prefixes, in servers.
 const MIN_NEW_PREFIX_REPLICAS: f64 = 1.0;
+/// Maximum number of replicas of new prefixes, in servers.
 const MAX_NEW_PREFIX_REPLICAS: f64 = 1e3;
 
-/// An attempt as it ended.
+/// An attempt and its outcome.
 struct FinishedAttempt<'a> {
     sequence: &'a Sequence,
     attempt: &'a Attempt,
     outcome: Outcome,
-    /// Whether its first token had come.
-    began: bool,
-    /// Whether it was to show progress before its end.
+    /// Whether the first token had come.
+    had_first_token: bool,
+    /// Whether the attempt's step shows progress before its end.
     shows_progress: bool,
-    /// Nanoseconds since it was sent.
+    /// Nanoseconds since the attempt was sent.
     elapsed: Nanos,
 }
 
 impl FinishedAttempt<'_> {
-    /// The response time that the end shows, in nanoseconds; zero where it shows none.
+    /// The response time to record for the attempt, in nanoseconds; zero if the outcome shows no response time.
     fn response_time(&self) -> f64 {
         let ends_a_wait = matches!(self.outcome, Outcome::PrefillDone { .. } | Outcome::TimedOut);
-        if ends_a_wait && !self.began && self.shows_progress { self.elapsed as f64 } else { 0.0 }
+        if ends_a_wait && !self.had_first_token && self.shows_progress { self.elapsed as f64 } else { 0.0 }
     }
 
-    /// Whether the outcome says anything of its server's health.
-    fn is_evidence(&self) -> bool {
+    /// Whether the outcome shows anything about the server's health.
+    fn shows_server_health(&self) -> bool {
         !matches!(self.outcome, Outcome::KvCacheMissing | Outcome::Cancelled | Outcome::NeverSent)
     }
 
-    /// Whether it ended without any of what was asked for.
+    /// Whether the attempt ended without any part of its result.
     fn has_failed(&self) -> bool {
-        !self.began && !matches!(self.outcome, Outcome::PrefillDone { .. } | Outcome::Completed)
+        !self.had_first_token && !matches!(self.outcome, Outcome::PrefillDone { .. } | Outcome::Completed)
     }
 }
 
 impl Scheduler {
-    /// What to do after the outcome of attempt `n`; `last` where it ended the sequence.
+    /// Records the outcome of an attempt and returns the next step of its sequence. `ends_sequence` is set if this
+    /// outcome ends the sequence.
     pub fn attempt_finished(
         &mut self,
         now: Nanos,
         sequence: &mut Sequence,
-        n: usize,
+        attempt_index: usize,
         outcome: Outcome,
-        last: bool,
+        ends_sequence: bool,
     ) -> NextStep {
-        let Some(attempt) = sequence.attempts.get_mut(n).filter(|attempt| !is_finished(attempt)) else {
+        let Some(attempt) = sequence.attempts.get_mut(attempt_index).filter(|attempt| !is_finished(attempt))
+        else {
             return NextStep::Wait;
         };
-        let began = attempt.status == AttemptStatus::Streaming;
+        let had_first_token = attempt.status == AttemptStatus::Streaming;
         attempt.status = AttemptStatus::Finished(outcome);
         let attempt = attempt.clone();
         self.record_outcome(
@@ -74,15 +79,15 @@
                 sequence,
                 attempt: &attempt,
                 outcome,
-                began,
+                had_first_token,
                 shows_progress: self.deployment.shows_progress(sequence.traffic, attempt.step),
                 elapsed: now.saturating_sub(attempt.sent_at),
             },
         );
-        if last || sequence.completed {
+        if ends_sequence || sequence.completed {
             sequence.completed = true;
-            // A first token releases all that is held elsewhere; a buffered answer does not.
-            return NextStep::Complete { release: outcome != Outcome::Completed || !began };
+            // The first token releases the KV caches that other servers hold; a buffered answer does not.
+            return NextStep::Complete { release: outcome != Outcome::Completed || !had_first_token };
         }
         match outcome {
             Outcome::PrefillDone { .. } => {
@@ -95,9 +100,9 @@
         NextStep::Schedule
     }
 
-    /// The first token of attempt `n` has come.
-    pub fn first_token(&mut self, now: Nanos, sequence: &mut Sequence, n: usize) {
-        let Some(attempt) = sequence.attempts.get_mut(n) else { return };
+    /// Records the first token of an attempt.
+    pub fn first_token(&mut self, now: Nanos, sequence: &mut Sequence, attempt_index: usize) {
+        let Some(attempt) = sequence.attempts.get_mut(attempt_index) else { return };
         attempt.status = AttemptStatus::Streaming;
         sequence.kv_cache = None;
         sequence.cache_held_since = None;
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Takes in what an outcome shows of its server and of the fleet.
+    /// Updates the state of the server and the statistics of the fleet after an outcome.
     fn record_outcome(&mut self, now: Nanos, finished: &FinishedAttempt) {
         let FinishedAttempt { sequence, attempt, .. } = *finished;
         let Some(server) = self.fleet.get_mut(attempt.server) else { return };
@@ -124,7 +129,7 @@
         if response_time > 0.0 {
             self.statistics.response_times[attempt.step as usize].add(now, response_time);
         }
-        if finished.is_evidence() {
+        if finished.shows_server_health() {
             self.record_failure_share(now, generation, finished);
         }
         if let Outcome::PrefillDone { cached_tokens } = finished.outcome {
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Counts the outcome to its class of requests, at its server and in the fleet.
+    /// Counts the outcome in the failure shares of its request class, at its server and over the fleet.
     fn record_failure_share(&mut self, now: Nanos, generation: u64, finished: &FinishedAttempt) {
         let failed = finished.has_failed();
         let new_share = || DecayingShare::new(FAILURE_HALF_LIFE);
@@ -144,7 +149,8 @@
         self.statistics.failures.entry_or_insert_with(class, new_share).add(now, failed);
     }
 
-    /// Whether a prefill found the shared prefix of its sequence: the more often, the more replicas new ones get.
+    /// Records whether a prefill found the shared prefix of its sequence cached. The more often prefills find their
+    /// prefix, the more replicas new prefixes get.
     fn record_cache_hit(&mut self, now: Nanos, sequence: &Sequence, cached_tokens: f64) {
         if sequence.prefix_tokens <= 0.0 {
             return;
@@ -157,7 +163,7 @@
     }
 }
 
-/// Takes in what an outcome shows of its server alone.
+/// Updates the state of the server after an outcome.
 fn record_server_state(now: Nanos, server: &mut Server, finished: &FinishedAttempt) {
     let attempt = finished.attempt;
     match finished.outcome {
@@ -168,7 +174,8 @@
                 server.evicted_tokens = server.prefilled_tokens;
             }
         }
-        // A server at capacity says so at once; one that takes its time rejects this kind of traffic.
+        // A server at capacity rejects at once; a server that rejects later rejects this kind of traffic and is not
+        // ejected.
         Outcome::AtCapacity if finished.elapsed < LOAD_REPORT_STALENESS => {
             server.last_heard_at = now;
             server.ejected_until = now + LOAD_REPORT_STALENESS;
@@ -176,7 +183,7 @@
         Outcome::Completed | Outcome::AtCapacity | Outcome::KvCacheMissing | Outcome::Error => {
             server.last_heard_at = now;
         }
-        // One broken connection may be all that broke; a server that is gone shows at the next connection.
+        // A reset may concern this connection only. If the server is down, the next connection attempt fails.
         Outcome::Reset => {
             server.ejected_until = server.ejected_until.max(now + LOAD_REPORT_STALENESS);
         }
--- a/src/scheduler/prefill.rs
+++ b/src/scheduler/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefill selection: the server with the least prompt work, with regard to prefix affinity.
+//! Prefill selection: selects the server with the least prompt work, taking prefix affinity into account.
 
 use super::affinity::{AffinityReplicas, NON_REPLICA_DISTANCE};
 use super::outlier::ClassFailures;
@@ -8,21 +8,21 @@
 
 /// Share of a prompt by which the nearest affinity replica ranks before the other servers.
 const AFFINITY_PROMPT_SHARE: f64 = 0.25;
-/// Share of a prompt that is expected to be missing from a replica's cache, before any prefill has shown it.
+/// Expected share of prefills that miss their shared prefix at a replica, before any prefill has been measured.
 const DEFAULT_PREFIX_MISS_SHARE: f64 = 0.5;
-/// Prefills of the prompt that one expected retry at a server counts for.
+/// Number of prefills of the prompt that one expected retry at a server counts as.
 const PREFILLS_PER_RETRY: f64 = 2.0;
 
-/// What affinity says of one server.
+/// The affinity between one server and a sequence.
 struct ServerAffinity {
-    /// How near it is to being the replica of a sequence: 1 for the nearest.
+    /// The distance of the nearest server divided by this server's distance: 1 for the nearest server.
     nearness: f64,
-    /// Prompt tokens that it is expected to have cached.
+    /// Prompt tokens that the server is expected to have cached.
     cached_tokens: f64,
 }
 
 impl Scheduler {
-    /// The prefill server with the least prompt work.
+    /// Selects the prefill server with the least prompt work.
     pub(super) fn select_prefill(&self, now: Nanos, sequence: &Sequence) -> Option<Selection> {
         if sequence.attempts.len() + 2 > self.max_attempts(sequence) {
             return None;
@@ -51,7 +51,7 @@
     ) -> ServerAffinity {
         let distance =
             replicas.distances.get(&server.endpoint.server).copied().unwrap_or(NON_REPLICA_DISTANCE);
-        // How surely a replica has its prefix cached: as prefills of late have found it.
+        // The probability that a replica has the shared prefix cached, from the cache misses of recent prefills.
         let hit_probability = if distance < NON_REPLICA_DISTANCE {
             1.0 - self.statistics.prefix_misses.share(now, DEFAULT_PREFIX_MISS_SHARE)
         } else {
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Prompt tokens that a server would have to prefill before this sequence is done, with what speaks for or against it
-    /// as prefills of the prompt.
+    /// The rank of a prefill server: the prompt tokens that it would have to prefill until this sequence's prefill is
+    /// done. Migration, affinity, slow start and expected retries are added or subtracted as multiples of the prompt
+    /// length.
     fn prefill_rank(
         &self,
         now: Nanos,
@@ -73,11 +74,12 @@
         affinity: &ServerAffinity,
         failures: &ClassFailures,
     ) -> f64 {
-        // A cell has no quota of prefills where each KV cache would have to be migrated.
+        // A cell has no prefill quota if every KV cache would have to be migrated from it.
         let cell = self.quotas.cells.get(&server.endpoint.cell);
         let migration = if cell.is_some_and(|cell| cell.prefill_quota > 0.0) { 0.0 } else { 1.0 };
         let penalty = self.unavailable_penalty(now, server, self.is_available(now, server));
-        // One in slow start that may be sent something comes first, or its part is left over and warm ones queue.
+        // A server in slow start that may be sent an attempt ranks first. Otherwise its budget would remain unused
+        // while warm servers queue.
         let slow_start = if server.in_slow_start(now) { 1.0 } else { 0.0 };
         let extra_prefills = migration - AFFINITY_PROMPT_SHARE * affinity.nearness - slow_start
             + PREFILLS_PER_RETRY * self.expected_retries(now, server, sequence, failures);
--- a/src/scheduler/prefix_cache.rs
+++ b/src/scheduler/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Prefix caches: what servers should have cached of sessions and shared prefixes, judged by this gateway's own sends.
+//! Prefix caches: estimates the session and shared prefixes that servers have cached, from this gateway's own sends.
 
 use super::Scheduler;
 use super::parameters::PREFIX_HALF_LIFE;
@@ -7,17 +7,18 @@
 use crate::interface::{Nanos, Sequence, ServerId};
 use crate::statistics::{CachedPrefix, PrefixKey, ServerPrefix};
 
-/// Servers that a prefix was sent to last and that are candidates for it.
+/// Maximum number of servers that a prefix was last sent to and that are candidates for it.
 const MAX_RECENT_SERVERS: usize = 8;
 
 impl Scheduler {
-    /// Prompt tokens that a server should have cached: prefixes are evicted as it prefills its memory full, this gateway's
-    /// part of it. A shared prefix may have come to it through other gateways, with the probability given.
+    /// Prompt tokens that a server is expected to have cached. A prefix counts as evicted once later prefills from this
+    /// gateway fill this gateway's part of the server's memory. `other_gateway_probability` is the probability that the
+    /// server has the shared prefix through other gateways.
     pub(super) fn expected_cached_tokens(
         &self,
         server: &Server,
         sequence: &Sequence,
-        elsewhere_probability: f64,
+        other_gateway_probability: f64,
     ) -> f64 {
         let session =
             sequence.session.map_or(0.0, |id| self.cached_prefix_tokens(server, PrefixKey::Session(id)));
@@ -25,21 +26,22 @@
             sequence.prefix.map_or(0.0, |id| self.cached_prefix_tokens(server, PrefixKey::Shared(id)));
         session
             .max(shared.min(sequence.prefix_tokens))
-            .max(elsewhere_probability * sequence.prefix_tokens)
+            .max(other_gateway_probability * sequence.prefix_tokens)
             .min(sequence.prompt_tokens)
     }
 
-    /// Tokens of a prefix that a server should have cached, judged by this gateway's own sends.
+    /// Tokens of a prefix that a server is expected to have cached, from this gateway's own sends.
     fn cached_prefix_tokens(&self, server: &Server, prefix: PrefixKey) -> f64 {
         let key = ServerPrefix { generation: server.generation, prefix };
         let Some(sent) = self.statistics.cached_prefixes.get(&key) else { return 0.0 };
-        let memory = server.memory_tokens / self.deployment.gateways as f64;
+        let memory_part = server.memory_tokens / self.deployment.gateways as f64;
         let is_cached = sent.prefilled_before >= server.evicted_tokens
-            && server.prefilled_tokens - sent.prefilled_before < memory;
+            && server.prefilled_tokens - sent.prefilled_before < memory_part;
         if is_cached { sent.tokens } else { 0.0 }
     }
 
-    /// A server is sent a sequence's prefixes, of which it should have so many tokens cached.
+    /// Records that a server is sent a sequence's prefixes. `cached_tokens` is the number of prompt tokens that the
+    /// server is expected to have cached.
     pub(super) fn record_prefixes_sent(
         &mut self,
         now: Nanos,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start (rule 4): how much a server that has just started may be sent by this gateway.
+//! Slow start (rule 4): limits the attempts that this gateway sends to a server that has just started.
 
 use super::Scheduler;
 use super::parameters::MIN_DIVISOR;
@@ -6,23 +6,28 @@
 use crate::fleet::Server;
 use crate::interface::{EndpointState, Nanos, Role};
 
-/// Traffic of a server in slow start, as a multiple of its present capacity share of a warm server's traffic.
+/// Traffic of a server in slow start, as a multiple of a warm server's traffic times the server's present capacity
+/// share.
 const SLOW_START_TRAFFIC_FACTOR: f64 = 1.25;
-/// Share of the overload limit that is used at most, as a margin for chance and for gateways of unequal traffic.
+/// Maximum share of the overload limit that is used. The rest is a margin for random variation and for unequal traffic
+/// of the gateways.
 const SLOW_START_SAFETY_FACTOR: f64 = 0.8;
 
 impl Scheduler {
-    /// Whether a server is listed as ready, and within this gateway's part of its slow-start budget.
+    /// Whether a server is listed as ready and, if it is in slow start, this gateway's part of its slow-start budget
+    /// allows a send.
     pub(super) fn is_eligible(&self, now: Nanos, server: &Server) -> bool {
         server.endpoint.state == EndpointState::Ready
             && (!server.in_slow_start(now)
                 || now >= server.slow_start_sent_at.saturating_add(self.slow_start_interval(now, server)))
     }
 
-    /// The time that one send takes up of this gateway's part of a slow-start budget. The admitted sequences that a warm
-    /// server of the pool gets stand for capacity; for a prefill server only those that were prefilled first. All
-    /// gateways keep to the same part. There is no lower bound, and the first send waits for a random part of the
-    /// interval: over hundreds of gateways both add up.
+    /// The minimum time between two sends of this gateway to a server in slow start, in nanoseconds. It keeps the
+    /// gateway within its part of the server's budget. The rate of admitted sequences that a warm server of the pool
+    /// gets stands for capacity; for a prefill server, the rate covers only sequences that were admitted to a prefill
+    /// server first. All gateways keep to the same share of that rate. The rate has no lower bound, and the first send
+    /// waits for a random part of the interval, because a minimum rate or immediate first sends would add up over
+    /// hundreds of gateways.
     fn slow_start_interval(&self, now: Nanos, server: &Server) -> Nanos {
         let pool_weight = self.fleet.index().pool_weight(server.role);
         let pool_rate = self.admitted_per_second(now, server.role);
@@ -45,7 +50,8 @@
         }
     }
 
-    /// The share of its capacity that a server should have by now: linear in the time since its start.
+    /// The share of its full capacity that a server is expected to have now. It grows linearly with the time since the
+    /// server's start.
     pub(super) fn capacity_share(&self, now: Nanos, server: &Server) -> f64 {
         let remaining = server.slow_start_until.saturating_sub(now) as f64
             / self.deployment.slow_start_duration.max(1) as f64;
