--- a/gateway-core/src/request_table/action_handler.rs
+++ b/gateway-core/src/request_table/action_handler.rs
@@ -1,4 +1,4 @@
-//! Turns the request manager's actions into commands of a request table.
+//! Translates the request manager's actions into commands of a request table.
 
 use super::final_answer::FinalAnswer;
 use super::store::RequestStore;
@@ -15,11 +15,11 @@
     pub(super) reason: CancelReason,
 }
 
-/// A request table, as far as it applies actions. The provided methods are the same for all tables.
+/// The part of a request table that applies the request manager's actions. All tables share the provided methods.
 pub(super) trait ActionHandler {
-    /// What the table tells its runtime to do.
+    /// The type of the commands that the table returns to its runtime.
     type Command: From<CacheRelease>;
-    /// What the table knows of one request.
+    /// The state that the table keeps for one request.
     type Details;
 
     fn store(&mut self) -> &mut RequestStore<Self::Details>;
@@ -27,7 +27,8 @@
     /// Sends an attempt.
     fn send(&mut self, dispatch: Dispatch, commands: &mut Vec<Self::Command>);
 
-    /// Cancels an attempt. Actions that follow from it are added to `follow_up` and applied after those at hand.
+    /// Cancels an attempt. Actions that result from the cancellation are appended to `follow_up` and applied after the
+    /// actions that are already queued.
     fn cancel(
         &mut self,
         now: Nanos,
@@ -39,10 +40,11 @@
     /// Releases every KV cache reserved for a sequence.
     fn release(&mut self, now: Nanos, id: SequenceId, commands: &mut Vec<Self::Command>);
 
-    /// Gives a sequence its final answer, unless it has one.
+    /// Gives a sequence its final answer, unless the sequence already has one.
     fn answer(&mut self, now: Nanos, id: SequenceId, answer: FinalAnswer, commands: &mut Vec<Self::Command>);
 
-    /// All actions of an event are applied; `affected` are the sequences that were answered or had an attempt cancelled.
+    /// Called once all actions of an event are applied. `affected` lists the sequences that were answered or had an
+    /// attempt cancelled.
     fn actions_applied(
         &mut self,
         _now: Nanos,
@@ -51,7 +53,7 @@
     ) {
     }
 
-    /// Reports an event to the request manager and applies the actions that follow, in their order.
+    /// Reports an event to the request manager and applies the resulting actions in order.
     fn apply(
         &mut self,
         now: Nanos,
@@ -61,7 +63,7 @@
         let mut actions = Vec::new();
         let mut affected = Vec::new();
         event(&mut self.store().manager, &mut actions);
-        // Not an iterator: applying an action may add further ones.
+        // The loop uses an index because applying an action may append further actions.
         let mut next = 0;
         while let Some(action) = actions.get(next).copied() {
             next += 1;
@@ -85,14 +87,14 @@
                     self.answer(now, id, final_answer(outcome, reason), commands);
                     affected.push(id);
                 }
-                // The request manager's own timers schedule again; the runtime follows the endpoint list.
+                // The request manager's own timers reschedule the sequence, and the runtime watches the endpoint list.
                 Action::WakeAt { .. } | Action::PollEndpoints { .. } => {}
             }
         }
         self.actions_applied(now, affected, commands);
     }
 
-    /// Handles every timer that has expired by now, and sends pending releases again that are due.
+    /// Handles all expired timers and resends the pending releases that are due.
     fn apply_timeouts(&mut self, now: Nanos, commands: &mut Vec<Self::Command>) {
         self.apply(now, commands, |manager, actions| manager.on_timeout(now, actions));
         let due = self.store().releases.on_timeout(now);
--- a/gateway-core/src/request_table/buffered/actions.rs
+++ b/gateway-core/src/request_table/buffered/actions.rs
@@ -1,4 +1,4 @@
-//! How the buffered request table applies the request manager's actions.
+//! Application of the request manager's actions by the buffered request table.
 
 use super::command::{Command, OutgoingAttempt};
 use super::entry::{RequestEntry, idempotency_key};
@@ -25,12 +25,13 @@
         let Some(entry) = self.store.get_mut(dispatch.id) else { return };
         entry.tokens_delivered = dispatch.tokens_delivered;
         entry.may_have_run |= dispatch.step != Step::Prefill;
-        let idempotency = self.idempotency_of_types[entry.request.traffic.0];
+        let idempotency = self.idempotency_by_type[entry.request.traffic.0];
         let attempt = outgoing_attempt(entry, idempotency, dispatch);
         commands.push(Command::Send(Box::new(attempt)));
     }
 
-    /// The runtime reports the cancelled attempt once its connection is closed; nothing follows at once.
+    /// Cancels an attempt without follow-up actions: the runtime reports the end of the attempt once its connection is
+    /// closed.
     fn cancel(
         &mut self,
         now: Nanos,
@@ -41,7 +42,7 @@
         let CancelledAttempt { id, attempt, server, step, reason } = cancelled;
         commands.push(Command::Cancel { id, attempt, reason });
         if step == Step::Prefill {
-            // It may have completed just then, and its KV cache be held.
+            // The prefill may have completed before the cancellation, so the server may hold its KV cache.
             let release = CacheRelease { server, request_id: request_id(id, attempt) };
             self.store.add_release(now, release, CacheState::Uncertain, commands);
         }
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Gives the final answer, and stores it for repeats with the same idempotency key.
+    /// Gives the final answer, and stores it for repeats of the request with the same idempotency key.
     fn answer(
         &mut self,
         now: Nanos,
@@ -72,13 +73,13 @@
         };
         if let (Some(key), Some(text)) = (idempotency_key(&entry.request), &entry.text) {
             match &last {
-                FinalAnswer::Rejected { .. } => self.idempotency.remove(&key),
+                FinalAnswer::Rejected { .. } => self.idempotency_store.remove(&key),
                 FinalAnswer::Completed { .. } | FinalAnswer::Aborted { .. } => {
-                    let window = match self.idempotency_of_types[entry.request.traffic.0] {
+                    let window = match self.idempotency_by_type[entry.request.traffic.0] {
                         Idempotency::Keyed { window, .. } => window,
                         Idempotency::Idempotent | Idempotency::AtMostOnce => idempotency::DEFAULT_WINDOW,
                     };
-                    self.idempotency.complete(now, &key, text, last.clone(), window);
+                    self.idempotency_store.complete(now, &key, text, last.clone(), window);
                 }
             }
         }
@@ -88,20 +89,21 @@
 }
 
 impl<P: Clone> BufferedRequests<P> {
-    /// Removes a request once the API has dropped its answer and the request manager has forgotten it.
+    /// Removes a request once the API has dropped its answer and the request manager no longer tracks the request.
     pub(super) fn remove_if_finished(&mut self, now: Nanos, id: SequenceId) {
-        let client_left = self.store.get(id).is_some_and(|entry| entry.client_left);
-        if !client_left || self.store.manager.contains(id) {
+        let answer_dropped = self.store.get(id).is_some_and(|entry| entry.answer_dropped);
+        if !answer_dropped || self.store.manager.contains(id) {
             return;
         }
         let Some(removed) = self.store.remove(now, id) else { return };
         if let Some(key) = idempotency_key(&removed.details.request) {
-            // Its client left before any final answer: what may have run must not run again by its key.
+            // The client left before the final answer. Work that may have run must not run again for a repeat with the
+            // same key.
             if removed.details.may_have_run && !removed.answered {
                 let aborted = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
-                self.idempotency.complete(now, &key, "", aborted, idempotency::DEFAULT_WINDOW);
+                self.idempotency_store.complete(now, &key, "", aborted, idempotency::DEFAULT_WINDOW);
             }
-            self.idempotency.remove(&key);
+            self.idempotency_store.remove(&key);
         }
     }
 }
--- a/gateway-core/src/request_table/buffered/admission.rs
+++ b/gateway-core/src/request_table/buffered/admission.rs
@@ -15,7 +15,8 @@
 use std::rc::Rc;
 
 impl<P: Clone> BufferedRequests<P> {
-    /// Accepts a request, or says why not. An accepted request gets exactly one final answer.
+    /// Accepts a request, replays a stored answer, or rejects the request. An accepted request gets exactly one final
+    /// answer.
     pub fn accept(&mut self, now: Nanos, request: Request, commands: &mut Vec<Command<P>>) -> Admission {
         if let Err(rejection) = self.check_admissible(now, &request) {
             return Admission::Rejected(rejection);
@@ -23,18 +24,18 @@
         let id = SequenceId(self.last_id.wrapping_add(1));
         let key = idempotency_key(&request);
         if let Some(key) = &key
-            && let Some(admission) = self.begin_keyed(now, id, key, &request)
+            && let Some(admission) = self.begin_idempotent_request(now, id, key, &request)
         {
             return admission;
         }
         if let Err(error) = self.store.acquire_capacity(now, request.client, request.traffic) {
             if let Some(key) = &key {
-                self.idempotency.remove(key);
+                self.idempotency_store.remove(key);
             }
             return Admission::Rejected(self.capacity_rejection(now, error));
         }
         self.last_id = id.0;
-        let idempotent = self.idempotency_of_types[request.traffic.0] == Idempotency::Idempotent;
+        let idempotent = self.idempotency_by_type[request.traffic.0] == Idempotency::Idempotent;
         let resumable = idempotent && request.relay == Relay::Streamed;
         let new = new_sequence(id, &request);
         self.store.insert(id, request.client, RequestEntry::new(request, key.is_some() || resumable));
@@ -42,7 +43,7 @@
         Admission::Accepted(id)
     }
 
-    /// The checks that take nothing yet.
+    /// Performs the checks that reserve neither capacity nor an idempotency key.
     fn check_admissible(&self, now: Nanos, request: &Request) -> Result<(), Rejection> {
         if self.draining {
             return Err(Rejection::Draining { retry_after: timeouts::DEFAULT_RETRY_AFTER });
@@ -51,13 +52,14 @@
             return Err(Rejection::DeadlineTooShort);
         }
         let client = client_id(request);
-        self.cancellations
+        self.cancellation_limits
             .check(now, client)
             .map_err(|TooManyCancelled { retry_after }| Rejection::TooManyCancelled { retry_after })
     }
 
-    /// Marks an idempotency key as in flight. None if it is new; else the result of the admission.
-    fn begin_keyed(
+    /// Marks a new idempotency key as in flight and returns `None`. If the key is known, returns the result of the
+    /// admission instead.
+    fn begin_idempotent_request(
         &mut self,
         now: Nanos,
         id: SequenceId,
@@ -65,7 +67,7 @@
         request: &Request,
     ) -> Option<Admission> {
         let fingerprint = request_fingerprint(&request.model, &request.prompt, request.max_tokens);
-        match self.idempotency.begin(now, key, fingerprint) {
+        match self.idempotency_store.begin(now, key, fingerprint) {
             KeyStatus::New => None,
             KeyStatus::InFlight => Some(Admission::Rejected(Rejection::KeyInFlight {
                 retry_after: timeouts::DEFAULT_RETRY_AFTER,
@@ -90,7 +92,7 @@
     }
 }
 
-/// How long the client waits for a first token: not longer than for the complete answer.
+/// The time that the client waits for the first token, which is at most its time for the complete answer.
 fn first_token_budget(request: &Request) -> Nanos {
     request.completion_budget.unwrap_or(request.first_token_budget).min(request.first_token_budget)
 }
--- a/gateway-core/src/request_table/buffered/command.rs
+++ b/gateway-core/src/request_table/buffered/command.rs
@@ -1,4 +1,4 @@
-//! What the buffered request table tells its runtime to do.
+//! Commands from the buffered request table to its runtime.
 
 use super::message::FinalAnswer;
 use crate::cache_releases::CacheRelease;
@@ -6,27 +6,27 @@
 use petrelshore::interface::SequenceId;
 use std::rc::Rc;
 
-/// What the runtime is to do, in this order.
+/// An instruction to the runtime, which executes commands in the order in which the table returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<P> {
     /// Send an attempt.
     Send(Box<OutgoingAttempt<P>>),
-    /// Cancel an attempt by closing its connection, and report it as cancelled.
+    /// Cancel an attempt by closing its connection, and report the attempt as cancelled.
     Cancel {
         /// The sequence.
         id: SequenceId,
-        /// The attempt.
+        /// The number of the attempt within its sequence.
         attempt: usize,
-        /// Why.
+        /// The reason for the cancellation.
         reason: CancelReason,
     },
-    /// Tell a prefill server to release a KV cache, and report its answer.
+    /// Send a release request for a KV cache to its prefill server, and report the server's answer.
     Release(CacheRelease),
-    /// Give the final answer: nothing follows for this sequence.
+    /// Give the final answer. No further text follows for this sequence.
     Answer {
         /// The sequence.
         id: SequenceId,
-        /// Its final answer.
+        /// The final answer.
         last: FinalAnswer,
     },
 }
@@ -37,19 +37,19 @@
     }
 }
 
-/// An attempt with all that its exchange with the model server needs.
+/// An attempt with all data that its exchange with the model server needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingAttempt<P> {
-    /// Where to send it, and how long it may take.
+    /// The destination and the time limits of the attempt.
     pub dispatch: Dispatch,
-    /// The id by which model servers know the attempt.
+    /// The id that identifies the attempt at the model servers.
     pub request_id: String,
-    /// The prompt, with the text that the client has received of earlier attempts.
+    /// The prompt, followed by the text of earlier attempts that the client has received.
     pub prompt: Rc<str>,
-    /// Most tokens that this attempt may generate.
+    /// The maximum number of tokens that this attempt may generate.
     pub max_tokens: u32,
-    /// Marks repeats of idempotent work.
+    /// The key by which model servers recognize a repeat of the same work, for traffic types with keyed idempotency.
     pub idempotency_key: Option<Rc<str>>,
-    /// What the prefill server gave for its KV cache.
+    /// The transfer parameters that the prefill server returned for its KV cache.
     pub transfer_params: Option<P>,
 }
--- a/gateway-core/src/request_table/buffered/entry.rs
+++ b/gateway-core/src/request_table/buffered/entry.rs
@@ -1,4 +1,4 @@
-//! What the buffered request table knows of one request.
+//! The state of one request in the buffered request table.
 
 use super::message::{FinalAnswer, Piece, Request, Usage};
 use crate::cache_releases::CacheRelease;
@@ -6,34 +6,35 @@
 use crate::idempotency::IdempotencyKey;
 use petrelshore::interface::{ServerId, TenantId};
 
-/// The finish reason of an answer whose decode server gave none.
+/// The finish reason of an answer for which the decode server sent none.
 const DEFAULT_FINISH_REASON: &str = "stop";
 
 /// A KV cache that a prefill server holds.
 pub(super) struct PrefilledCache<P> {
-    /// What releases it.
+    /// The release request for this KV cache.
     pub(super) release: CacheRelease,
-    /// What a decode server needs to fetch it.
+    /// The parameters that a decode server needs to fetch this KV cache.
     pub(super) transfer_params: P,
 }
 
-/// One request.
+/// The state of one request.
 pub(in crate::request_table) struct RequestEntry<P> {
     pub(super) request: Request,
-    /// KV caches that prefill servers hold for it.
+    /// KV caches that prefill servers hold for the request.
     pub(super) caches: Vec<PrefilledCache<P>>,
     finish_reason: Option<String>,
     usage: Usage,
-    /// Its text so far, if a repeat may ask for it or its stream may be resumed.
+    /// The text received so far, collected only if a repeat of the request may ask for the answer or the stream may be
+    /// resumed.
     pub(super) text: Option<String>,
-    /// Tokens that earlier attempts had delivered when the present one was sent.
+    /// Number of tokens that earlier attempts had delivered when the latest attempt was sent.
     pub(super) tokens_delivered: u32,
-    /// Whether part of it may have taken effect.
+    /// Set once an attempt that decodes was sent: part of the request may have taken effect.
     pub(super) may_have_run: bool,
-    /// Whether its first token has arrived.
+    /// Set once the first token has arrived.
     pub(super) first_token_received: bool,
-    /// Whether the API has dropped its answer.
-    pub(super) client_left: bool,
+    /// Set once the API has dropped the answer, at its end or before.
+    pub(super) answer_dropped: bool,
 }
 
 impl<P> RequestEntry<P> {
@@ -47,16 +48,17 @@
             tokens_delivered: 0,
             may_have_run: false,
             first_token_received: false,
-            client_left: false,
+            answer_dropped: false,
         }
     }
 
-    /// The KV cache that a decode server is sent to fetch from a prefill server: the one prefilled last there.
+    /// The KV cache that a decode server is to fetch from a prefill server: the latest of this request on that server.
     pub(super) fn cache_at(&self, server: ServerId) -> Option<&PrefilledCache<P>> {
         self.cache_position(server).map(|position| &self.caches[position])
     }
 
-    /// A decode server has fetched that KV cache, and it is reserved no more.
+    /// Removes the KV cache that [`Self::cache_at`] returns: a decode server has fetched it, so the prefill server no
+    /// longer reserves it.
     pub(super) fn remove_cache_at(&mut self, server: ServerId) {
         if let Some(position) = self.cache_position(server) {
             self.caches.remove(position);
@@ -67,7 +69,7 @@
         self.caches.iter().rposition(|cache| cache.release.server == server)
     }
 
-    /// Records a piece of the answer; gives text back for the client.
+    /// Records a piece of the answer. Returns the text of a text piece for the client.
     pub(super) fn record(&mut self, piece: Piece) -> Option<String> {
         match piece {
             Piece::Text(text) => {
@@ -84,7 +86,8 @@
 
     /// The final answer of a request that completed.
     pub(super) fn completed_answer(&self) -> FinalAnswer {
-        // The first part of a resumed stream was prefilled as part of the prompt.
+        // The last attempt of a resumed stream prefilled the delivered text as part of its prompt, so the decode server
+        // counted these tokens as prompt tokens.
         let delivered = u64::from(self.tokens_delivered);
         let usage = Usage {
             prompt_tokens: self.usage.prompt_tokens.saturating_sub(delivered),
@@ -95,15 +98,15 @@
     }
 }
 
-/// The client of a request, as far as cancellation limits go.
+/// Identifies the client of a request for the cancellation limits.
 pub(super) fn client_id(request: &Request) -> ClientId {
     ClientId { address: request.client, tenant: request.tenant }
 }
 
-/// The key of a request in the idempotency store, if its client sent one.
+/// The key of a request in the idempotency store, if the client sent an idempotency key.
 pub(super) fn idempotency_key(request: &Request) -> Option<IdempotencyKey> {
     let key = request.idempotency_key.as_ref()?;
-    // Within one run of a gateway a tenant's number identifies it as well as its name would.
+    // The store does not outlive the gateway process, within which a tenant's number is as unique as its name.
     let tenant = request.tenant.map_or(String::new(), |TenantId(tenant)| tenant.to_string());
     Some(IdempotencyKey { tenant, key: key.to_string() })
 }
--- a/gateway-core/src/request_table/buffered/message.rs
+++ b/gateway-core/src/request_table/buffered/message.rs
@@ -1,78 +1,78 @@
-//! What an API hands to the buffered request table, and what it gets back.
+//! Messages between an API and the buffered request table: requests, results of admission, and answers.
 
 use crate::request_manager::{FailureReason, Relay};
 use crate::token_estimate::PromptEstimate;
 use petrelshore::interface::{Nanos, SequenceId, SessionId, TenantId, TrafficTypeId};
 use std::rc::Rc;
 
-/// A request as an API parsed it. It is not accepted before the request table says so.
+/// A request as parsed by an API, before the request table accepts or rejects it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its traffic type.
+    /// The traffic type of the request.
     pub traffic: TrafficTypeId,
-    /// Whose quota it counts against.
+    /// The tenant whose quota the request counts against.
     pub tenant: Option<TenantId>,
-    /// The conversation that it belongs to.
+    /// The conversation that the request belongs to.
     pub session: Option<SessionId>,
-    /// Estimated lengths of its prompt and its shared prefix.
+    /// The estimated lengths of the prompt and its shared prefix.
     pub estimate: PromptEstimate,
-    /// The model that it names.
+    /// The name of the requested model.
     pub model: Rc<str>,
-    /// Its prompt.
+    /// The prompt text.
     pub prompt: Rc<str>,
-    /// Most tokens that its answer may have.
+    /// The maximum number of tokens in the answer.
     pub max_tokens: u32,
     /// The client's idempotency key.
     pub idempotency_key: Option<Rc<str>>,
-    /// How its answer reaches the client.
+    /// The way in which the answer is relayed to the client.
     pub relay: Relay,
-    /// Identifies the client for the limits on one client.
+    /// Identifies the client for the limits per client.
     pub client: u64,
-    /// How long the client waits for a first token, from `arrived_at` on.
+    /// The time that the client waits for the first token, counted from `arrived_at`.
     pub first_token_budget: Nanos,
-    /// How long it waits for the complete answer, if it said so.
+    /// The time that the client waits for the complete answer, if the request specifies it.
     pub completion_budget: Option<Nanos>,
-    /// When it arrived.
+    /// The arrival time of the request.
     pub arrived_at: Nanos,
 }
 
-/// Tokens of a request, as the decode server counted them.
+/// Token counts of a request, as reported by the decode server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub completion_tokens: u64,
 }
 
-/// Why a request was not accepted. Nothing ran: a retry is harmless.
+/// The reason for not accepting a request. No work ran, so a retry is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// The gateway's capacity is in use.
     GatewayAtCapacity {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Nanos,
     },
     /// This client's share of the capacity is in use.
     ClientAtCapacity {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Nanos,
     },
     /// The gateway is draining.
     Draining {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Nanos,
     },
     /// A request with the same idempotency key is in flight.
     KeyInFlight {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Nanos,
     },
-    /// The idempotency key was used for another request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
     /// This client cancels too many of its requests.
     TooManyCancelled {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Nanos,
     },
     /// The client's deadline is too short for any answer.
@@ -84,21 +84,21 @@
 pub enum FinalAnswer {
     /// The answer is complete.
     Completed {
-        /// Why it ended, in the API's words.
+        /// The finish reason, as spelled in the API.
         finish_reason: String,
-        /// Its tokens.
+        /// The token counts.
         usage: Usage,
     },
-    /// Nothing ran that must not run again: a retry of the client is harmless.
+    /// No work ran that must not run twice, so a retry by the client is harmless.
     Rejected {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Option<Nanos>,
-        /// Why it failed.
+        /// The reason for the failure.
         reason: FailureReason,
     },
     /// The request may have run, or its stream broke.
     Aborted {
-        /// Why it failed.
+        /// The reason for the failure.
         reason: FailureReason,
     },
 }
@@ -106,28 +106,28 @@
 /// The result of a request's admission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// It is in flight and gets a final answer.
+    /// The request is in flight and gets a final answer.
     Accepted(SequenceId),
-    /// A request with its idempotency key completed before; this is its stored answer.
+    /// An earlier request with the same idempotency key has ended; its stored answer is replayed.
     Replayed {
         /// An id for the replayed answer.
         id: SequenceId,
-        /// Its complete text.
+        /// The complete text of the stored answer.
         text: Rc<str>,
-        /// Its final answer.
+        /// The stored final answer.
         last: FinalAnswer,
     },
-    /// It was not accepted.
+    /// The request was not accepted.
     Rejected(Rejection),
 }
 
-/// A piece of an answer, as a decode server sent it.
+/// A piece of an answer, as received from a decode server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Piece {
     /// Further text.
     Text(String),
-    /// Why the answer ended, in the API's words.
+    /// The finish reason of the answer, as spelled in the API.
     Finish(String),
-    /// Tokens of the request.
+    /// Token counts of the request.
     Usage(Usage),
 }
--- a/gateway-core/src/request_table/final_answer.rs
+++ b/gateway-core/src/request_table/final_answer.rs
@@ -1,4 +1,4 @@
-//! The final answer of a sequence, before any API words it.
+//! The final answer of a sequence, before an API turns it into a response.
 
 use crate::request_manager::FailureReason;
 use petrelshore::interface::Nanos;
@@ -6,18 +6,18 @@
 /// The one final answer of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// All events have arrived.
+    /// All events of the answer have arrived.
     Completed,
-    /// Nothing ran that must not run again: a retry of the client is harmless.
+    /// No work ran that must not run twice, so a retry by the client is harmless.
     Rejected {
-        /// How long the client is asked to wait before a retry.
+        /// The time that the client is asked to wait before a retry.
         retry_after: Option<Nanos>,
-        /// Why it failed.
+        /// The reason for the failure.
         reason: FailureReason,
     },
     /// The request may have run, or its stream broke.
     Aborted {
-        /// Why it failed.
+        /// The reason for the failure.
         reason: FailureReason,
     },
 }
--- a/gateway-core/src/request_table/passthrough.rs
+++ b/gateway-core/src/request_table/passthrough.rs
@@ -1,8 +1,10 @@
-//! The request table for streams whose events pass unchanged: sequences in flight, addresses of model servers, KV
-//! caches that prefill servers may hold, pending releases, and the one final answer of each sequence.
+//! The request table for streams whose events are forwarded unchanged. The table tracks the sequences in flight, the
+//! addresses of model servers, KV caches that prefill servers may hold, pending releases, and the one final answer of
+//! each sequence.
 //!
-//! It performs no I/O and reads no clock. The runtime reports what happened on its sockets and executes [`Command`]s.
-//! `M` is the type of a client's request; it is handed on unread, and dropped with its first event.
+//! The table performs no I/O and reads no clock. The runtime reports the events on its sockets and executes the
+//! returned [`Command`]s. `M` is the type of a client's request; the table passes requests on without reading them, and
+//! drops a request when the first event of its answer arrives.
 
 mod actions;
 mod command;
@@ -29,18 +31,18 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// What the table knows of one sequence.
+/// The state of one sequence.
 pub(in crate::request_table) struct RequestEntry<M> {
-    /// The client's request, until its first event has arrived: no attempt is sent after that.
+    /// The client's request, until the first event of the answer arrives: no attempt is sent after that.
     message: Option<M>,
-    /// The one attempt that is in flight.
+    /// The number of the attempt in flight. A sequence has at most one attempt in flight.
     attempt_in_flight: Option<usize>,
     leases: CacheLeases,
 }
 
-/// All sequences at a gateway that passes events unchanged.
+/// All sequences at a gateway that forwards events unchanged.
 pub struct PassthroughRequests<M> {
-    gateways: usize,
+    gateway_count: usize,
     store: RequestStore<RequestEntry<M>>,
     resume_rate: ResumeRate,
     endpoints: EndpointDirectory,
@@ -48,10 +50,10 @@
 }
 
 impl<M: Clone> PassthroughRequests<M> {
-    /// An empty table for at most `max_requests` sequences at once.
+    /// Creates an empty table for at most `max_requests` concurrent sequences.
     pub fn new(now: Nanos, deployment: Deployment, seed: u64, max_requests: usize) -> Self {
         PassthroughRequests {
-            gateways: deployment.gateways,
+            gateway_count: deployment.gateways,
             resume_rate: ResumeRate::default(),
             store: RequestStore::new(now, deployment, seed, max_requests, Chooser::Decisions),
             endpoints: EndpointDirectory::default(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Accepts a sequence, or says why not. An accepted sequence gets exactly one final answer.
+    /// Accepts a sequence or returns the reason for its rejection. An accepted sequence gets exactly one final answer.
     pub fn accept(
         &mut self,
         now: Nanos,
@@ -71,10 +73,10 @@
         if self.store.contains(id) || self.store.manager.contains(id) {
             return Err(Rejection::DuplicateId);
         }
-        // Pending releases use capacity as well, beyond the connections that are reserved for them.
+        // Pending releases beyond the connections that are reserved for them use capacity too.
         let pending_releases = self.store.releases.pending();
         self.store.capacity.set_otherwise_used(pending_releases.saturating_sub(RELEASE_CONNECTIONS));
-        // An ingress hides which client is which: each sequence counts as a client of its own.
+        // Clients can't be told apart behind an ingress, so each sequence counts as a client of its own.
         let client = id.0;
         if self.store.acquire_capacity(now, client, new.traffic).is_err() {
             return Err(Rejection::AtCapacity { retry_after: self.store.configured_retry_after(now) });
@@ -90,58 +92,61 @@
         Ok(())
     }
 
-    /// Accepts no further sequences: new ones are rejected, those in flight continue.
+    /// Rejects new sequences from now on. Sequences in flight continue.
     pub fn drain(&mut self) {
         self.store.manager.drain();
     }
 
-    /// Whether an attempt may still be sent now that its connection is established.
+    /// Checks whether an attempt may still be sent once its connection is established.
     pub fn may_send(&self, now: Nanos, pending: &PendingSend) -> Result<(), SendDenial> {
         let entry = self.store.get_unanswered(pending.dispatch.id);
         let attempt_in_flight = entry.and_then(|entry| entry.attempt_in_flight);
         check_send(now, pending, attempt_in_flight, self.endpoints.current(pending.dispatch.server))
     }
 
-    /// The id of a request that is finished: releasing it frees nothing, and every running server answers that.
+    /// The request id of the sequence that finished last, unless the table has a sequence with the same id again. A
+    /// release request for this id releases nothing, and every running server answers it, so it serves as a liveness
+    /// probe.
     pub fn finished_request_id(&self) -> Option<String> {
         self.last_finished.filter(|id| !self.store.contains(*id)).map(request_id)
     }
 
-    /// How often each invariant was violated so far.
+    /// Number of violations of each invariant since the start.
     pub fn violations(&self) -> &BTreeMap<Violation, u64> {
         self.store.manager.violations()
     }
 
-    /// When a server last started, according to the endpoint list.
+    /// The time of a server's last start, according to the endpoint list.
     pub fn server_started_at(&self, server: ServerId) -> Option<Nanos> {
         self.endpoints.current(server).map(|endpoint| endpoint.started_at)
     }
 
-    /// Since when a release is pending. It tells releases for the same request and server apart: one is revoked before
-    /// another attempt may use what is held there, and added anew for what that attempt leaves.
+    /// The time since which a release is pending, or `None` if it is not pending. This time distinguishes successive
+    /// releases for the same request and server: a pending release is revoked before a further attempt may use the KV
+    /// cache on that server, and a new release is added for the KV cache that this attempt leaves behind.
     pub fn release_pending_since(&self, release: &CacheRelease) -> Option<Nanos> {
         self.store.releases.pending_since(release)
     }
 
-    /// The endpoint list, or a change of it, arrived.
+    /// Applies the endpoint list or a change to it.
     pub fn update_endpoints(&mut self, now: Nanos, kind: SnapshotKind, listed: &[(Endpoint, SocketAddr)]) {
         self.endpoints.update(kind, listed);
         let endpoints: Vec<Endpoint> = listed.iter().map(|(endpoint, _)| endpoint.clone()).collect();
         self.store.manager.update_endpoints(now, kind, &endpoints);
     }
 
-    /// A server reported its load.
+    /// Records the load that a server reported.
     pub fn load_reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         self.store.manager.load_reported(now, server, report);
     }
 
-    /// Its server has an attempt, as far as its socket proves.
+    /// Records the proof by an attempt's socket that a running server has received the attempt.
     pub fn attempt_delivered(&mut self, id: SequenceId, attempt: usize) {
         self.store.manager.attempt_delivered(id, attempt);
     }
 
-    /// The first event arrived: the attempt is final, and its prompt is not needed any more. Its decode server has
-    /// fetched the KV cache that it was sent for; any others are released.
+    /// Handles the first event of an answer: no further attempt follows, so the client's request is dropped. The decode
+    /// server has fetched its KV cache; all other KV caches of the sequence are released.
     pub fn first_token(&mut self, now: Nanos, dispatch: &Dispatch, commands: &mut Vec<Command<M>>) {
         self.endpoints.response_received(now, dispatch.server);
         if let Some(entry) = self.store.get_mut(dispatch.id) {
@@ -152,22 +157,22 @@
         self.store.manager.first_token(now, dispatch.id, dispatch.attempt);
     }
 
-    /// Further events arrived.
+    /// Records the arrival of further events of an answer.
     pub fn token_received(&mut self, now: Nanos, id: SequenceId) {
         self.store.manager.token_received(now, id);
     }
 
-    /// The client stopped reading its stream.
+    /// Records that the client stopped reading its stream.
     pub fn client_stalled(&mut self, now: Nanos, id: SequenceId) {
         self.store.manager.client_stalled(now, id);
     }
 
-    /// The client reads its stream again.
+    /// Records that the client reads its stream again.
     pub fn client_stall_ended(&mut self, now: Nanos, id: SequenceId) {
         self.store.manager.client_stall_ended(now, id);
     }
 
-    /// An attempt ended, as its connection showed.
+    /// Handles the end of an attempt. `end` tells how the attempt ended according to its connection.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -193,15 +198,16 @@
         self.clean_up(now, id, commands);
     }
 
-    /// The client left before the end of its answer.
+    /// Handles a client that left before the end of its answer.
     pub fn client_cancelled(&mut self, now: Nanos, id: SequenceId, commands: &mut Vec<Command<M>>) {
         self.apply(now, commands, |manager, actions| manager.client_cancelled(id, actions));
         self.clean_up(now, id, commands);
     }
 
-    /// A release request was answered, by its prefill server or by a relay; `answered_by` tells which. If none
-    /// answered, it is sent again, also to a server that is not listed, which may hold the KV cache all the same.
-    /// `pending_since` is from when the request was sent: an answer to an older release settles nothing.
+    /// Handles the end of a release request. `answered_by` is the prefill server or the relay that answered. If no
+    /// server answered, the request will be sent again, even to a prefill server that is no longer listed, since that
+    /// server may still hold the KV cache. `pending_since` is the value of [`Self::release_pending_since`] when the
+    /// request was sent: an answer to an earlier release does not complete the pending one.
     pub fn release_finished(
         &mut self,
         now: Nanos,
@@ -216,22 +222,23 @@
         }
     }
 
-    /// How long a prefill server may take to answer a release request.
+    /// The time that a prefill server may take to answer a release request.
     pub fn release_timeout(&self) -> Nanos {
         self.store.releases.answer_timeout()
     }
 
-    /// How long the answer to a release request is awaited before a relay is sent it as well.
+    /// The time to wait for the answer to a release request before the request is also sent to the next relay.
     pub fn relay_interval(&self) -> Nanos {
         self.store.releases.relay_interval()
     }
 
-    /// The address of a server.
+    /// The address of a listed server.
     pub fn server_address(&self, server: ServerId) -> Option<SocketAddr> {
         self.endpoints.address(server)
     }
 
-    /// The servers that relay a release request to a prefill server that can't be reached directly.
+    /// The servers that can relay a release request to a prefill server that is not directly reachable, with their
+    /// addresses.
     pub fn release_relays(&self, release: &CacheRelease) -> Vec<(ServerId, SocketAddr)> {
         let relays = self.store.releases.relays(release, &self.endpoints.ready_servers());
         relays.into_iter().filter_map(|server| Some((server, self.server_address(server)?))).collect()
@@ -242,30 +249,31 @@
         self.endpoints.addresses()
     }
 
-    /// When [`PassthroughRequests::on_timeout`] next has something to do.
+    /// The time at which [`PassthroughRequests::on_timeout`] has to be called next, if any timer is set.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.store.next_timeout()
     }
 
-    /// Handles every timer that has expired by now.
+    /// Handles all expired timers.
     pub fn on_timeout(&mut self, now: Nanos, commands: &mut Vec<Command<M>>) {
         self.apply_timeouts(now, commands);
     }
 
-    /// How this gateway shuts down if it gets the stop signal now.
+    /// Plans the shutdown of this gateway for a stop signal at the time `now`.
     pub fn shutdown_plan(
         &self,
         now: Nanos,
         max_first_token_budget: Nanos,
         client_resumption: ClientResumption,
     ) -> ShutdownPlan {
-        let alone = self.gateways == 1 || self.resume_rate.another_gateway_stopped(now, self.tracked());
-        let peers = if alone { PeerGateways::Unavailable } else { PeerGateways::Available };
+        let no_peer_available =
+            self.gateway_count == 1 || self.resume_rate.another_gateway_stopped(now, self.tracked());
+        let peers = if no_peer_available { PeerGateways::Unavailable } else { PeerGateways::Available };
         plan_shutdown(max_first_token_budget, client_resumption, peers)
     }
 
-    /// Terminates as many of the running streams as the plan has terminated in this time since the stop signal, for
-    /// their clients to resume them at another gateway.
+    /// Terminates running streams so that their clients resume them at another gateway. The plan determines the number
+    /// of streams to terminate in the period `since_stop_signal`, whose bounds are times since the stop signal.
     pub fn migrate_streams(
         &mut self,
         now: Nanos,
@@ -280,7 +288,7 @@
         });
     }
 
-    /// Everything in flight gets its final answer now.
+    /// Gives every sequence in flight its final answer.
     pub fn terminate_all(&mut self, now: Nanos, commands: &mut Vec<Command<M>>) {
         self.apply(now, commands, |manager, actions| manager.terminate_all(now, actions));
     }
@@ -290,18 +298,18 @@
         self.store.len()
     }
 
-    /// Number of release requests that no prefill server has answered.
+    /// Number of pending releases.
     pub fn pending_releases(&self) -> usize {
         self.store.releases.pending()
     }
 
-    /// Counts of events so far.
+    /// Counts of events since the start.
     pub fn counts(&self) -> Counts {
         self.store.manager.counts()
     }
 }
 
-/// The request id of a sequence on the platform's wire, the same for all its attempts.
+/// The request id of a sequence in the platform's protocol, the same for all attempts of the sequence.
 fn request_id(id: SequenceId) -> String {
     format!("{:016x}", id.0)
 }
--- a/gateway-core/src/request_table/passthrough/actions.rs
+++ b/gateway-core/src/request_table/passthrough/actions.rs
@@ -1,4 +1,4 @@
-//! How the passthrough request table applies the request manager's actions.
+//! Application of the request manager's actions by the passthrough request table.
 
 use super::command::Command;
 use super::{PassthroughRequests, RequestEntry, request_id};
@@ -27,7 +27,8 @@
         commands.push(Command::Send { dispatch, address, message });
     }
 
-    /// A cancelled attempt ends at once: its events reach nobody any more.
+    /// Cancels an attempt and reports its end to the request manager at once, since the events of a cancelled attempt
+    /// no longer reach the client.
     fn cancel(
         &mut self,
         now: Nanos,
@@ -67,7 +68,7 @@
 }
 
 impl<M: Clone> PassthroughRequests<M> {
-    /// Releases KV caches that no attempt will fetch, and removes a sequence that the request manager has forgotten.
+    /// Releases KV caches that no attempt will fetch, and removes a sequence that the request manager no longer tracks.
     pub(super) fn clean_up(&mut self, now: Nanos, id: SequenceId, commands: &mut Vec<Command<M>>) {
         let finished = !self.store.manager.contains(id);
         let Some(entry) = self.store.get_mut(id) else { return };
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Revokes pending releases of a sequence: one that is on its way would also release the KV cache that the next
-    /// attempt is to leave or to fetch.
+    /// Revokes the pending releases of a sequence before its next attempt. A release request that is still on its way
+    /// would also release the KV cache that this attempt creates or fetches.
     fn revoke_releases(&mut self, id: SequenceId) {
         let servers = self.store.releases.revoke(&request_id(id));
         if let Some(entry) = self.store.get_mut(id) {
--- a/gateway-core/src/request_table/passthrough/command.rs
+++ b/gateway-core/src/request_table/passthrough/command.rs
@@ -1,4 +1,4 @@
-//! What the passthrough request table tells its runtime to do.
+//! Commands from the passthrough request table to its runtime.
 
 use crate::cache_releases::CacheRelease;
 use crate::request_manager::{CancelReason, Dispatch};
@@ -6,27 +6,28 @@
 use petrelshore::interface::{Nanos, SequenceId};
 use std::net::SocketAddr;
 
-/// Why a sequence was not accepted. Nothing ran: a retry is harmless.
+/// The reason for not accepting a sequence. No work ran, so a retry is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its id is in flight for another client.
+    /// Another client's sequence with the same id is in flight.
     DuplicateId,
     /// The gateway's capacity is in use.
     AtCapacity {
-        /// How long the client is asked to wait before a retry, where settings allow it.
+        /// The time that the client is asked to wait before a retry. `None` if the settings configure no Retry-After.
         retry_after: Option<Nanos>,
     },
 }
 
-/// What the runtime is to do, in this order. `M` is the client's request.
+/// An instruction to the runtime, which executes commands in the order in which the table returns them. `M` is the type
+/// of a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<M> {
-    /// Send an attempt. Without an address or a request that is impossible: it is reported as not connected, though not
-    /// before the commands at hand are executed.
+    /// Send an attempt. If the address or the request is missing, the runtime reports the attempt as not connected, but
+    /// only after it has executed the other commands that were returned with this one.
     Send {
         /// The attempt.
         dispatch: Dispatch,
-        /// The address of its server.
+        /// The address of the model server.
         address: Option<SocketAddr>,
         /// The client's request.
         message: Option<M>,
@@ -35,21 +36,21 @@
     Cancel {
         /// The sequence.
         id: SequenceId,
-        /// The attempt.
+        /// The number of the attempt within its sequence.
         attempt: usize,
-        /// Why.
+        /// The reason for the cancellation.
         reason: CancelReason,
     },
-    /// Tell a prefill server to release a KV cache, and report its answer.
+    /// Send a release request for a KV cache to its prefill server, and report the answer.
     Release(CacheRelease),
-    /// Give the final answer: events at hand come before it, none after.
+    /// Give the final answer. The events that have already arrived precede the final answer, and no event follows.
     Answer {
         /// The sequence.
         id: SequenceId,
-        /// Its final answer.
+        /// The final answer.
         last: FinalAnswer,
     },
-    /// Forget a sequence: nothing is left of it.
+    /// Remove all state of a sequence, which has ended and left the table.
     Remove {
         /// The sequence.
         id: SequenceId,
--- a/gateway-core/src/request_table/passthrough/endpoint_directory.rs
+++ b/gateway-core/src/request_table/passthrough/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The addresses of model servers, and when each was last heard from.
+//! The addresses of model servers, and the time of each server's last response.
 
 use crate::send_gate::CurrentEndpoint;
 use petrelshore::interface::{Endpoint, EndpointState, Nanos, ServerId, SnapshotKind};
@@ -9,7 +9,7 @@
     address: SocketAddr,
     state: EndpointState,
     started_at: Nanos,
-    /// When it last answered anything.
+    /// The time at which the server last answered a request; zero before the first answer.
     last_response_at: Nanos,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl EndpointDirectory {
-    /// The endpoint list, or a change of it, arrived.
+    /// Applies the endpoint list or a change to it. A server that stays listed keeps the time of its last response.
     pub(super) fn update(&mut self, kind: SnapshotKind, listed: &[(Endpoint, SocketAddr)]) {
         let previous = match kind {
             SnapshotKind::Delta => BTreeMap::new(),
@@ -39,14 +39,14 @@
         self.endpoints.retain(|_, endpoint| endpoint.state != EndpointState::Gone);
     }
 
-    /// A server answered something.
+    /// Records that a server answered a request.
     pub(super) fn response_received(&mut self, now: Nanos, server: ServerId) {
         if let Some(endpoint) = self.endpoints.get_mut(&server) {
             endpoint.last_response_at = now;
         }
     }
 
-    /// Where a server is listed now.
+    /// The current entry of a server in the endpoint list.
     pub(super) fn current(&self, server: ServerId) -> Option<CurrentEndpoint> {
         self.endpoints.get(&server).map(|endpoint| CurrentEndpoint {
             address: endpoint.address,
@@ -63,7 +63,7 @@
         self.endpoints.values().map(|endpoint| endpoint.address).collect()
     }
 
-    /// Ready servers, each with when it was last heard from.
+    /// The ready servers, each with the time of its last response.
     pub(super) fn ready_servers(&self) -> Vec<(Nanos, ServerId)> {
         self.endpoints
             .iter()
--- a/gateway-core/src/request_table/store.rs
+++ b/gateway-core/src/request_table/store.rs
@@ -1,4 +1,4 @@
-//! The entries of a request table, with the capacity that they use and the releases that they leave.
+//! The entries of a request table, the capacity that they use, and their pending releases.
 
 use crate::cache_releases::{CacheRelease, CacheReleases, CacheState};
 use crate::capacity::{CapacityError, CapacityLimit, relative_priorities};
@@ -7,28 +7,28 @@
 use petrelshore::interface::{Deployment, Nanos, SequenceId, TrafficTypeId};
 use std::collections::HashMap;
 
-/// One request. `D` is what its kind of table knows of it.
+/// One request. `D` is the type of the state that is specific to the kind of request table.
 struct Entry<D> {
-    /// The client whose capacity it uses.
+    /// The client whose capacity the request uses.
     client: u64,
-    /// Whether it has its final answer.
+    /// Set once the request has its final answer.
     answered: bool,
     details: D,
 }
 
-/// What both request tables keep.
+/// The state that both request tables have in common.
 pub(super) struct RequestStore<D> {
     pub(super) manager: RequestManager,
     pub(super) releases: CacheReleases,
     pub(super) capacity: CapacityLimit,
     entries: HashMap<SequenceId, Entry<D>>,
-    /// Priority weight of each traffic type, against the highest.
+    /// Priority weight of each traffic type as a share of the highest weight.
     relative_priorities: Vec<f64>,
     max_retry_after: Option<Nanos>,
 }
 
 impl<D> RequestStore<D> {
-    /// An empty store for at most `max_requests` at once.
+    /// Creates an empty store for at most `max_requests` concurrent requests.
     pub(super) fn new(
         now: Nanos,
         deployment: Deployment,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes capacity for a request of a client.
+    /// Acquires capacity for a request of a client.
     pub(super) fn acquire_capacity(
         &mut self,
         now: Nanos,
@@ -56,17 +56,17 @@
         self.capacity.acquire(now, client, self.relative_priorities[traffic.0])
     }
 
-    /// How long a client without capacity is asked to wait.
+    /// The time that a client is asked to wait if its request was rejected for lack of capacity.
     pub(super) fn retry_after(&self, now: Nanos) -> Nanos {
         self.capacity.retry_after(now, self.max_retry_after)
     }
 
-    /// The same, where settings let rejections carry it.
+    /// The result of [`Self::retry_after`], or `None` if the settings configure no Retry-After for rejections.
     pub(super) fn configured_retry_after(&self, now: Nanos) -> Option<Nanos> {
         self.max_retry_after.map(|_| self.retry_after(now))
     }
 
-    /// Adds a request for which capacity was taken.
+    /// Adds a request for which capacity was acquired.
     pub(super) fn insert(&mut self, id: SequenceId, client: u64, details: D) {
         self.entries.insert(id, Entry { client, answered: false, details });
     }
@@ -83,24 +83,25 @@
         self.entries.get_mut(&id).map(|entry| &mut entry.details)
     }
 
-    /// The request, unless it has its final answer.
+    /// Returns the state of a request, unless the request is unknown or has its final answer.
     pub(super) fn get_unanswered(&self, id: SequenceId) -> Option<&D> {
         self.entries.get(&id).filter(|entry| !entry.answered).map(|entry| &entry.details)
     }
 
-    /// The request, unless it has its final answer.
+    /// Returns the state of a request, unless the request is unknown or has its final answer.
     pub(super) fn get_unanswered_mut(&mut self, id: SequenceId) -> Option<&mut D> {
         self.entries.get_mut(&id).filter(|entry| !entry.answered).map(|entry| &mut entry.details)
     }
 
-    /// Marks a request as answered. None if it is unknown or was answered before: each gets one final answer.
+    /// Marks a request as answered and returns its state. Returns `None` if the request is unknown or was already
+    /// answered: each request gets only one final answer.
     pub(super) fn mark_answered(&mut self, id: SequenceId) -> Option<&mut D> {
         let entry = self.entries.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
         Some(&mut entry.details)
     }
 
-    /// Removes a request and gives its capacity back.
+    /// Removes a request and releases its capacity.
     pub(super) fn remove(&mut self, now: Nanos, id: SequenceId) -> Option<RemovedRequest<D>> {
         let Entry { client, answered, details } = self.entries.remove(&id)?;
         self.capacity.release(now, client);
@@ -112,7 +113,7 @@
         self.entries.len()
     }
 
-    /// Sends a release request, and tracks it until its prefill server has answered.
+    /// Sends a release request, and tracks it until it is answered.
     pub(super) fn add_release<C: From<CacheRelease>>(
         &mut self,
         now: Nanos,
@@ -124,7 +125,7 @@
         commands.push(C::from(release));
     }
 
-    /// The next deadline of a sequence's timer or of a pending release.
+    /// The time of the next sequence timer or resend of a pending release, whichever is earlier.
     pub(super) fn next_timeout(&self) -> Option<Nanos> {
         self.manager.next_timeout().into_iter().chain(self.releases.next_timeout()).min()
     }
@@ -132,7 +133,7 @@
 
 /// A request that was removed.
 pub(super) struct RemovedRequest<D> {
-    /// Whether it had its final answer.
+    /// Set if the request had its final answer.
     pub(super) answered: bool,
     pub(super) details: D,
 }
