--- a/src/attempt_history.rs
+++ b/src/attempt_history.rs
@@ -1,13 +1,13 @@
-//! What the attempts of a sequence prove: whether one may have run, and since when a KV cache may be held.
+//! Conclusions from the attempts of a sequence: which attempt may have run, and since when servers may hold a KV cache.
 
 use crate::interface::{Attempt, AttemptStatus, Nanos, Outcome, Sequence, Step};
 
-/// The first attempt that may have taken effect. Prefills have none.
+/// The first attempt of a sequence that may have taken effect. Prefills have no effect and are skipped.
 pub fn first_possible_run(sequence: &Sequence) -> Option<&Attempt> {
     first_possible_run_of(&sequence.attempts)
 }
 
-/// The same of some attempts of a sequence.
+/// The first of the given attempts that may have taken effect. Prefills have no effect and are skipped.
 pub fn first_possible_run_of(attempts: &[Attempt]) -> Option<&Attempt> {
     attempts.iter().find(|attempt| attempt.step != Step::Prefill && !has_provably_not_run(attempt))
 }
@@ -17,10 +17,13 @@
     matches!(attempt.status, AttemptStatus::Finished(AtCapacity | KvCacheMissing | ConnectFailed | NeverSent))
 }
 
-/// Since when a KV cache may be held for a sequence with no attempt in flight, once this attempt has ended (rule 5).
-/// Every prefill that ran may have left one, whatever came back; a decode server that finds none leaves those of older
-/// prefills. The time starts again only where the server had the attempt: while connections fail to come up, or lose what
-/// is sent on them, it runs on.
+/// Since when prefill servers may hold a KV cache for a sequence, once `attempt` has ended and no attempt is in flight.
+/// The release timeout (rule 5) counts from this time.
+///
+/// Every prefill that may have run may have left a KV cache, whatever its outcome. A decode attempt that finds no KV
+/// cache accounts for only one of them: the KV caches of older prefills may still be held. The time starts again only
+/// if the server received the attempt. It keeps counting if no connection was established, or if the connection lost
+/// what was sent on it.
 pub fn cache_held_since(
     now: Nanos,
     sequence: &Sequence,
@@ -29,17 +32,17 @@
 ) -> Option<Nanos> {
     use Outcome::{ConnectFailed, KvCacheMissing, NeverSent};
     let is_missing = |a: &&Attempt| a.status == AttemptStatus::Finished(KvCacheMissing);
-    let left = sequence.attempts.iter().filter(|a| may_leave_kv_cache(a)).count();
-    let missing = sequence.attempts.iter().filter(is_missing).count();
+    let possible_caches = sequence.attempts.iter().filter(|a| may_leave_kv_cache(a)).count();
+    let missing_caches = sequence.attempts.iter().filter(is_missing).count();
     match sequence.cache_held_since {
         None => may_leave_kv_cache(attempt).then_some(now),
-        Some(_) if outcome == KvCacheMissing && left <= missing => None,
+        Some(_) if outcome == KvCacheMissing && possible_caches <= missing_caches => None,
         Some(since) if !attempt.delivered || matches!(outcome, ConnectFailed | NeverSent) => Some(since),
         Some(_) => Some(now),
     }
 }
 
-/// Whether an attempt is a prefill that may have run.
+/// Whether an attempt is a prefill that may have run, and so may have left a KV cache.
 fn may_leave_kv_cache(attempt: &Attempt) -> bool {
     use Outcome::{AtCapacity, ConnectFailed, NeverSent};
     let has_not_run =
--- a/src/bounded.rs
+++ b/src/bounded.rs
@@ -1,4 +1,4 @@
-//! A table of bounded size: when it is full, the entry that was written longest ago leaves.
+//! A hash table of bounded size: when it is full, a new key evicts the least recently written entry.
 
 use foldhash::HashMap;
 use std::collections::BTreeMap;
@@ -6,73 +6,77 @@
 
 struct Entry<V> {
     value: V,
-    /// The number of its last write.
-    written: u64,
+    /// The sequence number of the last write to the entry.
+    last_write: u64,
 }
 
-/// A bounded table. It is looked up by hash, but ordered by age alone, so that nothing depends on the order of hashes.
+/// A hash table of bounded size. Evictions and iteration follow the order of writes, so no result depends on the order
+/// of hashes.
 pub struct BoundedTable<K, V> {
     max_entries: usize,
     entries: HashMap<K, Entry<V>>,
-    by_age: BTreeMap<u64, K>,
+    /// Keys by the sequence numbers of their last writes.
+    by_last_write: BTreeMap<u64, K>,
+    /// The number of writes so far.
     writes: u64,
 }
 
 impl<K: Copy + Eq + Hash, V> BoundedTable<K, V> {
-    /// An empty table of so many entries at most, and of one at least.
+    /// An empty table that holds up to `max_entries` entries, but at least one.
     pub fn new(max_entries: usize) -> Self {
         BoundedTable {
             max_entries: max_entries.max(1),
             entries: HashMap::default(),
-            by_age: BTreeMap::new(),
+            by_last_write: BTreeMap::new(),
             writes: 0,
         }
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// The value of a key to be written, made by `new` where there is none.
+    /// Returns the value of a key for writing, and inserts the value of `new` first if the key is absent.
     pub fn entry_or_insert_with(&mut self, key: K, new: impl FnOnce() -> V) -> &mut V {
-        let written = self.record_write(key);
-        let entry = self.entries.entry(key).or_insert_with(|| Entry { value: new(), written });
-        entry.written = written;
+        let last_write = self.record_write(key);
+        let entry = self.entries.entry(key).or_insert_with(|| Entry { value: new(), last_write });
+        entry.last_write = last_write;
         &mut entry.value
     }
 
-    /// Writes the value of a key.
+    /// Sets the value of a key.
     pub fn insert(&mut self, key: K, value: V) {
-        let written = self.record_write(key);
-        self.entries.insert(key, Entry { value, written });
+        let last_write = self.record_write(key);
+        self.entries.insert(key, Entry { value, last_write });
     }
 
-    /// Counts a key as written now. Where it is new and the table full, the oldest entry is removed.
+    /// Makes a key the most recently written one and returns the sequence number of the write. If the key is new and
+    /// the table is full, the least recently written entry is evicted.
     fn record_write(&mut self, key: K) -> u64 {
         if let Some(known) = self.entries.get(&key) {
-            self.by_age.remove(&known.written);
+            self.by_last_write.remove(&known.last_write);
         } else if self.entries.len() >= self.max_entries
-            && let Some((_, oldest)) = self.by_age.pop_first()
+            && let Some((_, oldest)) = self.by_last_write.pop_first()
         {
             self.entries.remove(&oldest);
         }
         self.writes += 1;
-        self.by_age.insert(self.writes, key);
+        self.by_last_write.insert(self.writes, key);
         self.writes
     }
 
-    /// All values, the one written longest ago first.
+    /// All values, the least recently written first.
     pub fn values(&self) -> impl Iterator<Item = &V> {
-        self.by_age.values().filter_map(|key| self.get(key))
+        self.by_last_write.values().filter_map(|key| self.get(key))
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -1,42 +1,44 @@
-//! Sums that decay: each halves once a half-life, and is brought up to date when it is read.
+//! Exponentially decaying sums. Each sum halves once per half-life; the decay is computed when the sum is read.
 
 use crate::interface::Nanos;
 
-/// Nanoseconds of a second.
+/// The number of nanoseconds in a second.
 pub const NANOS_PER_SECOND: f64 = 1e9;
-/// Least part of the memory of a [`DecayingSum`] that a rate counts as filled.
+/// Lower bound of the filled share that [`DecayingSum::per_second`] divides by.
 const MIN_FILLED_SHARE: f64 = 0.05;
-/// Least decayed count of times that a quantile is taken of.
-const MIN_COUNT: f64 = 1e-3;
+/// The minimum decayed count of times for which a quantile is computed.
+const MIN_QUANTILE_COUNT: f64 = 1e-3;
 
-/// A sum of amounts, each of which halves once a half-life.
+/// A sum of amounts, each of which halves once per half-life.
 #[derive(Clone, Debug)]
 pub struct DecayingSum {
     value: f64,
-    /// When the value was right.
-    at: Nanos,
+    /// The time as of which `value` is the decayed sum.
+    updated_at: Nanos,
     half_life: Nanos,
 }
 
 impl DecayingSum {
-    /// An empty sum. The half-life is in nanoseconds.
+    /// An empty sum with a half-life in nanoseconds.
     pub fn new(half_life: Nanos) -> Self {
-        DecayingSum { value: 0.0, at: 0, half_life: half_life.max(1) }
+        DecayingSum { value: 0.0, updated_at: 0, half_life: half_life.max(1) }
     }
 
-    /// Adds an amount.
+    /// Adds an amount at the time `now`.
     pub fn add(&mut self, now: Nanos, amount: f64) {
         self.value = self.read(now) + amount;
-        self.at = now.max(self.at);
+        self.updated_at = now.max(self.updated_at);
     }
 
-    /// The sum as it is now.
+    /// The decayed sum at the time `now`.
     pub fn read(&self, now: Nanos) -> f64 {
-        let half_lives = now.saturating_sub(self.at) as f64 / self.half_life as f64;
+        let half_lives = now.saturating_sub(self.updated_at) as f64 / self.half_life as f64;
         self.value * (-half_lives).exp2()
     }
 
-    /// What a second has brought of late, where amounts have been counted since `start`.
+    /// The recent rate: the amount added per second, averaged with exponentially decaying weights. Amounts have been
+    /// counted since `start`. Shortly after `start` the sum has reached only a share of its steady state, the filled
+    /// share, so the rate is divided by that share.
     pub fn per_second(&self, now: Nanos, start: Nanos) -> f64 {
         let half_life = self.half_life as f64;
         let filled_share = 1.0 - (-(now.saturating_sub(start) as f64) / half_life).exp2();
@@ -45,7 +47,7 @@
     }
 }
 
-/// Times as decaying sums of their logarithms, for quantiles of late.
+/// The distribution of recent times, kept as decaying sums of their logarithms.
 #[derive(Clone, Debug)]
 pub struct DecayingTimes {
     count: DecayingSum,
@@ -54,13 +56,13 @@
 }
 
 impl DecayingTimes {
-    /// No times yet. The half-life is in nanoseconds.
+    /// A distribution without times, with a half-life in nanoseconds.
     pub fn new(half_life: Nanos) -> Self {
         let empty = DecayingSum::new(half_life);
         DecayingTimes { count: empty.clone(), sum: empty.clone(), sum_of_squares: empty }
     }
 
-    /// Adds a time; times below 1 count as 1.
+    /// Adds a time. Times below 1 count as 1.
     pub fn add(&mut self, now: Nanos, time: f64) {
         let log = time.max(1.0).ln();
         self.count.add(now, 1.0);
@@ -68,15 +70,16 @@
         self.sum_of_squares.add(now, log * log);
     }
 
-    /// The decayed count of times.
+    /// The decayed number of times.
     pub fn weight(&self, now: Nanos) -> f64 {
         self.count.read(now)
     }
 
-    /// The value so many standard deviations above the median, as if the logarithms were normal; none before any time.
+    /// The time that is `deviations` standard deviations above the median, on the assumption of a log-normal
+    /// distribution. `None` if the decayed number of times is close to zero.
     pub fn quantile(&self, now: Nanos, deviations: f64) -> Option<f64> {
         let count = self.count.read(now);
-        if count < MIN_COUNT {
+        if count < MIN_QUANTILE_COUNT {
             return None;
         }
         let mean = self.sum.read(now) / count;
@@ -85,7 +88,7 @@
     }
 }
 
-/// The share of events of late that count, of failures among attempts for example.
+/// The share of recent events that are counted, for example the share of attempts that failed.
 #[derive(Clone, Debug)]
 pub struct DecayingShare {
     all: DecayingSum,
@@ -93,18 +96,19 @@
 }
 
 impl DecayingShare {
-    /// No events yet. The half-life is in nanoseconds.
+    /// A share without events, with a half-life in nanoseconds.
     pub fn new(half_life: Nanos) -> Self {
         DecayingShare { all: DecayingSum::new(half_life), counted: DecayingSum::new(half_life) }
     }
 
-    /// Adds an event, and whether it counts.
-    pub fn add(&mut self, now: Nanos, counts: bool) {
+    /// Adds an event; `is_counted` tells whether the event is part of the share.
+    pub fn add(&mut self, now: Nanos, is_counted: bool) {
         self.all.add(now, 1.0);
-        self.counted.add(now, if counts { 1.0 } else { 0.0 });
+        self.counted.add(now, if is_counted { 1.0 } else { 0.0 });
     }
 
-    /// The share of those that count; `prior` is the share of one more event, and the result before any.
+    /// The share of events that are counted. One additional event enters with the share `prior`, which is the result
+    /// before the first event.
     pub fn share(&self, now: Nanos, prior: f64) -> f64 {
         (self.counted.read(now) + prior) / (self.all.read(now) + 1.0)
     }
--- a/src/fleet/candidates.rs
+++ b/src/fleet/candidates.rs
@@ -1,4 +1,4 @@
-//! The servers that a decision examines.
+//! Candidates: the servers that a decision examines.
 
 use super::hashing::rendezvous_rank;
 use super::index::Members;
@@ -8,17 +8,17 @@
 use crate::interface::{CellId, Role, ZoneId};
 use std::collections::BTreeMap;
 
-/// All servers, or some of them.
+/// The servers that a decision examines: all of the fleet or some of them.
 #[derive(Clone, Debug)]
 pub enum Candidates {
-    /// All that are known.
+    /// All servers of the fleet.
     All,
-    /// Those in these slots.
+    /// The servers in these slots.
     Slots(Vec<Slot>),
 }
 
 impl Candidates {
-    /// The servers in these slots, each of them once.
+    /// The servers in these slots, without duplicates.
     pub fn distinct(mut slots: Vec<Slot>) -> Self {
         slots.sort_unstable();
         slots.dedup();
@@ -26,18 +26,18 @@
     }
 }
 
-/// Servers that a sequence is bound to.
+/// The servers that a sequence is restricted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerScope {
-    /// Those of a zone.
+    /// The servers of a zone.
     Zone(ZoneId),
-    /// Those of a cell.
+    /// The servers of a cell.
     Cell(CellId),
-    /// None.
+    /// No servers.
     Empty,
 }
 
-/// Whether a server is in a scope; all are where there is none.
+/// Whether a server is in a scope. Without a scope every server is.
 pub fn in_scope(scope: Option<ServerScope>, server: &Server) -> bool {
     match scope {
         None => true,
@@ -48,7 +48,7 @@
 }
 
 impl Fleet {
-    /// The candidates, counted as they are examined.
+    /// Iterates over the candidates and counts each one as examined.
     pub fn among<'a>(&'a self, candidates: &'a Candidates) -> impl Iterator<Item = &'a Server> {
         let (all, slots) = match candidates {
             Candidates::All => (Some(self.values()), None),
@@ -58,7 +58,7 @@
         servers.inspect(|_| self.count_examined(1))
     }
 
-    /// Ready servers of a role in a scope, or in the fleet.
+    /// The ready servers of a role in a scope, or in the whole fleet where there is no scope.
     pub fn pool(&self, role: Role, scope: Option<ServerScope>) -> &Members {
         match scope {
             None => self.index().members(role, None),
@@ -68,7 +68,8 @@
         }
     }
 
-    /// The prefill server that is a key's affinity replica, in the zone that the key belongs to by this gateway's quotas.
+    /// The prefill server that is the affinity replica of a key. Weighted rendezvous hashing over this gateway's zone
+    /// quotas assigns the key to a zone, and the zone's hash ring assigns it to a server.
     pub fn affinity_replica(&self, key: u64, zones: &BTreeMap<ZoneId, ZoneQuota>) -> Option<Slot> {
         let used = zones.iter().filter(|(_, quota)| quota.gateway_quota > 0.0);
         let ranked =
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -1,4 +1,5 @@
-//! Servers by role, zone and cell, and sums over them. Built from the endpoint list, and rebuilt when that changes.
+//! An index of the servers by role, zone and cell, with sums over them. It is rebuilt when the endpoint list changes or
+//! a slow start ends.
 
 use super::ring::{Ring, RingMember};
 use super::server::{Server, Slot};
@@ -8,29 +9,29 @@
 /// Servers of one role that are listed as ready.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// Those whose slow start is over.
+    /// Servers whose slow start is over.
     pub warm: Vec<Slot>,
-    /// Those in slow start.
+    /// Servers in slow start.
     pub slow_start: Vec<Slot>,
 }
 
 impl Members {
-    /// How many there are.
+    /// The number of servers.
     pub fn len(&self) -> usize {
         self.warm.len() + self.slow_start.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// One of them by its number, the warm ones first.
-    pub fn get(&self, number: usize) -> Option<Slot> {
-        if let Some(slot) = self.warm.get(number) {
+    /// The server at an index, counted over the warm servers first and then over those in slow start.
+    pub fn get(&self, index: usize) -> Option<Slot> {
+        if let Some(slot) = self.warm.get(index) {
             return Some(*slot);
         }
-        self.slow_start.get(number.checked_sub(self.warm.len())?).copied()
+        self.slow_start.get(index.checked_sub(self.warm.len())?).copied()
     }
 
     fn add(&mut self, now: Nanos, slot: Slot, server: &Server) {
@@ -39,31 +40,31 @@
     }
 }
 
-/// Ready servers of each role, by its place in the enum.
+/// The ready servers of each role, indexed by [`Role`].
 type MembersByRole = [Members; 3];
 
-/// Where to find the servers of a fleet.
+/// Lookup tables for the ready servers of a fleet, and sums over its servers.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     by_role: MembersByRole,
     by_zone: BTreeMap<ZoneId, MembersByRole>,
     by_cell: BTreeMap<CellId, MembersByRole>,
     rings: BTreeMap<ZoneId, Ring>,
-    /// Weight of all prefill servers that have not gone.
-    prefill_weight: f64,
-    /// Weight of all other servers that have not gone.
-    answering_weight: f64,
-    /// How many prefill servers there are, ready or not.
+    /// The total weight of all prefill servers that are not gone.
+    prefill_pool_weight: f64,
+    /// The total weight of all decode and combined servers that are not gone.
+    decode_pool_weight: f64,
+    /// The number of known prefill servers, ready or not.
     prefill_servers: usize,
-    /// No servers, to be lent out.
+    /// No servers: returned by reference where a lookup finds none.
     empty: Members,
-    /// When the first slow start is over.
+    /// The earliest end of a slow start.
     valid_until: Nanos,
 }
 
 impl Index {
-    /// Indexes servers, given in the order of their ids. Rings of the previous index that are still right are reused: they
-    /// cost the most.
+    /// Indexes servers, which are given in the order of their ids. A hash ring of the previous index is reused if its
+    /// members are unchanged, as rings are the most expensive part of an index to build.
     pub fn new<'a>(
         now: Nanos,
         servers: impl Iterator<Item = (Slot, &'a Server)>,
@@ -90,17 +91,18 @@
         index
     }
 
-    /// Adds a server to the sums.
+    /// Adds a server, ready or not, to the sums.
     fn count(&mut self, server: &Server) {
         let is_prefill = server.role == Role::Prefill;
         self.prefill_servers += usize::from(is_prefill);
         if server.endpoint.state != EndpointState::Gone {
-            let weight = if is_prefill { &mut self.prefill_weight } else { &mut self.answering_weight };
+            let weight =
+                if is_prefill { &mut self.prefill_pool_weight } else { &mut self.decode_pool_weight };
             *weight += server.weight;
         }
     }
 
-    /// Adds a ready server.
+    /// Adds a ready server to the lookup tables.
     fn add(&mut self, now: Nanos, slot: Slot, server: &Server) {
         if server.in_slow_start(now) {
             self.valid_until = self.valid_until.min(server.slow_start_until);
@@ -111,12 +113,12 @@
         self.by_cell.entry(endpoint.cell).or_default()[role].add(now, slot, server);
     }
 
-    /// Until when the division into warm servers and those in slow start is right.
+    /// Until when the division into warm servers and servers in slow start is valid.
     pub fn valid_until(&self) -> Nanos {
         self.valid_until
     }
 
-    /// Ready servers of a role, of one zone or of all.
+    /// The ready servers of a role, in one zone or in all zones.
     pub fn members(&self, role: Role, zone: Option<ZoneId>) -> &Members {
         match zone {
             Some(zone) => self.by_zone.get(&zone).map_or(&self.empty, |roles| &roles[role as usize]),
@@ -124,30 +126,31 @@
         }
     }
 
-    /// Ready servers of a role in one cell.
+    /// The ready servers of a role in one cell.
     pub fn cell(&self, cell: CellId, role: Role) -> &Members {
         self.by_cell.get(&cell).map_or(&self.empty, |roles| &roles[role as usize])
     }
 
-    /// No servers.
+    /// An empty set of servers.
     pub fn empty(&self) -> &Members {
         &self.empty
     }
 
-    /// The hash ring of a zone's ready prefill servers.
+    /// The hash ring of the ready prefill servers of a zone.
     pub fn ring(&self, zone: ZoneId) -> Option<&Ring> {
         self.rings.get(&zone)
     }
 
-    /// The weight of the servers that share a role's traffic and have not gone: of the prefill servers, or of all others.
+    /// The total weight of the servers that share the traffic of a role and are not gone: of the prefill servers, or of
+    /// the decode and combined servers.
     pub fn pool_weight(&self, role: Role) -> f64 {
         match role {
-            Role::Prefill => self.prefill_weight,
-            Role::Decode | Role::Combined => self.answering_weight,
+            Role::Prefill => self.prefill_pool_weight,
+            Role::Decode | Role::Combined => self.decode_pool_weight,
         }
     }
 
-    /// How many prefill servers are known, ready or not.
+    /// The number of known prefill servers, ready or not.
     pub fn prefill_servers(&self) -> usize {
         self.prefill_servers
     }
--- a/src/fleet/medians.rs
+++ b/src/fleet/medians.rs
@@ -1,15 +1,15 @@
-//! Medians of measured values.
+//! Lower and upper medians.
 
-/// The two values in the middle of some values; the same one twice where their number is odd.
+/// The two middle values of a set of values. They are the same value if the number of values is odd.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Medians {
-    /// The lower of the two.
+    /// The lower of the two middle values.
     pub lower: f64,
-    /// The higher of the two.
+    /// The higher of the two middle values.
     pub upper: f64,
 }
 
-/// The medians of some values; none of no values. The values are reordered.
+/// Computes the medians of values, and reorders the values. `None` if there are no values.
 pub fn medians(values: &mut [f64]) -> Option<Medians> {
     if values.is_empty() {
         return None;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The model servers that a gateway knows, and how to find them: plain data, nothing here decides.
+//! The model servers that a gateway knows, and lookups of them. This module makes no decisions.
 //!
-//! [`Fleet`] keeps what is known of each [`Server`], and an [`Index`] of those that are listed as ready, so that a
-//! decision can turn to a few of them without scanning all. A [`Sampler`] draws from the index, a [`ServerScan`] goes over
-//! all servers a batch at a time.
+//! [`Fleet`] keeps the state of each [`Server`] and an [`Index`] of the servers that are listed as ready, so that a
+//! decision can examine a few servers without scanning all. A [`Sampler`] draws servers from the index; a
+//! [`ServerScan`] visits all servers in batches.
 
 mod candidates;
 mod hashing;
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -1,48 +1,49 @@
-//! Quotas of cells and zones, and the sums over the fleet that they are computed from.
+//! Prefill quotas of cells and zones, and the capacity sums over the fleet that they are computed from.
 
 use crate::interface::{CellId, Endpoint, ZoneId};
 use std::collections::BTreeMap;
 
-/// Least sum over all cells; capacities are divided by it.
+/// Lower bound of a sum over all cells, because capacities are divided by the sum.
 const MIN_SUM: f64 = 1e-9;
 
-/// What one server adds to the sums of its cell.
+/// The contribution of one server to the sums of its cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerCapacity {
-    /// Its weight, as far as it prefills.
+    /// The prefill capacity of the server, in units of endpoint weight.
     pub prefill: f64,
-    /// Its weight, as far as it decodes.
+    /// The decode capacity of the server, in units of endpoint weight.
     pub decode: f64,
-    /// The share of memory in use that it has reported.
+    /// The share of its memory in use that the server has reported.
     pub reported_memory_share: Option<f64>,
 }
 
-/// What the prefill and decode servers of a cell can do, as a sum or as a share of the fleet's, and its quota.
+/// The capacities of the prefill and decode servers of a cell, and its prefill quota. The capacities are sums of
+/// endpoint weights in [`CapacitySums`], and shares of the fleet's capacity in [`Quotas`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CellQuota {
-    /// The zone that the cell lies in.
+    /// The zone of the cell.
     pub zone: ZoneId,
-    /// Of its prefill servers.
+    /// The capacity of the cell's prefill servers.
     pub prefill_capacity: f64,
-    /// Of its decode servers.
+    /// The capacity of the cell's decode servers.
     pub decode_capacity: f64,
-    /// The share of all prefills that it should get.
+    /// The share of all prefills that the cell should get.
     pub prefill_quota: f64,
 }
 
 impl CellQuota {
-    /// What its decode servers can do beyond what is prefilled in it.
+    /// The decode capacity of the cell that its prefill quota leaves unused.
     pub fn spare_decode_capacity(&self) -> f64 {
         (self.decode_capacity - self.prefill_quota).max(0.0)
     }
 }
 
-/// A sum over all cells, never quite zero.
+/// The sum of a value over all cells, with a small lower bound so that it can be a divisor.
 pub fn sum_over(cells: &BTreeMap<CellId, CellQuota>, value: fn(&CellQuota) -> f64) -> f64 {
     cells.values().map(value).sum::<f64>().max(MIN_SUM)
 }
 
-/// Each zone's share of all prefills.
+/// The share of all prefills that each zone should get: the sum of its cells' quotas.
 pub fn prefills_by_zone(cells: &BTreeMap<CellId, CellQuota>) -> BTreeMap<ZoneId, f64> {
     let mut zones: BTreeMap<ZoneId, f64> = BTreeMap::new();
     for cell in cells.values() {
@@ -51,32 +52,32 @@
     zones
 }
 
-/// What a zone should get of all prefills, and of this gateway's.
+/// The share of all prefills that a zone should get, and the part of them that this gateway sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneQuota {
-    /// The share of all prefills that it should get.
+    /// The share of all prefills that the zone should get.
     pub prefill_quota: f64,
-    /// The part of that which this gateway should send it.
+    /// The part of `prefill_quota` that this gateway should send to the zone.
     pub gateway_quota: f64,
 }
 
-/// All quotas, as of the last scan of the fleet.
+/// The quotas of all cells and zones, as of the last scan of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Quotas {
-    /// By cell.
+    /// The capacities and quotas by cell.
     pub cells: BTreeMap<CellId, CellQuota>,
-    /// By zone.
+    /// The quotas by zone.
     pub zones: BTreeMap<ZoneId, ZoneQuota>,
-    /// The mean share of memory in use that servers which answer have reported.
+    /// The mean reported share of memory in use, over the decode and combined servers that have reported one.
     pub mean_reported_memory: f64,
-    /// Whether no decode server can take anything.
+    /// Whether no decode server of the fleet has capacity.
     pub no_decode_servers: bool,
 }
 
-/// Sums over all cells, as far as servers have been scanned.
+/// The sums of the capacities by cell, over the servers that have been scanned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CapacitySums {
-    /// By cell; quotas are zero.
+    /// The capacities by cell. The quotas are zero.
     pub cells: BTreeMap<CellId, CellQuota>,
     reported_memory: f64,
     reporting_servers: usize,
@@ -98,7 +99,7 @@
         self.reporting_servers += usize::from(capacity.reported_memory_share.is_some());
     }
 
-    /// The mean share of memory in use that servers have reported.
+    /// The mean reported share of memory in use, over the servers that have reported one.
     pub fn mean_reported_memory(&self) -> f64 {
         self.reported_memory / self.reporting_servers.max(1) as f64
     }
--- a/src/fleet/registry.rs
+++ b/src/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list, by their ids.
+//! The registry of the servers of the endpoint list, by their ids.
 
 use super::index::{Index, Members};
 use super::server::{Server, Slot};
@@ -8,9 +8,9 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Least memory of a server in tokens; loads are divided by it.
+/// Lower bound of the memory of a server in tokens, because loads are divided by the memory.
 const MIN_MEMORY_TOKENS: f64 = 1.0;
-/// Least weight of a server.
+/// Lower bound of the weight of a server.
 const MIN_WEIGHT: f64 = 1e-3;
 
 /// All servers that a gateway knows.
@@ -20,17 +20,18 @@
     slots: Vec<Server>,
     free_slots: Vec<Slot>,
     by_id: BTreeMap<ServerId, Slot>,
-    /// Starts of servers so far.
+    /// The number of server starts seen so far.
     generations: u64,
     ring_points: usize,
     index: Index,
-    /// Whether a list has come since the index was built.
+    /// Whether an endpoint list has been applied since the index was built.
     index_is_stale: bool,
+    /// The number of servers that decisions have examined.
     examined: Cell<u64>,
 }
 
 impl Fleet {
-    /// A fleet without servers. Each prefill server will have so many points on its zone's hash ring.
+    /// A fleet without servers. Each prefill server gets `ring_points` points on the hash ring of its zone.
     pub fn new(kinds: Vec<ServerKind>, weights: Weights, ring_points: usize) -> Self {
         Fleet {
             kinds,
@@ -46,17 +47,17 @@
         }
     }
 
-    /// Takes in the endpoint list, or what has changed in it. A server that is new, or has restarted, is made by
-    /// `new_server` from its entry; one that has gone stays for as long as an attempt is in flight to it.
+    /// Applies an endpoint list, or the changes to it. `new_server` creates a server that is new or has restarted from
+    /// its entry. A server that is gone is kept while an attempt to it is in flight.
     pub fn update(
         &mut self,
-        scope: SnapshotKind,
+        snapshot: SnapshotKind,
         entries: &[Endpoint],
         mut new_server: impl FnMut(&Endpoint) -> Server,
     ) {
         self.index_is_stale = true;
         self.remove_gone();
-        if scope != SnapshotKind::Delta {
+        if snapshot != SnapshotKind::Delta {
             self.mark_unlisted_gone(entries);
         }
         for entry in entries {
@@ -75,11 +76,11 @@
         let (slots, free_slots) = (&self.slots, &mut self.free_slots);
         self.by_id.retain(|_, slot| {
             let server = &slots[*slot];
-            let stays = server.endpoint.state != EndpointState::Gone || !server.in_flight.is_empty();
-            if !stays {
+            let is_kept = server.endpoint.state != EndpointState::Gone || !server.in_flight.is_empty();
+            if !is_kept {
                 free_slots.push(*slot);
             }
-            stays
+            is_kept
         });
     }
 
@@ -107,7 +108,7 @@
         slot
     }
 
-    /// Sets what a server has by its kind and its entry.
+    /// Sets the properties of a server that follow from its kind and its endpoint entry.
     fn apply_kind(&mut self, slot: Slot, entry: &Endpoint) {
         let kind = &self.kinds[entry.kind.0];
         let server = &mut self.slots[slot];
@@ -119,7 +120,8 @@
         };
     }
 
-    /// Rebuilds the index if a list has come since, or a server's slow start is over.
+    /// Rebuilds the index if an endpoint list has been applied since it was built, or if the slow start of a server has
+    /// ended.
     pub fn refresh(&mut self, now: Nanos) {
         if self.index_is_stale || now >= self.index.valid_until() {
             let servers = self.by_id.values().map(|slot| (*slot, &self.slots[*slot]));
@@ -134,22 +136,22 @@
         &self.index
     }
 
-    /// Ready servers of a role in one cell.
+    /// The ready servers of a role in one cell.
     pub fn cell(&self, cell: CellId, role: Role) -> &Members {
         self.index.cell(cell, role)
     }
 
-    /// How many servers decisions have examined so far, each time counted.
+    /// The number of servers that decisions have examined so far. A server counts each time it is examined.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
 
-    /// Counts servers that are examined.
+    /// Adds to the number of servers that decisions have examined.
     pub(super) fn count_examined(&self, servers: usize) {
         self.examined.set(self.examined.get() + servers as u64);
     }
 
-    /// How many servers are known.
+    /// The number of known servers.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -159,33 +161,33 @@
         self.by_id.is_empty()
     }
 
-    /// A server by its id.
+    /// Returns the server with an id.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.by_id.get(&id).map(|slot| &self.slots[*slot])
     }
 
-    /// A server by its id, to be changed.
+    /// Returns the server with an id, for modification.
     pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         let slot = self.by_id.get(&id)?;
         self.slots.get_mut(*slot)
     }
 
-    /// The slot of a server.
+    /// Returns the slot of the server with an id.
     pub fn slot(&self, id: ServerId) -> Option<Slot> {
         self.by_id.get(&id).copied()
     }
 
-    /// The server in a slot.
+    /// Returns the server in a slot.
     pub fn at(&self, slot: Slot) -> &Server {
         &self.slots[slot]
     }
 
-    /// All servers in the order of their ids.
+    /// Iterates over all servers in the order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &Server> + Clone {
         self.by_id.values().map(|slot| &self.slots[*slot])
     }
 
-    /// All servers from one id on, in the order of their ids.
+    /// Iterates over the servers whose ids are not below `first`, in the order of their ids.
     pub fn values_from(&self, first: ServerId) -> impl Iterator<Item = &Server> {
         self.by_id.range(first..).map(|(_, slot)| &self.slots[*slot])
     }
--- a/src/fleet/scan.rs
+++ b/src/fleet/scan.rs
@@ -1,11 +1,12 @@
-//! Scans of the whole fleet, a bounded number of servers at a time.
+//! Scans of the whole fleet, in batches of bounded size.
 
 use super::quotas::CapacitySums;
 use super::registry::Fleet;
 use super::server::Server;
 use crate::interface::ServerId;
 
-/// A scan of all servers in the order of their ids, in batches. What is listed meanwhile past its position is scanned too.
+/// A scan of all servers in the order of their ids, in batches. Servers that are listed during the scan are scanned too
+/// if their ids come after its position.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerScan {
     next_id: u64,
@@ -13,7 +14,7 @@
 }
 
 impl ServerScan {
-    /// The next servers, `max_servers` at most.
+    /// The next servers, at most `max_servers` of them.
     pub fn next_batch<'a>(&mut self, fleet: &'a Fleet, max_servers: usize) -> Vec<&'a Server> {
         let batch: Vec<&Server> = fleet.values_from(ServerId(self.next_id)).take(max_servers).collect();
         fleet.count_examined(batch.len());
@@ -23,21 +24,21 @@
         batch
     }
 
-    /// Whether it has come to the end.
+    /// Whether the scan has reached the last server.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 }
 
-/// A scan for quotas under way: first of response times, then of capacities.
+/// The state of a scan that computes quotas: first it collects response times, then it sums capacities.
 #[derive(Debug, Default)]
 pub struct FleetScan {
     /// The scan of response times.
     pub response_times: ServerScan,
-    /// For each role, the high response times of the servers scanned, in nanoseconds.
+    /// For each role, a high quantile of the response times of each scanned server, in nanoseconds.
     pub high_response_times: [Vec<f64>; 3],
     /// The scan of capacities.
     pub capacities: ServerScan,
-    /// Their sums so far.
+    /// The sums of the capacities of the servers scanned so far.
     pub sums: CapacitySums,
 }
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -1,63 +1,69 @@
-//! What a gateway knows of one model server.
+//! The state that a gateway keeps of one model server.
 
 use crate::decay::DecayingTimes;
 use crate::interface::{Endpoint, LoadReport, Nanos, Role, SequenceId};
 
-/// The place of a server in its fleet's memory. It is valid until the next endpoint list.
+/// The index of a server in the storage of its fleet. It is valid until the next endpoint list is applied.
 pub type Slot = usize;
 
 /// An attempt of this gateway that is in flight to a server.
 pub struct InFlightAttempt {
-    /// The sequence that it is an attempt of.
+    /// The sequence that the attempt belongs to.
     pub sequence: SequenceId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Nanos,
-    /// Tokens that it loads the server with.
+    /// The load that the attempt puts on the server, in tokens.
     pub load_tokens: f64,
-    /// Whether its first token is to show, and has not come yet.
+    /// Whether the attempt shows progress before the whole answer is complete (see
+    /// [`Deployment::shows_progress`](crate::interface::Deployment::shows_progress)) and its first token has not come.
     pub awaits_first_token: bool,
 }
 
-/// A model server, as its endpoint, its load reports and this gateway's attempts show it.
+/// The state of a model server, from its endpoint entry, its load reports and this gateway's attempts.
 pub struct Server {
-    /// Its last entry in the endpoint list.
+    /// The last entry of the server in the endpoint list.
     pub endpoint: Endpoint,
-    /// What it does of a sequence.
+    /// The steps of a sequence that the server runs.
     pub role: Role,
-    /// Its size against others of its kind; 1 where weights do not count.
+    /// The size of the server relative to other servers of its kind; 1 where weights are not used.
     pub weight: f64,
-    /// Tokens of KV cache that it holds.
+    /// The capacity of the server's KV cache memory, in tokens.
     pub memory_tokens: f64,
-    /// Another number for each start of a server: what was measured of an older start is not found by it.
+    /// A number that is unique for each start of a server. Measurements are stored under it, so that measurements
+    /// from before a restart are no longer found.
     pub generation: u64,
-    /// Its last load report.
+    /// The last load report of the server.
     pub report: LoadReport,
-    /// When that came; zero before any.
+    /// When the last load report arrived; zero before the first one.
     pub reported_at: Nanos,
-    /// This gateway's attempts that are in flight to it, the oldest first.
+    /// This gateway's attempts in flight to the server, the oldest first.
     pub in_flight: Vec<InFlightAttempt>,
-    /// When anything last came from it.
+    /// When the gateway last received a response from the server; zero before the first one.
     pub last_heard_at: Nanos,
-    /// Its response times of late.
+    /// The recent response times of the server, in nanoseconds.
     pub response_times: DecayingTimes,
-    /// Until when it is ejected.
+    /// Until when the server is ejected.
     pub ejected_until: Nanos,
-    /// When its slow start is over.
+    /// When the slow start of the server ends.
     pub slow_start_until: Nanos,
-    /// When it was last sent something, or first listed.
+    /// When this gateway last sent the server an attempt, or first saw the server listed.
     pub slow_start_sent_at: Nanos,
-    /// The part of a slow-start interval to be kept since then.
+    /// The wait during slow start from `slow_start_sent_at` to the next send, as a multiple of the interval that the
+    /// slow-start budget allows for a request of mean size. Before the first send it is a random part of the interval.
     pub slow_start_cost: f64,
-    /// Prompt tokens that this gateway has sent it to prefill.
+    /// The number of prompt tokens that this gateway has sent the server to prefill.
     pub prefilled_tokens: f64,
-    /// How many of those it had evicted from its cache, when a prefill last showed that.
+    /// The value of `prefilled_tokens` when a prefill last showed that the server had evicted a prefix that it was
+    /// expected to have cached. Prefixes sent before count as evicted.
     pub evicted_tokens: f64,
-    /// Settles ties of ranks. It is drawn by each gateway, so that they do not all select the same server.
+    /// Breaks ties between servers of equal rank. Each gateway draws its own random number, so that gateways do not all
+    /// select the same server.
     pub tie_breaker: f64,
 }
 
 impl Server {
-    /// A server as it is first listed, in slow start until `slow_start_until`. Its response times have this half-life.
+    /// A server that was first listed at `now` and is in slow start until `slow_start_until`. `half_life` is the
+    /// half-life of its response times.
     pub fn new(
         now: Nanos,
         endpoint: Endpoint,
@@ -86,17 +92,19 @@
         }
     }
 
-    /// Whether it started so recently that it is in slow start.
+    /// Whether the server is in slow start at the time `now`.
     pub fn in_slow_start(&self, now: Nanos) -> bool {
         now < self.slow_start_until
     }
 
-    /// Tokens of this gateway's attempts in flight, of those sent since then.
+    /// The load of this gateway's attempts in flight that were sent at `since` or later, in tokens.
     pub fn own_tokens_since(&self, since: Nanos) -> f64 {
         self.in_flight.iter().filter(|a| a.sent_at >= since).map(|a| a.load_tokens).sum()
     }
 
-    /// How long the oldest attempt without a first token has waited, as far as nothing has been heard since it was sent.
+    /// How long the server has been silent while an attempt awaits its first token: the time since the oldest of these
+    /// attempts was sent, or since the last response from the server if that came later. Zero if no attempt awaits a
+    /// token.
     pub fn silence(&self, now: Nanos) -> Nanos {
         let waiting = self.in_flight.iter().filter(|a| a.awaits_first_token);
         let oldest = waiting.map(|a| a.sent_at).min();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,104 +1,106 @@
-//! The plain types that cross into and out of the scheduler. Nothing here decides.
+//! The plain data types of the scheduler's inputs and outputs. This module makes no decisions.
 //!
-//! Times are readings of one monotonic clock, and spans on it, both in nanoseconds. Amounts of work are tokens.
+//! Times are readings of one monotonic clock, and durations are differences of such readings, both in nanoseconds.
+//! Amounts of work are counted in tokens.
 
-/// Nanoseconds: a reading of the monotonic clock, or a span on it.
+/// Nanoseconds: a reading of the monotonic clock, or a duration on that clock.
 pub type Nanos = u64;
 
-/// Names one sequence at a gateway.
+/// Identifies a sequence at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SequenceId(pub u64);
-/// Names a model server, the same at every gateway.
+/// Identifies a model server. All gateways use the same id for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerId(pub u64);
-/// Names a conversation whose turns share a growing prompt.
+/// Identifies a conversation whose turns share a growing prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SessionId(pub u64);
-/// Names a prompt prefix that many sequences share.
+/// Identifies a prompt prefix that many sequences share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PrefixId(pub u64);
-/// Names a group of servers within which a KV cache moves fast.
+/// Identifies a cell: a group of servers within which KV caches are transferred fast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CellId(pub i64);
-/// A zone, by its place in the settings.
+/// Identifies a zone by its index in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
-/// A kind of server, by its place in [`Deployment::kinds`].
+/// Identifies a kind of server by its index in [`Deployment::kinds`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerKindId(pub usize);
-/// A traffic type, by its place in [`Deployment::types`].
+/// Identifies a traffic type by its index in [`Deployment::types`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TrafficTypeId(pub usize);
-/// A tenant, by its place in [`Deployment::tenants`].
+/// Identifies a tenant by its index in [`Deployment::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Everything a gateway knows of its service before it takes a request: its settings.
+/// The settings of a gateway: all that the gateway knows about the service before the first request arrives.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Gateways that share the fleet.
+    /// The number of gateways that share the fleet.
     pub gateways: usize,
-    /// The zone that this gateway stands in.
+    /// The zone that this gateway runs in.
     pub zone: ZoneId,
-    /// Traffic types, named by their place.
+    /// The traffic types, indexed by [`TrafficTypeId`].
     pub types: Vec<TrafficType>,
-    /// Kinds of servers, named by their place.
+    /// The kinds of servers, indexed by [`ServerKindId`].
     pub kinds: Vec<ServerKind>,
-    /// Tenants, named by their place.
+    /// The tenants, indexed by [`TenantId`].
     pub tenants: Vec<Tenant>,
-    /// What the priority weight of a tenant over its quota is multiplied by.
+    /// The factor on the priority weight of requests of a tenant that exceeds its quota.
     pub over_quota_factor: f64,
-    /// Whether endpoint weights count.
+    /// Whether endpoint weights are used.
     pub weights: Weights,
-    /// How the endpoint list comes.
+    /// Whether the endpoint list is watched or polled.
     pub discovery: Discovery,
-    /// The longest pause between two polls of the endpoint list.
+    /// The maximum interval between two polls of the endpoint list.
     pub max_poll_interval: Nanos,
-    /// Attempts that one sequence may take, prefill and decode counted apart.
+    /// The maximum number of attempts per sequence; a prefill and a decode count as two attempts.
     pub max_attempts: usize,
-    /// The longest Retry-After; none where rejections carry none.
+    /// The maximum Retry-After of a rejection; `None` where rejections carry no Retry-After.
     pub max_retry_after: Option<Nanos>,
-    /// Whether decode servers also take sequences from their prompt on.
+    /// Whether decode servers also run whole sequences, from prompt to answer.
     pub decode_servers_prefill: bool,
-    /// How long a KV cache may stay reserved with no attempt in flight.
+    /// How long a KV cache may stay reserved while no attempt is in flight.
     pub release_timeout: Nanos,
-    /// How long a server that started is in slow start.
+    /// How long a server is in slow start after it has started.
     pub slow_start_duration: Nanos,
-    /// The share of its capacity that a server has as it starts.
+    /// The share of its full capacity that a server has when it starts.
     pub slow_start_initial_share: f64,
-    /// A server in slow start falls over when it gets so many times its present capacity.
+    /// The load at which a server in slow start fails, as a multiple of its present capacity.
     pub slow_start_overload_factor: f64,
-    /// Over which time that is counted.
+    /// The window over which that load is counted.
     pub slow_start_window: Nanos,
-    /// A timer may fire this much later than it was set for.
+    /// The maximum delay of a timer after the time that it was set for.
     pub timer_resolution: Nanos,
-    /// By which clock endpoint lists tell when servers started.
+    /// The clock of the server start times in endpoint lists.
     pub start_time_clock: StartTimeClock,
 }
 
 impl Deployment {
-    /// Whether a server of this role takes sequences from their prompt to their last token.
+    /// Whether servers of a role run whole sequences, from prompt to answer.
     pub fn serves_combined(&self, role: Role) -> bool {
         role == Role::Combined || (role == Role::Decode && self.decode_servers_prefill)
     }
 
-    /// Whether servers of any kind do.
+    /// Whether servers of any kind run whole sequences, from prompt to answer.
     pub fn any_kind_serves_combined(&self) -> bool {
         self.kinds.iter().any(|kind| self.serves_combined(kind.role))
     }
 
-    /// Whether a step shows progress before all of it is done: a buffered answer does not.
+    /// Whether an attempt at a step shows progress before the whole answer is complete. A prefill and a streamed answer
+    /// do, a buffered answer does not.
     pub fn shows_progress(&self, traffic: TrafficTypeId, step: Step) -> bool {
         step == Step::Prefill || self.types[traffic.0].delivery == Delivery::Streamed
     }
 
-    /// A type's priority weight as a share of the highest.
+    /// The priority weight of a traffic type as a share of the highest priority weight of all types.
     pub fn relative_priority(&self, traffic: TrafficTypeId) -> f64 {
         let highest = self.types.iter().map(|t| t.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         self.types[traffic.0].priority_weight / highest
     }
 
-    /// The latency objective of a sequence: the time to its first token.
+    /// The latency objective of a sequence: the time from its arrival to its first token. It grows with the prompt.
     pub fn slo(&self, sequence: &Sequence) -> Nanos {
         let traffic = &self.types[sequence.traffic.0];
         let for_prompt = (sequence.prompt_tokens * traffic.slo_per_prompt_token as f64) as Nanos;
@@ -106,253 +108,256 @@
     }
 }
 
-/// By which clock endpoint lists tell when servers started.
+/// The clock of the server start times in endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartTimeClock {
-    /// The monotonic clock that the scheduler is told the time by.
+    /// The monotonic clock whose readings the scheduler gets as `now`.
     Local,
-    /// The wall clocks of other machines, which may be wrong, and be stepped.
+    /// The wall clocks of other machines, which may be wrong and may be stepped.
     Wall,
 }
 
-/// A class of requests with terms in common.
+/// A class of requests with the same objectives and guarantees.
 #[derive(Clone, Debug)]
 pub struct TrafficType {
-    /// What an answer in time is worth, against the other types.
+    /// The value of an answer within its latency objective, relative to the other types.
     pub priority_weight: f64,
-    /// The time to the first token of an empty prompt.
+    /// The latency objective for an empty prompt: the time to its first token.
     pub latency_slo: Nanos,
-    /// What each prompt token adds to it.
+    /// The time that each prompt token adds to the latency objective.
     pub slo_per_prompt_token: Nanos,
-    /// Usual time between two tokens of an answer.
+    /// The usual time between two tokens of an answer.
     pub token_interval: Nanos,
-    /// Whether an attempt may run twice.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// How its answers come.
+    /// Whether answers are streamed or buffered.
     pub delivery: Delivery,
 }
 
-/// What shows of an answer before its end.
+/// Whether the client gets an answer token by token or all at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Its first token, and each one after.
+    /// Each token of the answer is sent as soon as it is decoded.
     Streamed,
-    /// Nothing.
+    /// Nothing of the answer is sent before it is complete.
     Buffered,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may: another run has no further effect.
+    /// The request may run any number of times: further runs have no further effect.
     Idempotent,
-    /// Servers of one scope know its idempotency key, and run it once, until the window from its first run is over.
+    /// The request has an idempotency key. Servers of one scope share their keys and run the request once, until the
+    /// window that begins with its first run has passed.
     Keyed {
-        /// Which servers know each other's keys.
+        /// The servers that share their idempotency keys.
         scope: KeyScope,
-        /// How long they remember a key.
+        /// How long servers remember a key.
         window: Nanos,
     },
-    /// It may not.
+    /// The request may run only once.
     AtMostOnce,
 }
 
-/// Which servers know each other's idempotency keys.
+/// The servers that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All of them.
+    /// All servers.
     Fleet,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
 /// A kind of model server.
 #[derive(Clone, Debug)]
 pub struct ServerKind {
-    /// What it does of a sequence.
+    /// The steps of a sequence that servers of this kind run.
     pub role: Role,
-    /// Tokens of KV cache that it holds.
+    /// The capacity of a server's KV cache memory, in tokens.
     pub memory_tokens: f64,
 }
 
-/// What a server does of a sequence.
+/// The steps of a sequence that a server runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Prefills prompts, and keeps each KV cache until a decode server has fetched it.
     Prefill,
     /// Fetches KV caches and decodes answers.
     Decode,
-    /// Both.
+    /// Prefills prompts and decodes their answers.
     Combined,
 }
 
-/// A tenant, and its quota.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its quota of requests per second, over all gateways.
+    /// The tenant's quota in requests per second, over all gateways.
     pub per_second: f64,
 }
 
-/// Whether endpoint weights count.
+/// Whether endpoint weights are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// A weight is a server's size against the others of its kind.
+    /// A weight is the size of a server relative to other servers of its kind.
     Size,
-    /// All servers of a kind count alike.
+    /// Weights are ignored: all servers of a kind have the same size.
     Unused,
 }
 
-/// How the endpoint list comes.
+/// Whether the endpoint list is watched or polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// It is watched: changes come by themselves.
+    /// The gateway watches the list: changes are pushed to it.
     Pushed,
-    /// It is polled.
+    /// The gateway polls the list.
     Polled,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server that it is about.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// Its kind.
+    /// The kind of the server.
     pub kind: ServerKindId,
-    /// Its cell.
+    /// The cell of the server.
     pub cell: CellId,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: ZoneId,
-    /// Its size against others of its kind, where weights count.
+    /// The size of the server relative to other servers of its kind, where weights are used.
     pub weight: f64,
-    /// When it last started; zero: long ago.
+    /// When the server last started; zero stands for a start long ago.
     pub started_at: Nanos,
-    /// Whether it may be sent anything.
+    /// Whether the server takes new work.
     pub state: EndpointState,
 }
 
-/// Whether an endpoint may be sent anything.
+/// Whether a server takes new work, by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// The server takes new work.
     Ready,
-    /// It finishes what it has.
+    /// The server finishes the work that it has and takes no new work.
     Draining,
-    /// It is listed no more.
+    /// The server is no longer listed.
     Gone,
 }
 
-/// What a list of endpoints stands for.
+/// Which endpoints a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotKind {
-    /// All endpoints there are.
+    /// All current endpoints.
     Full,
-    /// All that were known when the list was stored.
+    /// All endpoints that were known when the list was stored.
     Cached,
-    /// Those that have changed.
+    /// Only the endpoints that have changed.
     Delta,
 }
 
-/// The load that a server reports of itself, as far as this deployment's reports go.
+/// The load that a server reports. Values that the servers of this deployment don't report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Share of its KV cache memory in use.
+    /// The share of the server's KV cache memory that is in use.
     pub memory_share: Option<f64>,
-    /// Prompt tokens that wait for their prefill.
+    /// The number of prompt tokens that wait to be prefilled.
     pub queued_prompt_tokens: Option<f64>,
-    /// Sequences that it has in flight, those that wait among them.
+    /// The number of sequences in flight at the server, including those that wait.
     pub in_flight: Option<f64>,
 }
 
-/// A sequence in flight: what its client asked, and what was attempted.
+/// A sequence in flight: the request of its client and its attempts so far.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// Its name at this gateway.
+    /// The id of the sequence at its gateway.
     pub id: SequenceId,
-    /// Its traffic type.
+    /// The traffic type of the sequence.
     pub traffic: TrafficTypeId,
-    /// Whose quota it counts to.
+    /// The tenant whose quota the sequence counts toward.
     pub tenant: Option<TenantId>,
-    /// The conversation that it belongs to.
+    /// The conversation that the sequence belongs to.
     pub session: Option<SessionId>,
-    /// The prefix that its prompt shares with others.
+    /// The prefix that the prompt shares with other sequences.
     pub prefix: Option<PrefixId>,
-    /// Length of its prompt.
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: f64,
-    /// Length of that prefix.
+    /// The length of the shared prefix, in tokens.
     pub prefix_tokens: f64,
-    /// Most tokens that its answer may have.
+    /// The maximum length of the answer, in tokens.
     pub max_output_tokens: f64,
-    /// Rough length of the answer, as time at the type's token interval.
+    /// The approximate length of the answer, as the time that it takes at the traffic type's token interval.
     pub output_length_hint: Option<Nanos>,
-    /// Whether it asks for the rest of an answer that broke off.
+    /// Whether the request continues an answer whose stream broke off.
     pub resumed: bool,
-    /// When it came in.
+    /// When the request arrived.
     pub arrived_at: Nanos,
-    /// When it is given up if no token has come.
+    /// When the sequence is given up if its first token has not come.
     pub first_token_deadline: Nanos,
-    /// Its attempts, the last one in flight or none.
+    /// The attempts in the order in which they were sent. Only the last one may be in flight.
     pub attempts: Vec<Attempt>,
-    /// Where its KV cache waits for a decode server.
+    /// The prefill server whose KV cache a decode server may fetch.
     pub kv_cache: Option<KvCacheLocation>,
-    /// Since when prefill servers may hold a KV cache for it while no server has an attempt: what rule 5 counts.
+    /// Since when prefill servers may hold a KV cache for the sequence while no attempt is in flight. The release
+    /// timeout (rule 5) counts from this time.
     pub cache_held_since: Option<Nanos>,
-    /// Whether it was let past admission control.
+    /// Whether the sequence has passed admission control.
     pub admitted: bool,
-    /// Whether it has its final answer.
+    /// Whether the sequence has its final answer.
     pub completed: bool,
 }
 
-/// A prefill server whose memory holds a sequence's KV cache.
+/// The prefill server that holds the KV cache of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KvCacheLocation {
     /// The prefill server.
     pub server: ServerId,
-    /// When its prefill ended.
+    /// When the prefill ended.
     pub since: Nanos,
 }
 
 /// One attempt at a step of a sequence.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// When that was decided.
+    /// When the scheduler decided to send the attempt.
     pub sent_at: Nanos,
-    /// What it is to do.
+    /// The step that the server is to run.
     pub step: Step,
-    /// How far it is.
+    /// The progress or the outcome of the attempt.
     pub status: AttemptStatus,
-    /// Its server has it, as far as its socket proves: until then it is not in flight, as rule 5 counts.
+    /// Whether the server has received the attempt, as far as the gateway's socket proves it. Until then the attempt
+    /// does not count as in flight for the release timeout (rule 5).
     pub delivered: bool,
-    /// Tokens this attempt was thought to load its server with.
+    /// The estimated load that the attempt puts on its server, in tokens.
     pub load_tokens: f64,
-    /// Prompt tokens that its server was thought to have cached.
+    /// The estimated number of prompt tokens that the server had cached.
     pub expected_cached_tokens: f64,
 }
 
-/// What an attempt does of its sequence.
+/// The part of a sequence that an attempt runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The prompt, whose KV cache then waits at its server.
+    /// The server prefills the prompt and holds the KV cache.
     Prefill,
-    /// The answer, beside the prefill server: its cell holds the KV cache.
+    /// The server decodes the answer in the cell of the prefill server, where the KV cache is.
     Decode,
-    /// The answer, out of the prefill server's cell: the KV cache has to be migrated.
+    /// The server decodes the answer in another cell than the prefill server's: the KV cache has to be migrated.
     MigratedDecode,
-    /// Both, at one server.
+    /// One server prefills the prompt and decodes the answer.
     Combined,
 }
 
-/// How far an attempt is.
+/// The progress or the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptStatus {
-    /// It was sent, and nothing has come back.
+    /// The attempt was sent and has had no response.
     InFlight,
-    /// Its first token has come.
+    /// The first token has come.
     Streaming,
-    /// It is over.
+    /// The attempt has ended.
     Finished(Outcome),
 }
 
@@ -361,60 +366,60 @@
 pub enum Outcome {
     /// The answer is complete.
     Completed,
-    /// Its server failed, or answered what the protocol does not allow.
+    /// The server failed, or its response violated the protocol.
     Error,
-    /// Its server had no capacity, and has not begun.
+    /// The server had no capacity and did not start the attempt.
     AtCapacity,
-    /// The KV cache that it was to fetch is not there.
+    /// The prefill server did not hold the KV cache that the attempt was to fetch.
     KvCacheMissing,
-    /// Its time was over.
+    /// The attempt timed out.
     TimedOut,
-    /// No connection came up.
+    /// No connection to the server could be established.
     ConnectFailed,
-    /// Its connection broke.
+    /// The connection broke.
     Reset,
-    /// The gateway broke it off.
+    /// The gateway cancelled the attempt.
     Cancelled,
-    /// It never left the gateway.
+    /// The attempt never left the gateway.
     NeverSent,
-    /// The prompt is prefilled and its KV cache waits.
+    /// The prompt is prefilled, and the prefill server holds the KV cache.
     PrefillDone {
-        /// Prompt tokens that the server had cached before.
+        /// The number of prompt tokens that the server had already cached.
         cached_tokens: f64,
     },
 }
 
-/// Where to send a sequence now, or not yet, or never.
+/// The decision on a sequence: send it to a server, wait, or end it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// To this server, as the attempt that was added to the sequence.
+    /// Send the attempt that was added to the sequence to this server.
     Send(ServerId),
-    /// Nowhere yet.
+    /// Send nothing yet.
     Wait,
-    /// Nowhere: a retry of its client is harmless.
+    /// Reject the sequence: a retry by its client is harmless.
     Reject {
-        /// How long the client is asked to wait before that.
+        /// How long the client is asked to wait before it retries.
         retry_after: Option<Nanos>,
-        /// Whether servers may hold a KV cache for it.
+        /// Whether servers may hold a KV cache for the sequence.
         release: bool,
     },
-    /// Nowhere, and nothing is promised.
+    /// Abort the sequence. Unlike a rejection, this doesn't promise that a retry is harmless.
     Abort {
-        /// Whether servers may hold a KV cache for it.
+        /// Whether servers may hold a KV cache for the sequence.
         release: bool,
     },
 }
 
-/// What follows the outcome of an attempt.
+/// What the gateway does after the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Schedule the sequence again.
     Schedule,
-    /// Nothing: another attempt is in flight, or the outcome was known.
+    /// Do nothing: another attempt is in flight, or the outcome was already known.
     Wait,
-    /// The sequence is complete.
+    /// Complete the sequence.
     Complete {
-        /// Whether servers may hold a KV cache for it.
+        /// Whether servers may hold a KV cache for the sequence.
         release: bool,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! petrelshore decides where the prompt of a language-model sequence is prefilled and where its answer is decoded.
 //!
-//! [`Scheduler`] decides. [`interface`] holds the plain types that go into and out of it, [`fleet`] the servers that it
-//! knows, and [`statistics`] what it has measured.
+//! [`Scheduler`] makes the decisions. [`interface`] defines the plain types of its inputs and outputs, [`fleet`] keeps
+//! the servers that it knows, and [`statistics`] its measurements.
 
 pub mod attempt_history;
 pub mod bounded;
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,120 +1,123 @@
-//! What a gateway has measured of late: decaying sums and bounded tables. Plain data, nothing here decides.
+//! Recent measurements of a gateway, in decaying sums and bounded tables. This module makes no decisions.
 
 use crate::bounded::BoundedTable;
 use crate::decay::{DecayingShare, DecayingSum, DecayingTimes};
 use crate::fleet::Server;
 use crate::interface::{Nanos, PrefixId, Sequence, ServerId, SessionId, TenantId, TrafficTypeId};
 
-/// Least divisor of a mean.
+/// Lower bound of the count that a mean is divided by.
 const MIN_COUNT: f64 = 1e-9;
 
-/// Requests that a server may treat apart.
+/// A class of requests that a server may treat differently from others, for example by rejecting them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestClass {
-    /// Their traffic type.
+    /// The traffic type of the requests.
     pub traffic: TrafficTypeId,
-    /// Whose they are.
+    /// The tenant of the requests.
     pub tenant: Option<TenantId>,
 }
 
 impl RequestClass {
-    /// The class of a sequence.
+    /// The class that a sequence belongs to.
     pub fn of(sequence: &Sequence) -> Self {
         RequestClass { traffic: sequence.traffic, tenant: sequence.tenant }
     }
 }
 
-/// A class of requests at one start of a server.
+/// A class of requests at one server, the key of a measurement. Measurements from before a restart of the
+/// server have another generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServerClass {
-    /// The server's generation.
+    /// The generation of the server.
     pub generation: u64,
-    /// The class.
+    /// The class of requests.
     pub class: RequestClass,
 }
 
-/// A prefix of prompts that servers cache.
+/// A prompt prefix that servers cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PrefixKey {
-    /// What the turns of a session have in common.
+    /// The prompt that the turns of a session have in common.
     Session(SessionId),
-    /// What many sequences have in common.
+    /// A prefix that many sequences have in common.
     Shared(PrefixId),
 }
 
-/// A prefix at one start of a server.
+/// A prefix at one server, the key of a measurement. Measurements from before a restart of the server have
+/// another generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServerPrefix {
-    /// The server's generation.
+    /// The generation of the server.
     pub generation: u64,
-    /// The prefix.
+    /// The prompt prefix.
     pub prefix: PrefixKey,
 }
 
-/// A prefix that a server was sent.
+/// A prefix that was sent to a server, which should have it cached until it is evicted.
 #[derive(Clone, Copy, Debug)]
 pub struct CachedPrefix {
-    /// Its length.
+    /// The length of the prefix, in tokens.
     pub tokens: f64,
-    /// Prompt tokens that the server had been sent to prefill before.
+    /// The number of prompt tokens that this gateway had sent the server to prefill before this prefix.
     pub prefilled_before: f64,
 }
 
-/// How long measurements count (half-lives in nanoseconds), and how many entries each table has at most.
+/// The half-lives of the measurements, in nanoseconds, and the maximum numbers of entries of the tables.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// Half-life of response times and rates.
+    /// The half-life of response times and rates.
     pub measurements: Nanos,
-    /// Half-life of the prefill pace.
+    /// The half-life of the prefill speed.
     pub prefills: Nanos,
-    /// Half-life of sends and misses of shared prefixes.
+    /// The half-life of sends and cache misses of shared prefixes.
     pub prefixes: Nanos,
-    /// Classes of requests.
+    /// The maximum number of classes of requests.
     pub max_classes: usize,
-    /// Classes of requests at a server, over all servers.
+    /// The maximum number of pairs of a server and a class of requests.
     pub max_server_classes: usize,
-    /// Prefixes at a server, over all servers; and prefixes whose last servers are known.
+    /// The maximum number of pairs of a server and a prefix, and of prefixes whose most recent servers are remembered.
     pub max_cached_prefixes: usize,
-    /// Shared prefixes whose sends are counted.
+    /// The maximum number of shared prefixes whose sends are counted.
     pub max_shared_prefixes: usize,
 }
 
-/// What a gateway has measured.
+/// The measurements of a gateway.
 pub struct Statistics {
-    /// Since when it has.
+    /// When the measurements began.
     pub started_at: Nanos,
-    /// Response times of all servers, by the place of the step in its enum.
+    /// Response times of all servers, indexed by [`Step`](crate::interface::Step).
     pub response_times: [DecayingTimes; 4],
-    /// Attempts that failed, over all servers.
+    /// The share of attempts that failed, over all servers, by class of requests.
     pub failures: BoundedTable<RequestClass, DecayingShare>,
-    /// Attempts that failed, by server.
+    /// The share of attempts that failed, by server and class of requests.
     pub server_failures: BoundedTable<ServerClass, DecayingShare>,
-    /// Sequences that were admitted to a prefill server first.
+    /// Sequences whose first attempt after admission was a prefill.
     pub admitted_prefill: DecayingSum,
-    /// Sequences that were admitted to one server for both steps.
+    /// Sequences whose first attempt after admission was sent to one server for both steps.
     pub admitted_combined: DecayingSum,
-    /// Prompt tokens of all that were admitted.
+    /// Prompt tokens of all admitted sequences.
     pub admitted_prompt_tokens: DecayingSum,
     /// Sequences that arrived, by tenant.
     pub tenant_arrivals: Vec<DecayingSum>,
-    /// Nanoseconds that prefills took.
+    /// Duration of the completed prefills, in nanoseconds.
     pub prefill_time: DecayingSum,
-    /// Prompt tokens of work, queued and their own, that they were sent into.
+    /// Prompt tokens that the servers had to prefill for these prefills: their own uncached tokens and the tokens
+    /// queued ahead of them when they were sent.
     pub prefill_tokens: DecayingSum,
-    /// Prefixes that servers were sent.
+    /// Prefixes that were sent to servers, by server and prefix.
     pub cached_prefixes: BoundedTable<ServerPrefix, CachedPrefix>,
-    /// Where a prefix was sent last, the newest first.
+    /// The servers that each prefix was sent to, the most recent first.
     pub last_servers: BoundedTable<PrefixKey, Vec<ServerId>>,
-    /// How often each shared prefix was sent.
+    /// The decayed number of sends of each shared prefix.
     pub prefix_sends: BoundedTable<PrefixId, DecayingSum>,
-    /// How often shared prefixes were sent, all together.
+    /// The decayed number of sends of all shared prefixes together.
     pub all_prefix_sends: DecayingSum,
-    /// The share of prefills that did not find their shared prefix.
+    /// The share of prefills that did not find their shared prefix cached.
     pub prefix_misses: DecayingShare,
 }
 
 impl Statistics {
-    /// Nothing measured yet.
+    /// Statistics without any measurements, for a deployment with this number of tenants.
     pub fn new(now: Nanos, tenants: usize, retention: Retention) -> Self {
         let sum = || DecayingSum::new(retention.measurements);
         Statistics {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// A server was sent a prefix; the last `max_servers` are remembered for each prefix.
+    /// Records that a prefix was sent to a server. Each prefix remembers its `max_servers` most recent servers.
     pub fn prefix_sent(
         &mut self,
         server: &Server,
@@ -145,18 +148,18 @@
         max_servers: usize,
     ) {
         self.cached_prefixes.insert(ServerPrefix { generation: server.generation, prefix }, sent);
-        let last = self.last_servers.entry_or_insert_with(prefix, Vec::new);
-        last.retain(|known| *known != server.endpoint.server);
-        last.insert(0, server.endpoint.server);
-        last.truncate(max_servers);
+        let recent = self.last_servers.entry_or_insert_with(prefix, Vec::new);
+        recent.retain(|known| *known != server.endpoint.server);
+        recent.insert(0, server.endpoint.server);
+        recent.truncate(max_servers);
     }
 
-    /// The servers that a prefix was sent to last.
+    /// The servers that a prefix was sent to, the most recent first.
     pub fn recent_servers(&self, prefix: PrefixKey) -> impl Iterator<Item = ServerId> {
         self.last_servers.get(&prefix).into_iter().flatten().copied()
     }
 
-    /// Prompt tokens of the mean sequence that was admitted.
+    /// The mean number of prompt tokens of recently admitted sequences.
     pub fn mean_prompt_tokens(&self, now: Nanos) -> f64 {
         let admitted = self.admitted_prefill.read(now) + self.admitted_combined.read(now);
         self.admitted_prompt_tokens.read(now) / admitted.max(MIN_COUNT)
