--- a/gateway-core/src/settings_validation.rs
+++ b/gateway-core/src/settings_validation.rs
@@ -1,73 +1,74 @@
-//! Whether settings allow the rules to be kept at all. Checked before anything starts; each finding names the rule that
-//! would be broken.
+//! Checks whether the settings allow the five rules to be kept, before anything starts. Each finding names the rule
+//! that would be broken.
 
 use crate::timeouts;
 use petrelshore::interface::{Deployment, Idempotency, KeyScope, Nanos, Role, TrafficType, TrafficTypeId};
 use std::error::Error;
 use std::fmt;
 
-/// To be released in time, a KV cache needs two timeouts of the request manager and an answer of its prefill server. In
-/// nanoseconds.
+/// The minimum release timeout, in nanoseconds. The release of a KV cache takes up to two timeouts of the request
+/// manager and an answer of the prefill server.
 const MIN_RELEASE_TIMEOUT: Nanos = 100_000_000;
-/// A client must wait for a prefill and a decode, with a connection each, and the way back. In nanoseconds.
+/// The minimum abandon time, in nanoseconds. A client must wait for a prefill and a decode, for a connection to each of
+/// the two servers, and for the answer to reach the client.
 const MIN_ABANDON_TIME: Nanos = 100_000_000;
 
-/// The rules that settings could break, by their numbers.
+/// The numbers of the rules that settings could break.
 const ONE_ANSWER_RULE: u8 = 1;
 const REPEAT_RULE: u8 = 2;
 const SLOW_START_RULE: u8 = 4;
 const RELEASE_RULE: u8 = 5;
 
-/// Something that is wrong with the settings.
+/// A problem of the settings, with the rule that the problem would break.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Which of the five rules would be broken; none where the service would be of no use.
+    /// Number of the rule that would be broken; `None` if the settings break no rule but make the service useless.
     pub rule: Option<u8>,
-    /// What is wrong.
+    /// The problem.
     pub problem: SettingProblem,
 }
 
-/// What is wrong with a setting.
+/// A problem of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingProblem {
-    /// Clients wait for too short a time for any answer.
+    /// Clients do not wait long enough for any answer.
     AbandonTooShort {
         /// The traffic type of these clients.
         traffic: TrafficTypeId,
-        /// The shortest time that will do.
+        /// The shortest time that is allowed, in nanoseconds.
         min: Nanos,
     },
-    /// Clients are gone before an answer can be late.
+    /// Clients disconnect before an answer can exceed its latency objective.
     AbandonBeforeSlo {
         /// The traffic type of these clients.
         traffic: TrafficTypeId,
     },
     /// Servers forget an idempotency key while an attempt with it may still be sent.
     IdempotencyWindowTooShort {
-        /// The traffic type with that window.
+        /// The traffic type whose window is too short.
         traffic: TrafficTypeId,
-        /// The shortest window that will do.
+        /// The shortest window that is allowed, in nanoseconds.
         min: Nanos,
     },
     /// No kind of server prefills.
     NoPrefillServer,
     /// No kind of server decodes.
     NoDecodeServer,
-    /// A sequence needs more attempts than it may have.
+    /// A sequence needs more attempts than the settings allow.
     TooFewAttempts {
-        /// The least number that will do.
+        /// The smallest number of attempts that is allowed.
         min: usize,
     },
     /// A KV cache can't be released in time.
     ReleaseTimeoutTooShort {
-        /// The shortest time that will do.
+        /// The shortest time that is allowed, in nanoseconds.
         min: Nanos,
     },
-    /// A server in slow start may be sent nothing, or the bound for it is none.
+    /// A server in slow start may be sent nothing, or its limit is below its present capacity.
     SlowStartWithoutCapacity {
-        /// It falls over at so many times its present capacity.
+        /// The multiple of its present capacity at which the server is overloaded.
         overload_factor: f64,
-        /// The share of its capacity that it starts with.
+        /// The share of its full capacity that the server has when it starts.
         initial_share: f64,
     },
 }
@@ -77,30 +78,38 @@
         let ms = |nanos: &Nanos| nanos / 1_000_000;
         match self {
             SettingProblem::AbandonTooShort { min, .. } => {
-                write!(f, "must be {} ms at the least, for a read, a write and the way back", ms(min))
+                write!(
+                    f,
+                    "must be at least {} ms, for a prefill, a decode and the way back to the client",
+                    ms(min)
+                )
             }
             SettingProblem::AbandonBeforeSlo { .. } => {
-                f.write_str("must be longer than latency_slo, or every late answer is lost")
+                f.write_str("must be longer than latency_slo, or clients leave before a late answer arrives")
             }
             SettingProblem::IdempotencyWindowTooShort { min, .. } => write!(
                 f,
-                "must be {} ms at the least: an attempt may be sent until abandon_time, and its group must still \
-                 know the first one then",
+                "must be at least {} ms: an attempt may be sent until abandon_time, and the servers of the scope must \
+                 still know the key of the first attempt then",
                 ms(min)
             ),
-            SettingProblem::NoPrefillServer => f.write_str("names nothing that reads prompts"),
-            SettingProblem::NoDecodeServer => f.write_str("names nothing that writes answers"),
+            SettingProblem::NoPrefillServer => f.write_str("must include a kind that prefills prompts"),
+            SettingProblem::NoDecodeServer => f.write_str("must include a kind that decodes answers"),
             SettingProblem::TooFewAttempts { min } => {
-                let needed = if *min > 1 { "one to read, one to write" } else { "or nothing can be sent" };
-                write!(f, "must be {min} at the least: {needed}")
+                let needed = if *min > 1 {
+                    "one for the prefill, one for the decode"
+                } else {
+                    "otherwise nothing can be sent"
+                };
+                write!(f, "must be at least {min}: {needed}")
             }
             SettingProblem::ReleaseTimeoutTooShort { min } => {
-                write!(f, "must be {} ms at the least for a state to be let go in time", ms(min))
+                write!(f, "must be at least {} ms for a KV cache to be released in time", ms(min))
             }
             SettingProblem::SlowStartWithoutCapacity { overload_factor, initial_share } => write!(
                 f,
-                "a server that starts at {initial_share} of its capacity and falls over at {overload_factor} times \
-                 that can be sent nothing"
+                "a server that starts with {initial_share} of its capacity and is overloaded at {overload_factor} \
+                 times that can be sent nothing: the share must be above 0, and the factor at least 1"
             ),
         }
     }
@@ -108,7 +117,8 @@
 
 impl Error for SettingProblem {}
 
-/// All that is wrong with a deployment whose traffic types have these abandon times.
+/// Returns every problem of a deployment. `abandon_times` holds the time that clients of each traffic type wait, in the
+/// order of [`Deployment::types`] and in nanoseconds.
 pub fn check(deployment: &Deployment, abandon_times: &[Nanos]) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (index, (traffic, abandon_time)) in deployment.types.iter().zip(abandon_times).enumerate() {
@@ -139,7 +149,7 @@
 ) -> Option<Finding> {
     let Idempotency::Keyed { window, scope } = traffic.idempotency else { return None };
     let min = match scope {
-        // Clients repeat a request after the gateway has given it up, and reach any server.
+        // Clients repeat a request that the gateway has given up, and the repeated request may reach any server.
         KeyScope::Fleet => abandon_time.saturating_mul(2),
         KeyScope::Zone | KeyScope::Cell => timeouts::first_token_deadline(0, abandon_time),
     };
--- a/settings/tests/files.rs
+++ b/settings/tests/files.rs
@@ -49,11 +49,11 @@
     bad("utility = 3", marked, &["workshop-chat.repeats.window", "rule 2"]);
     bad("zone = \"", "release_within = \"5ms\", zone = \"", &["release_within", "rule 5"]);
     bad("zone = \"", "cold.multiple = 0.5, zone = \"", &["field cold", "rule 4"]);
-    bad("zone = \"", "attempts = 1, zone = \"", &["attempts", "2 at the least"]);
+    bad("zone = \"", "attempts = 1, zone = \"", &["attempts", "at least 2"]);
     let one = GOOD.replace("zone = \"", "attempts = 1, zone = \"").replacen("'writer", "'mixed", 1);
     assert!(read_text(Path::new("gw.ncl"), &one).is_ok(), "a mixed server needs one attempt");
-    bad("'reader", "'writer", &["kinds", "reads prompts"]);
-    bad("'writer", "'reader", &["kinds", "writes answers"]);
+    bad("'reader", "'writer", &["kinds", "prefills prompts"]);
+    bad("'writer", "'reader", &["kinds", "decodes answers"]);
     bad("\"4s\"", "\"20ms\"", &["rider-query.abandon_time", "rule 1"]);
     bad("zone = ", "zone == ", &["gw.ncl", ":4:"]);
 }
