--- a/gateway-core/src/attempt_outcome.rs
+++ b/gateway-core/src/attempt_outcome.rs
@@ -1,52 +1,55 @@
-//! What the end of an exchange with a model server proves.
+//! Maps the end of an exchange with a model server to the outcome that this end proves.
 //!
-//! Rule 2 rests on this table: only an end that proves that the attempt never ran lets at-most-once work be retried or
-//! rejected. Whatever is not provably without effect counts as an attempt that may have run.
+//! Rule 2 depends on this mapping: at-most-once work is retried or rejected only after an end that proves that the
+//! attempt never ran. After any other end, the attempt counts as one that may have run.
 
 use petrelshore::interface::{Attempt, AttemptStatus, Outcome};
 
-/// How an exchange with a model server ended, as its socket showed it.
+/// The way in which an exchange with a model server ended, as observed on its socket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
     /// The complete answer arrived, with its end marker.
     Completed,
     /// The prompt is prefilled.
     PrefillDone {
-        /// Prompt tokens that the server had cached before.
+        /// Number of prompt tokens that the server had in its cache before the prefill.
         cached_tokens: f64,
     },
     /// No connection was established, so no byte of the request was written.
     NotConnected,
-    /// A connection was established, and its server did not answer a probe on it in time: the request was not written.
+    /// A connection was established, but the server did not answer a probe on this connection in time. The request was
+    /// not written.
     Unresponsive,
     /// The connection returned the request unwritten, and no other connection was available.
     ReturnedUnsent,
-    /// The gateway itself did not send it: the send gate denied it, or all of its own connections are in use.
+    /// The gateway did not send the request: the send gate denied the attempt, or all connections of the gateway are in
+    /// use.
     NotSent,
-    /// The server answered, with its documented code, that it has no capacity and has not started.
+    /// The server answered with the documented code for a server that has no capacity and has not started the request.
     AtCapacity,
-    /// The server answered, with its documented code, that the KV cache that it was to fetch is not there.
+    /// The server answered with the documented code for a KV cache that it was to fetch and that is not there.
     KvCacheMissing,
-    /// Any other error status. It may follow some work.
+    /// The server answered with any other error status, possibly after it had started the request.
     ErrorStatus {
-        /// The status.
+        /// The HTTP status code.
         status: u16,
     },
     /// The connection broke after bytes of the request may have been written, whether it was new or pooled.
     Reset,
-    /// It was written while a KV cache is held, and nothing proved in time that a running server has it: its machine may
-    /// have taken the bytes of a process that has stopped, or its connection may have fallen silent.
+    /// The request was written while a KV cache is reserved, and nothing proved in time that a running server received
+    /// the request. The server's machine may have accepted the bytes for a process that has stopped, or the connection
+    /// may have gone silent.
     Unproven,
-    /// The answer is not what the protocol allows: truncated, too large, or malformed.
+    /// The answer violates the protocol: it is truncated, too large or malformed.
     Malformed,
-    /// Nothing arrived within the attempt's timeout.
+    /// The timeout of the attempt or of its stream passed.
     TimedOut,
-    /// The gateway itself cancelled it.
+    /// The gateway cancelled the attempt.
     Cancelled,
 }
 
 impl AttemptEnd {
-    /// The outcome that is reported to the scheduler; `streaming` once a token has arrived.
+    /// Returns the outcome that is reported to the scheduler. `streaming` is true once a token has arrived.
     pub fn outcome(self, streaming: bool) -> Outcome {
         if streaming && self.proves_not_run() {
             // A server that sent a token has run the attempt, whatever it answers later.
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Whether its server sent any answer.
+    /// Returns whether the server sent any answer.
     pub fn server_answered(self) -> bool {
         !matches!(
             self,
@@ -81,7 +84,7 @@
         )
     }
 
-    /// Whether the attempt provably never ran.
+    /// Returns whether this end proves that the attempt never ran.
     pub fn proves_not_run(self) -> bool {
         match self {
             AttemptEnd::NotConnected
@@ -102,7 +105,7 @@
     }
 }
 
-/// Whether an attempt has no outcome yet.
+/// Returns whether an attempt has no outcome yet.
 pub(crate) fn is_open(attempt: &Attempt) -> bool {
     !matches!(attempt.status, AttemptStatus::Finished(_))
 }
--- a/gateway-core/src/lib.rs
+++ b/gateway-core/src/lib.rs
@@ -1,21 +1,25 @@
-//! The requests in flight at a gateway: each sequence, its attempts, and every timer.
+//! Tracks the requests in flight at a gateway: every sequence, its attempts and its timers.
 //!
-//! There is no I/O and no clock in here. A runtime reports events together with the time, and executes the actions or
-//! commands that it gets back; the gateways, the capacity simulation and the bench adapter are such runtimes.
+//! This crate does no I/O and reads no clock. A runtime reports events together with the time, and executes the actions
+//! or commands that the crate returns. The gateways, the capacity simulation and the bench adapter are such runtimes.
 //!
-//! - [`RequestManager`] tracks sequences and their timers, and schedules attempts by [`petrelshore::Scheduler`], or by
-//!   another [`policy`]. Most runtimes use it through a request table: [`buffered`], for APIs that word the answers
-//!   themselves, or [`passthrough`], for streams whose events pass unchanged.
-//! - Attempts: [`attempt_outcome`] tells what the end of an exchange proves, [`timeouts`] how long a stream may be silent,
-//!   [`stream_resumption`] whether a broken one is resumed, [`send_gate`] whether an attempt may be sent at all.
-//! - KV caches: [`cache_leases`] tracks where a sequence may have left one, [`cache_releases`] the pending releases.
-//! - Admission: [`ingress_limits`] and [`capacity`] bound what is in flight, [`cancellation_limits`] what a client may
-//!   cancel; [`idempotency`] replays the answers of repeated requests, [`token_estimate`] estimates lengths.
-//! - Connections: [`connection_pool`] to model servers, [`client_connections`] from clients, [`flow_control`] and
-//!   [`http2_abuse`] for connections that carry many streams.
-//! - [`graceful_shutdown`] plans the time from the stop signal to the exit, and [`error_response`] words the errors.
-//! - [`event_budget`] bounds how many single events are logged.
-//! - [`invariants`] counts violations at run time, and [`settings_validation`] tells whether settings can keep the rules.
+//! - [`RequestManager`] tracks sequences and their timers, and schedules attempts with [`petrelshore::Scheduler`] or
+//!   another [`policy`]. Most runtimes use it through a request table: [`buffered`] for APIs that compose the answers
+//!   themselves, or [`passthrough`] for streams whose events are forwarded unchanged.
+//! - Attempts: [`attempt_outcome`] defines what the end of an exchange proves, [`timeouts`] how long a stream may be
+//!   silent, [`stream_resumption`] which broken streams are resumed, and [`send_gate`] whether an attempt may be sent.
+//! - KV caches: [`cache_leases`] tracks which servers may hold a KV cache of a sequence, and [`cache_releases`] tracks
+//!   the pending releases.
+//! - Admission: [`ingress_limits`] and [`capacity`] limit the requests in flight, and [`cancellation_limits`] limits
+//!   how many requests a client may cancel. [`idempotency`] replays the answers of repeated requests, and
+//!   [`token_estimate`] estimates the lengths of prompts.
+//! - Connections: [`connection_pool`] manages connections to model servers and [`client_connections`] connections from
+//!   clients. [`flow_control`] and [`http2_abuse`] serve connections that carry many streams.
+//! - [`graceful_shutdown`] plans the time from the stop signal to the exit, and [`error_response`] defines the errors
+//!   that clients receive.
+//! - [`event_budget`] limits how many individual events are logged.
+//! - [`invariants`] counts violations at run time, and [`settings_validation`] checks whether the settings allow the
+//!   rules to be kept.
 
 pub mod attempt_outcome;
 pub mod cache_leases;
--- a/gateway-core/src/policy/baseline.rs
+++ b/gateway-core/src/policy/baseline.rs
@@ -1,7 +1,7 @@
-//! The baseline policy: any server that does the step, at random.
+//! The baseline policy: a random server whose role fits the step.
 //!
-//! It keeps rules 1, 2, 3 and 5 in the plainest way and knows nothing of load, cells, health or slow start. It serves
-//! for comparisons in simulations: no setting selects it.
+//! The baseline keeps rules 1, 2, 3 and 5 by the simplest means, and chooses servers regardless of load, cells, health
+//! and slow start. Simulations compare the scheduler with the baseline; no setting selects the baseline.
 
 use crate::attempt_outcome::is_open;
 use oorandom::Rand64;
@@ -12,21 +12,22 @@
 };
 use std::collections::BTreeMap;
 
-/// Pause before a sequence is scheduled again, and the time before its client's deadline at which it fails.
+/// Pause before a sequence is scheduled again, in nanoseconds. A sequence fails once its first-token deadline, or the
+/// deadline for releasing its KV cache, is this close.
 const RESCHEDULE_INTERVAL: Nanos = 20_000_000;
 
-/// Any server at random.
+/// A policy that sends each step to a random server.
 pub struct Baseline {
     deployment: Deployment,
     random: Rand64,
     endpoints: BTreeMap<ServerId, Endpoint>,
 }
 
-/// What follows a failure.
+/// Whether a client may safely retry a failed request.
 #[derive(Clone, Copy)]
-enum Retry {
-    /// A retry of the client is harmless.
-    Harmless,
+enum ClientRetry {
+    /// The request has not run, or may run again.
+    Safe,
     /// The request may have run.
     Unsafe,
 }
@@ -53,12 +54,12 @@
         }
         let exhausted = sequence.attempts.len() >= self.deployment.max_attempts;
         let retry = if self.is_idempotent(sequence) || !may_have_run(sequence) {
-            Retry::Harmless
+            ClientRetry::Safe
         } else {
-            Retry::Unsafe
+            ClientRetry::Unsafe
         };
         let deadline_near = now + RESCHEDULE_INTERVAL >= sequence.first_token_deadline;
-        if deadline_near || exhausted || matches!(retry, Retry::Unsafe) {
+        if deadline_near || exhausted || matches!(retry, ClientRetry::Unsafe) {
             return Self::fail(sequence, retry);
         }
         let picked = self.pick(sequence);
@@ -72,11 +73,11 @@
                 Decision::Send(server)
             }
             None if !release_due => Decision::Wait,
-            None => Self::fail(sequence, Retry::Harmless),
+            None => Self::fail(sequence, ClientRetry::Safe),
         }
     }
 
-    /// A server for the next step of a sequence.
+    /// Returns a server for the next step of a sequence, with that step.
     fn pick(&mut self, sequence: &Sequence) -> Option<(ServerId, Step)> {
         let kv_cache = sequence.kv_cache.filter(|location| {
             let endpoint = self.endpoints.get(&location.server);
@@ -102,14 +103,14 @@
         sequence.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
     }
 
-    fn fail(sequence: &mut Sequence, retry: Retry) -> Decision {
+    fn fail(sequence: &mut Sequence, retry: ClientRetry) -> Decision {
         let release = !sequence.attempts.is_empty();
         sequence.completed = true;
         sequence.kv_cache = None;
         sequence.cache_held_since = None;
         match retry {
-            Retry::Harmless => Decision::Reject { retry_after: None, release },
-            Retry::Unsafe => Decision::Abort { release },
+            ClientRetry::Safe => Decision::Reject { retry_after: None, release },
+            ClientRetry::Unsafe => Decision::Abort { release },
         }
     }
 
--- a/gateway-core/src/request_manager.rs
+++ b/gateway-core/src/request_manager.rs
@@ -1,10 +1,10 @@
-//! The state machine of all sequences in flight: typed events in, [`Action`]s out.
+//! The state machine of all sequences in flight. It receives typed events and returns [`Action`]s.
 //!
-//! [`RequestManager`] performs no I/O and reads no clock. Its caller reports events together with the time and applies
-//! the actions that it gets back, in their order. Every accepted sequence gets exactly one final answer.
+//! [`RequestManager`] performs no I/O and reads no clock. The caller reports events together with the time, and
+//! executes the returned actions in order. Every accepted sequence gets exactly one final answer.
 //!
-//! One file for each concern: the messages ([`Action`], [`NewSequence`]), the state of one sequence
-//! (`tracked_sequence`), scheduling (`scheduling`), the end of an attempt (`attempts`), expired timers (`expiry`, on a
+//! The submodules are the messages (`action`, `new_sequence`), the state of one sequence (`tracked_sequence`),
+//! scheduling (`scheduling`), the progress and end of attempts (`attempts`), expired timers (`expiry` and
 //! `timer_queue`) and graceful shutdown (`shutdown`).
 
 mod action;
@@ -29,7 +29,7 @@
 use timer_queue::TimerQueue;
 use tracked_sequence::TrackedSequence;
 
-/// All sequences in flight at one gateway, with their attempts and timers.
+/// Manages all sequences in flight at one gateway, with their attempts and timers.
 pub struct RequestManager {
     policy: Policy,
     traffic_types: Vec<TrafficType>,
@@ -42,12 +42,12 @@
 }
 
 impl RequestManager {
-    /// A request manager that schedules by the decisions of [`petrelshore::Scheduler`].
+    /// Creates a request manager that schedules with [`petrelshore::Scheduler`].
     pub fn new(now: Nanos, deployment: Deployment, seed: u64) -> Self {
         Self::with(now, deployment, seed, Chooser::Decisions)
     }
 
-    /// A request manager that schedules by another policy.
+    /// Creates a request manager that schedules with the given policy.
     pub fn with(now: Nanos, deployment: Deployment, seed: u64, chooser: Chooser) -> Self {
         RequestManager {
             traffic_types: deployment.types.clone(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Accepts a sequence. From here on it gets exactly one final answer, unless its client cancels it.
+    /// Accepts a sequence. The sequence then gets exactly one final answer, unless its client cancels it.
     pub fn accept(&mut self, now: Nanos, new: NewSequence, actions: &mut Vec<Action>) {
         let id = new.id;
         self.counts.accepted += 1;
@@ -74,21 +74,21 @@
         }
     }
 
-    /// A token of a running stream arrived.
+    /// Records that a token of a running stream arrived.
     pub fn token_received(&mut self, now: Nanos, id: SequenceId) {
-        // The timer is moved when it expires, not with each token.
+        // The stream timer is not reset for each token: its deadline is recomputed when it expires.
         if let Some(tracked) = self.sequences.get_mut(&id) {
             tracked.last_activity_at = now;
             tracked.tokens_received += 1;
         }
     }
 
-    /// The client stopped reading its stream.
+    /// Records that the client stopped reading its stream.
     pub fn client_stalled(&mut self, now: Nanos, id: SequenceId) {
         self.set_stalled_since(now, id, Some(now));
     }
 
-    /// The client reads its stream again.
+    /// Records that the client reads its stream again.
     pub fn client_stall_ended(&mut self, now: Nanos, id: SequenceId) {
         self.set_stalled_since(now, id, None);
     }
@@ -100,7 +100,7 @@
         self.reset_stream_timer(now, id);
     }
 
-    /// The client cancelled its request: the attempt in flight is cancelled and KV caches are released.
+    /// Handles a client that cancelled its request: cancels the attempt in flight and releases the KV caches.
     pub fn client_cancelled(&mut self, id: SequenceId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.sequences.get_mut(&id) else { return };
         if !tracked.sequence.completed {
@@ -119,53 +119,54 @@
         self.remove_if_finished(id);
     }
 
-    /// The endpoint list, or a change of it, arrived.
+    /// Applies an endpoint list, or a change of the endpoint list.
     pub fn update_endpoints(&mut self, now: Nanos, kind: SnapshotKind, endpoints: &[Endpoint]) {
         self.policy.update_endpoints(now, kind, endpoints);
     }
 
-    /// A poll of the endpoint list failed.
+    /// Handles a failed poll of the endpoint list by requesting the next poll.
     pub fn endpoint_poll_failed(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         actions.push(Action::PollEndpoints { at: now + self.policy.endpoint_poll_failed() });
     }
 
-    /// A server reported its load.
+    /// Records the load that a server reported.
     pub fn load_reported(&mut self, now: Nanos, server: ServerId, report: LoadReport) {
         self.policy.load_reported(now, server, report);
     }
 
-    /// Schedules a sequence again that no server could take, for callers that keep that timer themselves.
+    /// Schedules a sequence again that no server could take. This is for callers that run the timer of
+    /// [`Action::WakeAt`] themselves.
     pub fn retry_scheduling(&mut self, now: Nanos, id: SequenceId, actions: &mut Vec<Action>) {
         self.schedule(now, id, FailureReason::AtCapacity, actions);
     }
 
-    /// Whether a sequence is tracked: its final answer is pending, or an attempt is in flight.
+    /// Returns whether a sequence is tracked: its final answer is pending, or one of its attempts is in flight.
     pub fn contains(&self, id: SequenceId) -> bool {
         self.sequences.contains_key(&id)
     }
 
-    /// Number of sequences whose final answer is pending.
+    /// Returns the number of sequences whose final answer is pending.
     pub fn unanswered(&self) -> usize {
         let Counts { accepted, completed, rejected, aborted, cancelled, .. } = self.counts;
         (accepted - completed - rejected - aborted - cancelled) as usize
     }
 
-    /// Number of servers that scheduling examined so far.
+    /// Returns the number of servers that scheduling has examined since the start.
     pub fn servers_examined(&self) -> u64 {
         self.policy.servers_examined()
     }
 
-    /// Counts of events so far.
+    /// Returns the counts of events since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How often each invariant was violated so far.
+    /// Returns how often each invariant was violated since the start.
     pub fn violations(&self) -> &BTreeMap<Violation, u64> {
         self.invariants.violations()
     }
 
-    /// Forgets a completed sequence once none of its attempts is in flight.
+    /// Removes a sequence that is completed and has no attempt in flight.
     fn remove_if_finished(&mut self, id: SequenceId) {
         if self.sequences.get(&id).is_some_and(TrackedSequence::is_finished) {
             self.cancel_timer(id);
--- a/gateway-core/src/request_manager/action.rs
+++ b/gateway-core/src/request_manager/action.rs
@@ -1,39 +1,40 @@
-//! The messages of the request manager: what it asks its caller to do, and its counters.
+//! The actions that the request manager returns to its caller, and its counters.
 
 use petrelshore::interface::{Nanos, Outcome, SequenceId, ServerId, Step};
 
-/// An attempt to send now.
+/// An attempt that the caller sends now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Dispatch {
-    /// The sequence that it belongs to.
+    /// The sequence that the attempt belongs to.
     pub id: SequenceId,
-    /// Number of the attempt within its sequence, from zero.
+    /// Index of the attempt within its sequence, starting at zero.
     pub attempt: usize,
-    /// The server to send it to.
+    /// The server that the attempt is sent to.
     pub server: ServerId,
-    /// What the server is to do.
+    /// The step that the server performs.
     pub step: Step,
     /// The prefill server from which a decode server fetches the KV cache.
     pub prefill_server: Option<ServerId>,
-    /// Time until the end of a prefill or until the first token.
+    /// Time limit for the end of a prefill or for the first token, in nanoseconds.
     pub timeout: Nanos,
-    /// Tokens of earlier attempts that the client has received; the answer continues after them.
+    /// Number of tokens that the client has received from earlier attempts. The answer continues after these tokens.
     pub tokens_delivered: u32,
-    /// Time to establish a new connection, if one is needed.
+    /// Time limit for establishing a new connection if the attempt needs one, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// Not to be sent later: servers forget the sequence's idempotency key then.
+    /// Time from which the attempt must not be sent: servers may have forgotten the sequence's idempotency key by then.
     pub send_deadline: Nanos,
-    /// A KV cache is reserved meanwhile: a reused connection must prove within the connect timeout that its server is
-    /// there.
+    /// True if a KV cache is reserved while the attempt is sent. A reused connection must then prove within the connect
+    /// timeout that its server is there.
     pub holds_cache: bool,
-    /// To be sent on a new connection: if a pooled one closed under it, at-most-once work might have run.
+    /// True if the attempt must be sent on a new connection. If a pooled connection closed after the attempt was
+    /// written, at-most-once work might have run.
     pub new_connection: bool,
 }
 
-/// Why a sequence failed.
+/// The reason why a sequence failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// No server had capacity, or none in time.
+    /// No server had capacity in time.
     AtCapacity,
     /// The limit on attempts was reached.
     AttemptsExhausted,
@@ -45,100 +46,102 @@
     ClientStalled,
     /// The gateway is shutting down.
     ShuttingDown,
-    /// The answer is larger than a buffered one may be.
+    /// The answer exceeds the size limit of buffered answers.
     AnswerTooLarge,
     /// A request with the same idempotency key ran before, and its answer is not stored.
     AlreadyRan,
 }
 
-/// Why an attempt was cancelled.
+/// The reason why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Its time was over, or its stream was silent for too long.
+    /// The attempt exceeded its time limit, or its stream was silent for too long.
     TimedOut,
     /// The client read nothing of its stream for too long.
     ClientStalled,
-    /// The client left.
+    /// The client disconnected or cancelled its request.
     ClientLeft,
-    /// The gateway shuts down.
+    /// The gateway is shutting down.
     ShuttingDown,
 }
 
-/// What the caller is to do, in this order.
+/// An action that the caller executes. Actions are executed in the order in which they are returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send(Dispatch),
-    /// Cancel an attempt; of a prefill, also release the KV cache that it may have left.
+    /// Cancel an attempt. If the attempt is a prefill, also release the KV cache that it may have left.
     Cancel {
         /// The sequence.
         id: SequenceId,
         /// The attempt to cancel.
         attempt: usize,
-        /// The server that it was sent to.
+        /// The server that the attempt was sent to.
         server: ServerId,
-        /// What that server was to do.
+        /// The step that the server was to perform.
         step: Step,
-        /// Why it is cancelled.
+        /// The reason for the cancellation.
         reason: CancelReason,
     },
-    /// Release every KV cache reserved for the sequence that no attempt is to fetch.
+    /// Release every KV cache that is reserved for the sequence and that no attempt is to fetch.
     Release {
         /// The sequence.
         id: SequenceId,
     },
-    /// Final answer: a retry of the client is harmless.
+    /// Give the final answer that the request failed and that the client may safely retry it.
     Reject {
         /// The sequence.
         id: SequenceId,
-        /// How long the client is asked to wait before a retry.
+        /// Time that the client is asked to wait before a retry, in nanoseconds.
         retry_after: Option<Nanos>,
-        /// Why it failed.
+        /// The reason for the failure.
         reason: FailureReason,
     },
-    /// Final answer: the request may have run.
+    /// Give the final answer that the request failed but may have run.
     Abort {
         /// The sequence.
         id: SequenceId,
-        /// Why it failed.
+        /// The reason for the failure.
         reason: FailureReason,
     },
-    /// Final answer: the outcome of the last attempt completed the sequence.
+    /// Give the final answer: the outcome of the last attempt completed the sequence.
     Complete {
         /// The sequence.
         id: SequenceId,
-        /// That outcome.
+        /// The outcome of the last attempt.
         outcome: Outcome,
-        /// Why it failed, unless the answer is complete.
+        /// The reason for the failure; `None` if the answer is complete.
         reason: Option<FailureReason>,
     },
-    /// Schedule the sequence again at that time. Callers that run [`RequestManager::on_timeout`] may ignore it.
+    /// Schedule the sequence again at the given time, by [`RequestManager::retry_scheduling`]. Callers that run
+    /// [`RequestManager::on_timeout`] may ignore this action.
     ///
+    /// [`RequestManager::retry_scheduling`]: crate::RequestManager::retry_scheduling
     /// [`RequestManager::on_timeout`]: crate::RequestManager::on_timeout
     WakeAt {
         /// The sequence.
         id: SequenceId,
-        /// When.
+        /// The time to schedule the sequence.
         at: Nanos,
     },
-    /// Poll the endpoint list at that time.
+    /// Poll the endpoint list at the given time.
     PollEndpoints {
-        /// When.
+        /// The time of the poll.
         at: Nanos,
     },
 }
 
-/// Whether the outcome of an attempt completes its sequence.
+/// The effect of an attempt's outcome on its sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finality {
-    /// It does: no further attempt may follow.
+    /// The outcome completes the sequence: no further attempt may follow.
     Final,
-    /// It does not by itself: the scheduler decides what follows.
+    /// The outcome does not complete the sequence by itself: the scheduler decides what follows.
     Retryable,
 }
 
 impl Finality {
-    /// [`Finality::Final`] where the condition holds.
+    /// Returns [`Finality::Final`] if the condition holds, else [`Finality::Retryable`].
     pub fn final_if(condition: bool) -> Self {
         if condition { Finality::Final } else { Finality::Retryable }
     }
--- a/gateway-core/src/request_manager/attempts.rs
+++ b/gateway-core/src/request_manager/attempts.rs
@@ -1,4 +1,4 @@
-//! Progress and end of an attempt.
+//! Handles the progress and the end of attempts.
 
 use super::RequestManager;
 use super::action::{Action, FailureReason, Finality};
@@ -7,19 +7,20 @@
 use crate::attempt_outcome::AttemptEnd;
 use petrelshore::interface::{AttemptStatus, Nanos, NextStep, Outcome, SequenceId};
 
-/// The end of an attempt, ready to be given to the scheduler.
+/// A finished attempt, as it is reported to the policy.
 pub(super) struct FinishedAttempt {
     pub(super) id: SequenceId,
     pub(super) attempt: usize,
     pub(super) outcome: Outcome,
     pub(super) finality: Finality,
-    /// What is reported if the outcome completes the sequence.
+    /// The reason that is reported if the outcome completes the sequence without a complete answer.
     pub(super) reason: Option<FailureReason>,
 }
 
 impl RequestManager {
-    /// Its server has an attempt: the last byte was written to a connection that was just established, or that has
-    /// proved since to lead to its server. An end that is an answer proves it by itself.
+    /// Records that a server has received an attempt: the last byte was written to a new connection, or to a reused
+    /// connection that has since proved to lead to the server. An attempt that ends with an answer of the server needs
+    /// no such call.
     pub fn attempt_delivered(&mut self, id: SequenceId, attempt: usize) {
         let tracked = self.sequences.get_mut(&id);
         if let Some(attempt) = tracked.and_then(|tracked| tracked.sequence.attempts.get_mut(attempt)) {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// The first token of an attempt arrived.
+    /// Records that the first token of an attempt arrived.
     pub fn first_token(&mut self, now: Nanos, id: SequenceId, attempt: usize) {
         let Some(tracked) = self.sequences.get_mut(&id) else { return };
         let status = tracked.sequence.attempts.get(attempt).map(|attempt| attempt.status);
@@ -40,7 +41,8 @@
         self.reset_stream_timer(now, id);
     }
 
-    /// An attempt ended, as its connection showed. What the client has received of it decides whether it is resumed.
+    /// Handles the end of an attempt, as its connection showed it. If the stream broke after the client had received
+    /// part of it, the sequence continues only if the stream can be resumed.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -66,7 +68,7 @@
         self.finish_attempt(now, FinishedAttempt { id, attempt, outcome, finality, reason }, actions);
     }
 
-    /// An attempt ended with a known outcome.
+    /// Handles the end of an attempt whose outcome the caller knows.
     pub fn attempt_finished(
         &mut self,
         now: Nanos,
@@ -77,19 +79,20 @@
         actions: &mut Vec<Action>,
     ) {
         let reason = (outcome != Outcome::Completed).then_some(FailureReason::StreamBroken);
-        // A known outcome implies that the attempt was sent; the outcomes that prove the opposite are typed as such.
+        // A known outcome implies that the attempt was sent. Only `ConnectFailed` and `NeverSent` prove the opposite,
+        // and the scheduler ignores the `delivered` flag for these two.
         self.attempt_delivered(id, attempt);
         self.finish_attempt(now, FinishedAttempt { id, attempt, outcome, finality, reason }, actions);
     }
 
-    /// Prepares a broken stream to be resumed; false where it can't be.
+    /// Prepares a broken stream to be resumed. Returns false if the stream can't be resumed.
     pub(super) fn try_resume(&mut self, now: Nanos, id: SequenceId) -> bool {
         let Some(tracked) = self.sequences.get_mut(&id) else { return false };
         let traffic_type = &self.traffic_types[tracked.sequence.traffic.0];
         tracked.try_resume(now, traffic_type)
     }
 
-    /// Gives the end of an attempt to the scheduler and applies what follows.
+    /// Reports a finished attempt to the policy and carries out the next step that the policy returns.
     pub(super) fn finish_attempt(
         &mut self,
         now: Nanos,
--- a/gateway-core/src/request_manager/expiry.rs
+++ b/gateway-core/src/request_manager/expiry.rs
@@ -1,4 +1,4 @@
-//! Timers of sequences: setting them, and what follows when one expires.
+//! Sets the timers of sequences and handles expired timers.
 
 use super::RequestManager;
 use super::action::{Action, CancelReason, FailureReason, Finality};
@@ -9,12 +9,12 @@
 use petrelshore::interface::{Attempt, AttemptStatus, Nanos, SequenceId};
 
 impl RequestManager {
-    /// When [`RequestManager::on_timeout`] next has something to do.
+    /// Returns the time at which [`RequestManager::on_timeout`] next has a timer to handle.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.timers.next_deadline()
     }
 
-    /// Handles every timer that has expired by now.
+    /// Handles every timer that has expired by `now`.
     pub fn on_timeout(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(id) = self.timers.pop_expired(now) {
             if let Some(tracked) = self.sequences.get_mut(&id) {
@@ -24,7 +24,8 @@
         }
     }
 
-    /// The timer of a sequence expired: its attempt timed out, its stream is silent, or it is to be scheduled again.
+    /// Handles the expired timer of a sequence: its attempt timed out, its stream made no progress, or the sequence is
+    /// scheduled again.
     fn timer_expired(&mut self, now: Nanos, id: SequenceId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.sequences.get(&id) else { return };
         let Some(attempt) = tracked.sequence.attempts.len().checked_sub(1) else {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Cancels an attempt that timed out, and applies what follows.
+    /// Cancels an attempt that timed out and reports its end to the policy.
     fn attempt_timed_out(
         &mut self,
         now: Nanos,
@@ -62,7 +63,7 @@
         let Attempt { server, step, status, .. } = tracked.sequence.attempts[attempt];
         self.counts.timed_out += 1;
         let streaming = status == AttemptStatus::Streaming;
-        // A stalled client is no evidence against its decode server.
+        // A stalled client is no evidence that the decode server failed.
         let (cancel_reason, end) = match tracked.stalled_since {
             Some(_) => (CancelReason::ClientStalled, AttemptEnd::Cancelled),
             None => (CancelReason::TimedOut, AttemptEnd::TimedOut),
@@ -81,7 +82,7 @@
         self.finish_attempt(now, finished, actions);
     }
 
-    /// Sets the timer of a sequence whose last attempt is streaming.
+    /// Sets the timer of a sequence to its stream deadline if its last attempt is streaming.
     pub(super) fn reset_stream_timer(&mut self, now: Nanos, id: SequenceId) {
         let Some(tracked) = self.sequences.get(&id) else { return };
         if tracked.is_streaming() {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Sets the timer of a sequence in place of the one that it has.
+    /// Sets the timer of a sequence and replaces a timer that was set before.
     pub(super) fn set_timer(&mut self, id: SequenceId, deadline: Nanos) {
         if let Some(tracked) = self.sequences.get_mut(&id) {
             self.timers.set(id, &mut tracked.timer, deadline);
--- a/gateway-core/src/request_manager/new_sequence.rs
+++ b/gateway-core/src/request_manager/new_sequence.rs
@@ -1,45 +1,45 @@
-//! A sequence as an API hands it over.
+//! A new sequence, as an API passes it to the request manager.
 
 use petrelshore::interface::{Nanos, PrefixId, SequenceId, SessionId, TenantId, TrafficTypeId};
 
-/// How the answer of a decode server reaches the client.
+/// The way in which the answer of a decode server reaches the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relay {
-    /// Token by token: a broken stream can only be resumed after the tokens that the client has.
+    /// Token by token. A broken stream can only be resumed after the tokens that the client has received.
     Streamed,
-    /// All at once, when it is complete: a broken stream may be decoded again from its start.
+    /// As one complete answer. A broken stream may be decoded again from its start.
     Buffered,
-    /// As the unchanged events of one decode server: a broken stream has ended.
+    /// As the unchanged events of one decode server. A broken stream ends the sequence.
     Passthrough,
 }
 
-/// A sequence as an API hands it over.
+/// A new sequence, as an API passes it to the request manager.
 #[derive(Clone, Debug)]
 pub struct NewSequence {
-    /// Its id at this gateway.
+    /// The id of the sequence at this gateway.
     pub id: SequenceId,
-    /// Its traffic type.
+    /// The traffic type of the sequence.
     pub traffic: TrafficTypeId,
-    /// Whose quota it counts against.
+    /// The tenant whose quota the sequence counts against.
     pub tenant: Option<TenantId>,
-    /// The conversation that it belongs to.
+    /// The conversation that the sequence belongs to.
     pub session: Option<SessionId>,
-    /// The prefix that its prompt shares with others.
+    /// The prefix that the prompt shares with other sequences.
     pub prefix: Option<PrefixId>,
-    /// Length of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: f64,
-    /// Length of that prefix.
+    /// Length of the shared prefix, in tokens.
     pub prefix_tokens: f64,
-    /// Most tokens that its answer may have.
+    /// The maximum number of tokens of the answer.
     pub max_output_tokens: f64,
-    /// Rough length of the answer, as time at the type's token interval.
+    /// Rough length of the answer, as the time that it takes at the token interval of the traffic type.
     pub output_length_hint: Option<Nanos>,
-    /// Whether it asks for the rest of an answer that broke off.
+    /// True if the sequence asks for the rest of an answer whose stream broke.
     pub resumed: bool,
-    /// How its answer reaches the client.
+    /// The way in which the answer reaches the client.
     pub relay: Relay,
-    /// When the sequence fails if no token has come.
+    /// Time at which the sequence fails if no token has arrived.
     pub first_token_deadline: Nanos,
-    /// When the client's deadline for the complete answer passes, if it has one.
+    /// The client's deadline for the complete answer, if the client has one.
     pub completion_deadline: Option<Nanos>,
 }
--- a/gateway-core/src/request_manager/scheduling.rs
+++ b/gateway-core/src/request_manager/scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling of a sequence without an attempt in flight, and the final answers that follow from it.
+//! Schedules sequences without an attempt in flight, and gives the final answers that follow from the decisions.
 
 use super::RequestManager;
 use super::action::{Action, Dispatch, FailureReason};
@@ -7,8 +7,8 @@
 use petrelshore::interface::{Decision, Idempotency, Nanos, Sequence, SequenceId, ServerId, Step};
 
 impl RequestManager {
-    /// Asks the policy about a sequence without an attempt in flight and applies its decision. A failure is reported
-    /// with `reason`.
+    /// Asks the policy for a decision on a sequence without an attempt in flight, and carries out that decision. A
+    /// failure is reported with `reason`.
     pub(super) fn schedule(
         &mut self,
         now: Nanos,
@@ -17,13 +17,14 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(tracked) = self.sequences.get_mut(&id) else { return };
-        // Both are read before the decision, which may reset them.
+        // The send deadline and the start of the cache hold are read before the decision, which may reset them.
         let send_deadline = self.policy.send_deadline(&tracked.sequence).unwrap_or(NO_DEADLINE);
         let cache_held_since = tracked.sequence.cache_held_since;
         let release = match self.policy.schedule(now, &mut tracked.sequence) {
             Decision::Send(server) => return self.send(now, id, server, send_deadline, actions),
             Decision::Wait => return self.wait(now, id, actions),
-            // Its client has received part of the answer: that is no rejection, whatever may run again.
+            // The client has received part of the answer, so the sequence is aborted instead of rejected, even if the
+            // request may run again.
             Decision::Reject { release, .. } if tracked.resumptions > 0 => {
                 self.counts.aborted += 1;
                 actions.push(Action::Abort { id, reason: FailureReason::StreamBroken });
@@ -73,7 +74,7 @@
         self.set_timer(id, now.saturating_add(timeout));
     }
 
-    /// Sets the timer of a sequence that no server can take yet.
+    /// Sets the timer after which a sequence is scheduled again that no server can take yet.
     fn wait(&mut self, now: Nanos, id: SequenceId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.sequences.get(&id) else { return };
         if !tracked.sequence.completed && !tracked.has_open_attempt() {
@@ -107,14 +108,14 @@
     }
 }
 
-/// How long an attempt may take, and when it may start.
+/// The time limits of an attempt: two durations and the deadline for sending it, in nanoseconds.
 struct AttemptLimits {
     timeout: Nanos,
     connect_timeout: Nanos,
     send_deadline: Nanos,
 }
 
-/// The dispatch of the last attempt of a sequence.
+/// Returns the dispatch of the last attempt of a sequence, if the sequence has an attempt.
 fn last_attempt_dispatch(
     tracked: &TrackedSequence,
     server: ServerId,
@@ -140,7 +141,8 @@
     })
 }
 
-/// A sequence whose client's deadline passed failed for that reason, except in a shutdown.
+/// Returns the reason that is reported for a failure: once the client's deadline has passed, the deadline is reported
+/// as the reason, except in a shutdown.
 fn reported_reason(now: Nanos, sequence: &Sequence, reason: FailureReason) -> FailureReason {
     if reason != FailureReason::ShuttingDown && now >= sequence.first_token_deadline {
         FailureReason::DeadlineExceeded
--- a/gateway-core/src/request_manager/shutdown.rs
+++ b/gateway-core/src/request_manager/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: draining, moving streams to other gateways, and terminating what is left.
+//! Graceful shutdown: draining, moving streams to other gateways, and terminating the remaining sequences.
 
 use super::RequestManager;
 use super::action::{Action, CancelReason, FailureReason};
@@ -8,8 +8,9 @@
 use petrelshore::interface::{Attempt, AttemptStatus, Nanos, NextStep, Outcome, SequenceId};
 use std::cmp::Reverse;
 
-/// The order in which streams are terminated: the newest first, since most of it is left. Those that were resumed go
-/// last, as each move costs a prefill.
+/// Sort key for the termination of streams. The newest stream is terminated first, since most of its answer is still to
+/// be decoded. Streams that were already resumed are terminated last, since each move to another gateway costs a
+/// prefill.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct TerminationOrder {
     resumed: bool,
@@ -18,13 +19,13 @@
 }
 
 impl RequestManager {
-    /// Accepts no further sequences. Running streams continue.
+    /// Stops accepting sequences. Running streams continue.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Terminates at most `max_streams` of the running streams, the newest first, for their clients to resume them at
-    /// another gateway. Sequences without a token continue.
+    /// Terminates at most `max_streams` of the running streams, the newest first, so that clients resume them at
+    /// another gateway. Sequences that have not received a token continue.
     pub fn terminate_streams(&mut self, now: Nanos, max_streams: usize, actions: &mut Vec<Action>) {
         let mut streams: Vec<TerminationOrder> =
             self.streaming_sequences().map(TerminationOrder::of).collect();
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Number of running streams.
+    /// Returns the number of running streams.
     pub fn running_streams(&self) -> usize {
         self.streaming_sequences().count()
     }
 
-    /// The time to drain is over: everything in flight gets its final answer now.
+    /// Terminates every sequence in flight once the drain time is over, so that each sequence gets its final answer.
     pub fn terminate_all(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         self.draining = true;
         let mut ids: Vec<SequenceId> = self.sequences.keys().copied().collect();
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Terminates a sequence at once; the scheduler decides whether a retry is harmless.
+    /// Terminates a sequence at once. The policy decides whether the client may safely retry the request.
     pub(super) fn terminate(
         &mut self,
         now: Nanos,
--- a/gateway-core/src/request_manager/tracked_sequence.rs
+++ b/gateway-core/src/request_manager/tracked_sequence.rs
@@ -9,30 +9,30 @@
 /// A deadline that never passes.
 pub(super) const NO_DEADLINE: Nanos = Nanos::MAX;
 
-/// One sequence in flight, with what the request manager knows beside the scheduler's view of it.
+/// One sequence in flight: the scheduler's view of the sequence, and the state that only the request manager uses.
 pub(super) struct TrackedSequence {
-    /// The scheduler's view.
+    /// The sequence as the scheduler sees it.
     pub(super) sequence: Sequence,
-    /// How the answer reaches the client.
+    /// The way in which the answer reaches the client.
     pub(super) relay: Relay,
-    /// Deadline of its timer in the timer queue.
+    /// Deadline of the sequence's timer in the timer queue, if the timer is set.
     pub(super) timer: Option<Nanos>,
-    /// When the complete answer is due.
+    /// Time at which the complete answer is due.
     pub(super) completion_deadline: Nanos,
-    /// When its stream last made progress.
+    /// Time at which the stream last made progress, or at which its client last stopped or resumed reading.
     pub(super) last_activity_at: Nanos,
-    /// Since when its client has not read its stream.
+    /// Time since which the client has not read the stream; `None` while the client reads.
     pub(super) stalled_since: Option<Nanos>,
-    /// Tokens received, over all attempts.
+    /// Number of tokens received, over all attempts.
     pub(super) tokens_received: u32,
-    /// How often its stream was resumed after a break.
+    /// Number of times that the stream was resumed after a break.
     pub(super) resumptions: usize,
-    /// Tokens that the client had when the stream was last resumed.
+    /// Number of tokens that had been received when the stream was last resumed.
     pub(super) tokens_resumed_after: u32,
 }
 
 impl TrackedSequence {
-    /// The state of a sequence that was just accepted.
+    /// Returns the state of a sequence that was just accepted.
     pub(super) fn new(now: Nanos, new: NewSequence, traffic_type: &TrafficType) -> Self {
         TrackedSequence {
             relay: new.relay,
@@ -65,22 +65,22 @@
         }
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub(super) fn has_open_attempt(&self) -> bool {
         self.sequence.attempts.iter().any(is_open)
     }
 
-    /// Whether nothing is left to happen: it is completed, and no attempt is in flight.
+    /// Returns whether the sequence can be removed: it is completed, and no attempt is in flight.
     pub(super) fn is_finished(&self) -> bool {
         self.sequence.completed && !self.has_open_attempt()
     }
 
-    /// Whether its last attempt is streaming.
+    /// Returns whether the last attempt is streaming.
     pub(super) fn is_streaming(&self) -> bool {
         self.sequence.attempts.last().is_some_and(|attempt| attempt.status == AttemptStatus::Streaming)
     }
 
-    /// When its running stream times out unless it makes progress.
+    /// Returns the time at which the running stream times out unless it makes progress.
     pub(super) fn stream_deadline(&self, traffic_type: &TrafficType) -> Nanos {
         let idle_deadline = match self.stalled_since {
             Some(since) => since.saturating_add(timeouts::stall_timeout()),
@@ -92,7 +92,7 @@
         idle_deadline.min(self.completion_deadline)
     }
 
-    /// Prepares a broken stream to be resumed after its last token; false where it can't be.
+    /// Prepares a broken stream to be resumed after its last token. Returns false if the stream can't be resumed.
     pub(super) fn try_resume(&mut self, now: Nanos, traffic_type: &TrafficType) -> bool {
         if self.sequence.completed || self.relay == Relay::Passthrough {
             return false;
@@ -109,7 +109,7 @@
         let Some(first_token_deadline) = resume_deadline(now, traffic_type, &broken) else {
             return false;
         };
-        // What the client has received is part of the prompt now.
+        // The tokens that the client has received become part of the prompt.
         self.sequence.prompt_tokens += tokens_received - tokens_resumed_after;
         self.sequence.max_output_tokens = max_output_tokens - tokens_received;
         self.sequence.resumed = true;
--- a/gateway-core/src/send_gate.rs
+++ b/gateway-core/src/send_gate.rs
@@ -1,31 +1,33 @@
 //! The last check before an attempt is sent, immediately before its first byte is written.
 //!
-//! An attempt is scheduled before its connection is established. Until then its client may leave, its sequence may be
-//! answered, its server may drain, disappear, move or restart, and its timeout may pass; and the event loop may be too
-//! busy to have noticed. So every path that writes an attempt calls [`check_send`] first.
+//! An attempt is scheduled before its connection is established. Meanwhile the client may disconnect, the sequence may
+//! get its final answer, the server may drain, disappear, change its address or restart, and the timeout of the attempt
+//! may pass, while the event loop is too busy to handle that event. So every path that writes an attempt calls
+//! [`check_send`] first.
 
 use crate::request_manager::Dispatch;
 use petrelshore::interface::{EndpointState, Nanos};
 use std::net::SocketAddr;
 
-/// Why an attempt may not be sent.
+/// The reason why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SendDenial {
-    /// Its client has closed its connection, or its sending side.
+    /// The client has closed its connection, or the sending side of its connection.
     ClientLeft,
-    /// Its sequence has its final answer, or another attempt in flight.
+    /// The sequence has its final answer, or another attempt in flight.
     Superseded,
-    /// Its server is draining, or not ready.
+    /// The server is draining, or not ready.
     Draining,
-    /// Its server is not listed any more.
+    /// The server is not in the endpoint list any more.
     Gone,
-    /// Its server has another address now.
+    /// The server has another address now.
     AddressChanged,
-    /// Its server has restarted since: what the scheduler assumed of it is out of date.
+    /// The server has restarted since the attempt was scheduled, so the scheduler's assumptions about the server are
+    /// outdated.
     Restarted,
-    /// The servers that know the sequence's idempotency key forget it by now.
+    /// The servers that know the sequence's idempotency key may have forgotten this key by now.
     KeyExpired,
-    /// Its timeout has passed.
+    /// The timeout of the attempt has passed.
     DeadlineExceeded,
 }
 
@@ -34,29 +36,29 @@
 pub struct PendingSend<'a> {
     /// The attempt.
     pub dispatch: &'a Dispatch,
-    /// When it was scheduled.
+    /// Time at which the attempt was scheduled.
     pub decided_at: Nanos,
-    /// The address that its connection leads to.
+    /// The address that the connection leads to.
     pub address: SocketAddr,
-    /// When its server had started, as listed when it was scheduled.
+    /// Start time of the server in the endpoint list when the attempt was scheduled.
     pub server_started_at: Option<Nanos>,
-    /// Whether its client has left.
+    /// True if the client has disconnected.
     pub client_left: bool,
 }
 
-/// Where a server is listed now.
+/// The present entry of a server in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct CurrentEndpoint {
-    /// Its address.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// Whether it may be sent anything.
+    /// The state of the server, which decides whether the server may be sent anything.
     pub state: EndpointState,
-    /// When it last started.
+    /// Time at which the server last started.
     pub started_at: Nanos,
 }
 
-/// Whether an attempt may be sent. `attempt_in_flight` is the present attempt of its sequence, unless that has its final
-/// answer; `listed` is its server's entry in the endpoint list.
+/// Checks whether an attempt may be sent. `attempt_in_flight` is the present attempt of the sequence, or `None` if the
+/// sequence has its final answer. `listed` is the server's entry in the endpoint list.
 pub fn check_send(
     now: Nanos,
     pending: &PendingSend,
