--- a/capacity/src/fleet/mod.rs
+++ b/capacity/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::limits::{self, LimitError};
 use crate::report::Printer;
-use petrelshore_gateway_core::Chooser;
+use petrelshore_gateway_core::PolicyKind;
 
 /// What happens in a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// Draws traffic and decisions.
     pub seed: u64,
     /// How gateways find servers.
-    pub chooser: Chooser,
+    pub policy_kind: PolicyKind,
     /// What happens.
     pub scenario: Scenario,
 }
--- a/capacity/src/fleet/simulation.rs
+++ b/capacity/src/fleet/simulation.rs
@@ -305,7 +305,7 @@
 fn gateway(setup: &Setup, size: Size, number: usize, list: &[Endpoint]) -> Gateway {
     let deployment = inventory::deployment(size, number % inventory::ZONES);
     let seed = setup.seed.wrapping_mul(SEED_FACTOR).wrapping_add(number as u64);
-    let mut manager = RequestManager::with(START, deployment, seed, setup.chooser);
+    let mut manager = RequestManager::with_policy(START, deployment, seed, setup.policy_kind);
     manager.update_endpoints(START, SnapshotKind::Full, list);
     Gateway { manager, next_timeout: Nanos::MAX, knows_lost: false }
 }
--- a/capacity/src/fleet/simulation/summary.rs
+++ b/capacity/src/fleet/simulation/summary.rs
@@ -4,7 +4,7 @@
 use crate::fleet::measures::{Counts, Spread, Summary, work_by_role};
 use crate::limits;
 use petrelshore::interface::Role;
-use petrelshore_gateway_core::Chooser;
+use petrelshore_gateway_core::PolicyKind;
 use std::time::Duration;
 
 const BYTES_PER_MIB_LOG2: u32 = 20;
@@ -20,7 +20,8 @@
         let first_token_ms = self.counts.first_token_ms.as_ref();
         Summary {
             scenario: self.setup.scenario.name().to_owned(),
-            policy: if self.setup.chooser == Chooser::Scan { "scan" } else { "candidates" }.to_owned(),
+            policy: if self.setup.policy_kind == PolicyKind::FullScan { "scan" } else { "candidates" }
+                .to_owned(),
             seed: self.setup.seed,
             gateways: self.setup.gateways,
             servers: self.setup.servers,
--- a/capacity/src/gateway.rs
+++ b/capacity/src/gateway.rs
@@ -6,7 +6,7 @@
     TrafficTypeId,
 };
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
-use petrelshore_gateway_core::{Action, Chooser, Dispatch, NewSequence, Relay, RequestManager};
+use petrelshore_gateway_core::{Action, Dispatch, NewSequence, PolicyKind, Relay, RequestManager};
 use std::hint::black_box;
 
 /// Requests before anything is measured.
@@ -48,9 +48,9 @@
 
 impl MeasuredGateway {
     /// A gateway that has the endpoint list and has received nothing.
-    pub fn new(load: Load, list: &[Endpoint], chooser: Chooser) -> Self {
+    pub fn new(load: Load, list: &[Endpoint], policy_kind: PolicyKind) -> Self {
         let deployment = inventory::deployment(load.size, 0);
-        let mut manager = RequestManager::with(SECOND, deployment, SEED, chooser);
+        let mut manager = RequestManager::with_policy(SECOND, deployment, SEED, policy_kind);
         manager.update_endpoints(SECOND, SnapshotKind::Full, list);
         MeasuredGateway { manager, load, now: 2 * SECOND, requests: 0, attempts: 0 }
     }
--- a/capacity/src/main.rs
+++ b/capacity/src/main.rs
@@ -5,7 +5,7 @@
 use petrelshore_capacity::limits::{self, LimitError};
 use petrelshore_capacity::report::{Format, Printer};
 use petrelshore_capacity::slopes::{self, Plan};
-use petrelshore_gateway_core::Chooser;
+use petrelshore_gateway_core::PolicyKind;
 use std::fmt;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -99,10 +99,10 @@
 }
 
 impl Policy {
-    fn chooser(self) -> Chooser {
+    fn policy_kind(self) -> PolicyKind {
         match self {
-            Policy::Scan => Chooser::Scan,
-            Policy::Candidates => Chooser::Decisions,
+            Policy::Scan => PolicyKind::FullScan,
+            Policy::Candidates => PolicyKind::Scheduler,
         }
     }
 }
@@ -169,7 +169,7 @@
             requests: self.requests,
             row_time: Duration::from_millis(self.row_ms),
             memory_at: self.memory_at.clone(),
-            chooser: self.policy.chooser(),
+            policy_kind: self.policy.policy_kind(),
         })
     }
 }
@@ -209,7 +209,7 @@
             rate: self.rate.map_or(proportional_rate, |rate| rate as f64),
             seconds: self.seconds,
             seed: self.seed,
-            chooser: policy.chooser(),
+            policy_kind: policy.policy_kind(),
             scenario: scenario.scenario(),
         }
     }
--- a/capacity/src/slopes.rs
+++ b/capacity/src/slopes.rs
@@ -6,7 +6,7 @@
 use crate::limits::{self, LimitError};
 use crate::report::Printer;
 use petrelshore::interface::{Endpoint, Nanos};
-use petrelshore_gateway_core::Chooser;
+use petrelshore_gateway_core::PolicyKind;
 use petrelshore_platform_protocol::endpoint_list;
 use petrelshore_platform_protocol::settings::Names;
 use petrelshore_platform_protocol::tenants::Tenants;
@@ -55,7 +55,7 @@
     /// The numbers of requests after which memory is read.
     pub memory_at: Vec<u64>,
     /// How servers are found.
-    pub chooser: Chooser,
+    pub policy_kind: PolicyKind,
 }
 
 /// What is measured in one row.
@@ -234,7 +234,7 @@
 pub fn measure_cost(plan: &Plan, case: Case) -> CostRow {
     let reference = reference_us();
     let list = inventory::fleet(case.servers, case.slow_start_share, SECOND / 2);
-    let mut gateway = MeasuredGateway::new(case.load(), &list, plan.chooser);
+    let mut gateway = MeasuredGateway::new(case.load(), &list, plan.policy_kind);
     let until = Instant::now() + plan.row_time;
     (0..WARM_UP_REQUESTS).take_while(|_| Instant::now() < until).for_each(|_| gateway.handle_request());
     let (from, attempts_before) = (Instant::now(), gateway.attempts());
@@ -327,7 +327,7 @@
     let full = json!({ "index": 1, "snapshot": true, "endpoints": entries }).to_string();
     let change = json!({ "index": 2, "snapshot": false, "endpoints": [entry(&list[0])] }).to_string();
     let load = Case::ordinary(servers, 0).load();
-    let mut gateway = MeasuredGateway::new(load, &list, Chooser::Decisions);
+    let mut gateway = MeasuredGateway::new(load, &list, PolicyKind::Scheduler);
     (0..WARM_UP_REQUESTS).for_each(|_| gateway.handle_request());
     let full_times = time_list(&full, &mut gateway);
     let change_times = time_list(&change, &mut gateway);
@@ -352,7 +352,7 @@
     let servers = servers.min(SERVICE_SERVERS);
     let start = limits::resident().unwrap_or(0);
     let load = Load { sessions: u64::MAX, prefixes: u64::MAX, ..Case::ordinary(servers, tenants).load() };
-    let mut gateway = MeasuredGateway::new(load, &inventory::fleet(servers, 0.0, 0), plan.chooser);
+    let mut gateway = MeasuredGateway::new(load, &inventory::fleet(servers, 0.0, 0), plan.policy_kind);
     let mut requests = 0;
     for &at in &plan.memory_at {
         while requests < at {
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use futures_lite::future;
 use petrelshore_engine_client::Client;
 use petrelshore_gateway_core::buffered::{Admission, BufferedRequests, Rejection};
-use petrelshore_gateway_core::{Chooser, Counts};
+use petrelshore_gateway_core::{Counts, PolicyKind};
 use petrelshore_inventory::Membership;
 use petrelshore_runtime::{AttemptSlot, Clock, EventDriven, EventLoop, Spawner, wait_until};
 use petrelshore_settings::Settings;
@@ -28,21 +28,26 @@
     /// Starts a gateway from its settings and its endpoint list: the inventory where it is good, else the list stored by
     /// an earlier run. Its tasks run where `spawner` says.
     pub fn start(settings: Settings, spawner: Spawner) -> Result<Gateway, ReloadError> {
-        Self::start_with(settings, spawner, Chooser::Decisions)
+        Self::start_with(settings, spawner, PolicyKind::Scheduler)
     }
 
     /// Starts a gateway that routes by another policy.
     pub fn start_with(
         settings: Settings,
         spawner: Spawner,
-        chooser: Chooser,
+        policy_kind: PolicyKind,
     ) -> Result<Gateway, ReloadError> {
         let clock = Clock::start();
         let now = clock.now();
         let seed = settings.seed(now);
         let membership = Membership::new(&settings.kinds, &settings.zone);
-        let requests =
-            BufferedRequests::new(now, settings.deployment.clone(), seed, settings.limits.sequences, chooser);
+        let requests = BufferedRequests::new(
+            now,
+            settings.deployment.clone(),
+            seed,
+            settings.limits.sequences,
+            policy_kind,
+        );
         let gateway = Gateway(Rc::new(GatewayState {
             client: Client::new(spawner.clone(), &settings.name),
             event_loop: EventLoop::new(clock, requests),
--- a/chat-gateway/src/lib.rs
+++ b/chat-gateway/src/lib.rs
@@ -24,7 +24,7 @@
 pub use gateway::Gateway;
 pub use generation_request::GenerationRequest;
 pub use petrelshore::interface::Idempotency;
-pub use petrelshore_gateway_core::Chooser;
+pub use petrelshore_gateway_core::PolicyKind;
 pub use petrelshore_gateway_core::buffered::{FinalAnswer, Rejection, Request, Usage};
 pub use petrelshore_runtime::{Clock, Spawner};
 pub use reload_error::ReloadError;
--- a/e2e/src/fleet/gateway.rs
+++ b/e2e/src/fleet/gateway.rs
@@ -5,7 +5,7 @@
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
 use petrelshore_chat_api as chat;
-use petrelshore_chat_gateway::{Chooser, Gateway, Spawner};
+use petrelshore_chat_gateway::{Gateway, PolicyKind, Spawner};
 use petrelshore_emulator::profile::Profile;
 use petrelshore_emulator::record::{Event, Record};
 use petrelshore_grpc_api as grpc;
@@ -94,7 +94,7 @@
         folder: &Path,
         settings: &str,
     ) -> Result<RunningGateway, StartError> {
-        Self::start_with(executor, folder, settings, Chooser::Decisions).await
+        Self::start_with(executor, folder, settings, PolicyKind::Scheduler).await
     }
 
     /// The same with another policy.
@@ -102,7 +102,7 @@
         executor: &Executor,
         folder: &Path,
         settings: &str,
-        chooser: Chooser,
+        policy_kind: PolicyKind,
     ) -> Result<RunningGateway, StartError> {
         let settings = read_settings(folder, settings).await?;
         // All of it runs on an executor of its own, so that a crash ends all of it at once.
@@ -113,7 +113,7 @@
         let grpc_listener = grpc::bind(grpc_address).await.map_err(listen_error)?;
         let addresses = Addresses { chat: chat_listener.address, grpc: grpc_listener.address };
         let name = settings.name.clone();
-        let gateway = Gateway::start_with(settings, Spawner::new(&own), chooser)
+        let gateway = Gateway::start_with(settings, Spawner::new(&own), policy_kind)
             .map_err(|error| StartError::Gateway(error.to_string()))?;
         let ingress = chat::Ingress::new(gateway.clone());
         let apis =
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -10,7 +10,7 @@
 use crate::script::{FleetShape, Script};
 use async_io::Timer;
 use faults::inject;
-use petrelshore_chat_gateway::Chooser;
+use petrelshore_chat_gateway::PolicyKind;
 use petrelshore_emulator::profile::{Profile, Role};
 use petrelshore_emulator::record::{FinalOutcome, Nanos, Record};
 use petrelshore_settings::Settings;
@@ -75,7 +75,7 @@
     names: Vec<String>,
     /// Settings records of all gateways beside the usual ones.
     more: String,
-    chooser: Chooser,
+    policy_kind: PolicyKind,
     settings: Settings,
     next_client: Cell<u64>,
     requests: RefCell<Vec<ClientRequest>>,
@@ -97,11 +97,11 @@
     folder: &Path,
     script: &Script,
     more: &str,
-    chooser: Chooser,
+    policy_kind: PolicyKind,
     progress: impl Fn(String),
 ) -> Result<Outcome, Error> {
     let mut fleet = start_fleet(executor, folder, &script.fleet).await?;
-    let rehearsal = Rehearsal::start(executor, folder, &fleet.record, script, more, chooser).await?;
+    let rehearsal = Rehearsal::start(executor, folder, &fleet.record, script, more, policy_kind).await?;
     let clients = rehearsal.start_clients(script);
     let started = rehearsal.record.now();
     let mut faults = script.faults.clone();
@@ -148,7 +148,7 @@
         record: &Record,
         script: &Script,
         more: &str,
-        chooser: Chooser,
+        policy_kind: PolicyKind,
     ) -> Result<Rc<Rehearsal>, Error> {
         let count = (script.gateways as usize).max(1);
         let (warm_up_ms, overload_factor) = (script.fleet.warm_up_ms, script.fleet.overload_factor);
@@ -157,7 +157,7 @@
         let mut gateways = Vec::new();
         for name in &names {
             let settings = settings_text(name, count, "127.0.0.1:0", &more);
-            gateways.push(RunningGateway::start_with(executor, folder, &settings, chooser).await?);
+            gateways.push(RunningGateway::start_with(executor, folder, &settings, policy_kind).await?);
         }
         let settings = gateways.first().ok_or(Error::NoGateway)?.gateway.settings().clone();
         Ok(Rc::new(Rehearsal {
@@ -168,7 +168,7 @@
             gateways: RefCell::new(gateways.into_iter().map(Some).collect()),
             names,
             more,
-            chooser,
+            policy_kind,
             settings,
             next_client: Cell::new(0),
             requests: RefCell::default(),
--- a/e2e/src/rehearse/faults.rs
+++ b/e2e/src/rehearse/faults.rs
@@ -84,7 +84,8 @@
             let more = format!("listen.grpc = \"{}\", {}", addresses.grpc, rehearsal.more);
             let settings = settings_text(name, rehearsal.names.len(), &addresses.chat.to_string(), &more);
             let (executor, folder) = (&rehearsal.executor, &rehearsal.folder);
-            let gateway = RunningGateway::start_with(executor, folder, &settings, rehearsal.chooser).await?;
+            let gateway =
+                RunningGateway::start_with(executor, folder, &settings, rehearsal.policy_kind).await?;
             rehearsal.gateways.borrow_mut()[number] = Some(gateway);
             rehearsal.record.write(Event::GatewayRestarted { gateway: name.clone() });
         }
--- a/e2e/tests/rehearsals.rs
+++ b/e2e/tests/rehearsals.rs
@@ -2,7 +2,7 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use petrelshore_chat_gateway::Chooser;
+use petrelshore_chat_gateway::PolicyKind;
 use petrelshore_e2e::rehearse::{Outcome, rehearse};
 use petrelshore_e2e::script;
 use petrelshore_emulator::record::Event;
@@ -13,7 +13,7 @@
     let script = script::read_text(Path::new(name), text).unwrap();
     let folder = std::env::temp_dir().join(format!("petrelshore-{name}-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
-    let run = rehearse(&executor, &folder, &script, "", Chooser::Decisions, |_| {});
+    let run = rehearse(&executor, &folder, &script, "", PolicyKind::Scheduler, |_| {});
     let outcome = future::block_on(executor.run(run)).unwrap();
     let _ = std::fs::remove_dir_all(&folder);
     outcome
--- a/gateway-core/src/lib.rs
+++ b/gateway-core/src/lib.rs
@@ -46,7 +46,7 @@
 pub mod timeouts;
 pub mod token_estimate;
 
-pub use policy::Chooser;
+pub use policy::PolicyKind;
 pub use request_manager::{
     Action, CancelReason, Counts, Dispatch, FailureReason, Finality, NewSequence, Relay, RequestManager,
 };
--- a/gateway-core/src/policy.rs
+++ b/gateway-core/src/policy.rs
@@ -10,12 +10,12 @@
 
 /// Selects the policy that a request manager schedules with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Chooser {
+pub enum PolicyKind {
     /// The scheduler.
     #[default]
-    Decisions,
+    Scheduler,
     /// The scheduler, which examines every server of a fleet of any size for each decision. For comparisons.
-    Scan,
+    FullScan,
     /// The baseline: a random server.
     Baseline,
 }
@@ -30,11 +30,11 @@
 
 impl Policy {
     /// Creates the selected policy.
-    pub fn new(now: Nanos, deployment: Deployment, seed: u64, chooser: Chooser) -> Self {
-        match chooser {
-            Chooser::Decisions => Policy::Scheduler(Box::new(Scheduler::new(now, deployment, seed))),
-            Chooser::Scan => Policy::Scheduler(Box::new(Scheduler::scanning(now, deployment, seed))),
-            Chooser::Baseline => Policy::Baseline(Box::new(Baseline::new(deployment, seed))),
+    pub fn new(now: Nanos, deployment: Deployment, seed: u64, policy_kind: PolicyKind) -> Self {
+        match policy_kind {
+            PolicyKind::Scheduler => Policy::Scheduler(Box::new(Scheduler::new(now, deployment, seed))),
+            PolicyKind::FullScan => Policy::Scheduler(Box::new(Scheduler::scanning(now, deployment, seed))),
+            PolicyKind::Baseline => Policy::Baseline(Box::new(Baseline::new(deployment, seed))),
         }
     }
 
--- a/gateway-core/src/request_manager.rs
+++ b/gateway-core/src/request_manager.rs
@@ -21,7 +21,7 @@
 
 use crate::attempt_outcome::is_open;
 use crate::invariants::{InvariantChecks, Violation};
-use crate::policy::{Chooser, Policy};
+use crate::policy::{Policy, PolicyKind};
 use petrelshore::interface::{
     Deployment, Endpoint, LoadReport, Nanos, SequenceId, ServerId, SnapshotKind, TrafficType,
 };
@@ -44,16 +44,16 @@
 impl RequestManager {
     /// Creates a request manager that schedules with [`petrelshore::Scheduler`].
     pub fn new(now: Nanos, deployment: Deployment, seed: u64) -> Self {
-        Self::with(now, deployment, seed, Chooser::Decisions)
+        Self::with_policy(now, deployment, seed, PolicyKind::Scheduler)
     }
 
     /// Creates a request manager that schedules with the given policy.
-    pub fn with(now: Nanos, deployment: Deployment, seed: u64, chooser: Chooser) -> Self {
+    pub fn with_policy(now: Nanos, deployment: Deployment, seed: u64, policy_kind: PolicyKind) -> Self {
         RequestManager {
             traffic_types: deployment.types.clone(),
             release_timeout: deployment.release_timeout,
             invariants: InvariantChecks::default(),
-            policy: Policy::new(now, deployment, seed, chooser),
+            policy: Policy::new(now, deployment, seed, policy_kind),
             sequences: HashMap::new(),
             timers: TimerQueue::default(),
             draining: false,
--- a/gateway-core/src/request_table/buffered.rs
+++ b/gateway-core/src/request_table/buffered.rs
@@ -20,7 +20,7 @@
 use crate::cache_releases::{CacheRelease, CacheState, ReleaseOutcome};
 use crate::cancellation_limits::CancellationLimits;
 use crate::idempotency::IdempotencyStore;
-use crate::policy::Chooser;
+use crate::policy::PolicyKind;
 use crate::request_manager::{Counts, Dispatch};
 use entry::{PrefilledCache, RequestEntry, client_id};
 use petrelshore::interface::{
@@ -42,12 +42,18 @@
 
 impl<P: Clone> BufferedRequests<P> {
     /// An empty table for at most `max_requests` at once.
-    pub fn new(now: Nanos, deployment: Deployment, seed: u64, max_requests: usize, chooser: Chooser) -> Self {
+    pub fn new(
+        now: Nanos,
+        deployment: Deployment,
+        seed: u64,
+        max_requests: usize,
+        policy_kind: PolicyKind,
+    ) -> Self {
         BufferedRequests {
             idempotency_of_types: deployment.types.iter().map(|traffic| traffic.idempotency).collect(),
             idempotency: IdempotencyStore::default(),
             cancellations: CancellationLimits::default(),
-            store: RequestStore::new(now, deployment, seed, max_requests, chooser),
+            store: RequestStore::new(now, deployment, seed, max_requests, policy_kind),
             last_id: seed << ID_SEED_SHIFT,
             draining: false,
         }
--- a/gateway-core/src/request_table/passthrough.rs
+++ b/gateway-core/src/request_table/passthrough.rs
@@ -18,7 +18,7 @@
 use crate::cache_releases::{CacheRelease, RELEASE_CONNECTIONS, ReleaseOutcome};
 use crate::graceful_shutdown::{ClientResumption, PeerGateways, ResumeRate, ShutdownPlan, plan_shutdown};
 use crate::invariants::Violation;
-use crate::policy::Chooser;
+use crate::policy::PolicyKind;
 use crate::request_manager::{Counts, Dispatch, NewSequence};
 use crate::send_gate::{PendingSend, SendDenial, check_send};
 use endpoint_directory::EndpointDirectory;
@@ -53,7 +53,7 @@
         PassthroughRequests {
             gateways: deployment.gateways,
             resume_rate: ResumeRate::default(),
-            store: RequestStore::new(now, deployment, seed, max_requests, Chooser::Decisions),
+            store: RequestStore::new(now, deployment, seed, max_requests, PolicyKind::Scheduler),
             endpoints: EndpointDirectory::default(),
             last_finished: None,
         }
--- a/gateway-core/src/request_table/store.rs
+++ b/gateway-core/src/request_table/store.rs
@@ -2,7 +2,7 @@
 
 use crate::cache_releases::{CacheRelease, CacheReleases, CacheState};
 use crate::capacity::{CapacityError, CapacityLimit, relative_priorities};
-use crate::policy::Chooser;
+use crate::policy::PolicyKind;
 use crate::request_manager::RequestManager;
 use petrelshore::interface::{Deployment, Nanos, SequenceId, TrafficTypeId};
 use std::collections::HashMap;
@@ -34,14 +34,14 @@
         deployment: Deployment,
         seed: u64,
         max_requests: usize,
-        chooser: Chooser,
+        policy_kind: PolicyKind,
     ) -> Self {
         RequestStore {
             releases: CacheReleases::new(deployment.release_timeout),
             capacity: CapacityLimit::new(now, max_requests),
             relative_priorities: relative_priorities(&deployment),
             max_retry_after: deployment.max_retry_after,
-            manager: RequestManager::with(now, deployment, seed, chooser),
+            manager: RequestManager::with_policy(now, deployment, seed, policy_kind),
             entries: HashMap::new(),
         }
     }
--- a/gateway-core/tests/buffered.rs
+++ b/gateway-core/tests/buffered.rs
@@ -12,7 +12,7 @@
 };
 use petrelshore_gateway_core::cache_releases::ReleaseOutcome;
 use petrelshore_gateway_core::token_estimate::{Message, estimate_prompt};
-use petrelshore_gateway_core::{CancelReason, Chooser, FailureReason, Relay};
+use petrelshore_gateway_core::{CancelReason, FailureReason, PolicyKind, Relay};
 use std::rc::Rc;
 
 const MS: Nanos = 1_000_000;
@@ -57,7 +57,7 @@
         started_at: 0,
         state: EndpointState::Ready,
     };
-    let mut requests = BufferedRequests::new(0, deployment, 5, max_requests, Chooser::Decisions);
+    let mut requests = BufferedRequests::new(0, deployment, 5, max_requests, PolicyKind::Scheduler);
     requests.update_endpoints(0, SnapshotKind::Full, &(0..4).map(endpoint).collect::<Vec<_>>());
     requests
 }
