--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Which requests are rejected, by prompt length and by session, in a small model of prefill and decode servers.
+//! Admission under overload, in a small model of prefill and decode servers: the rejections must not all fall on the
+//! longest prompts, nor on every turn of the same sessions.
 
 mod common;
 
@@ -12,19 +13,24 @@
 use petrelshore_gateway_core::{Action, NewSequence, Relay, RequestManager};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pairs of a prefill server and a decode server.
+/// The number of prefill servers, and of decode servers.
 const SERVER_PAIRS: u64 = 8;
-/// Prompt tokens that a prefill server prefills per second.
+/// The number of prompt tokens that a prefill server processes per second.
 const PREFILL_TOKENS_PER_SECOND: f64 = 16_000.0;
-/// What each turn adds to the prompt of its session, in tokens: a log-normal distribution.
+/// Median number of tokens that a turn adds to the prompt of its session. The number is log-normally distributed.
 const MEDIAN_TURN_TOKENS: f64 = 2_000.0;
+/// Standard deviation of the logarithm of the number of tokens that a turn adds.
 const TURN_TOKENS_SIGMA: f64 = 0.8;
+/// Mean of the distribution: `MEDIAN_TURN_TOKENS * exp(TURN_TOKENS_SIGMA² / 2)`.
 const MEAN_TURN_TOKENS: f64 = 2_754.0;
-const TURNS: u64 = 4;
+const TURNS_PER_SESSION: u64 = 4;
+/// Time between the starts of two turns of a session, in nanoseconds.
 const TURN_INTERVAL: Nanos = 3 * S;
+/// Time from sending a decode attempt to its first token, in nanoseconds.
 const FIRST_TOKEN_TIME: Nanos = 60 * MS;
+/// Time from the first token to the end of the answer, in nanoseconds.
 const DECODE_TIME: Nanos = 2 * S;
-/// How long clients of each traffic type wait for their first token, in seconds.
+/// The time that clients of each traffic type wait for their first token, in seconds.
 const ABANDON_SECONDS: [u64; 2] = [6, 10];
 
 fn two_types(gateways: usize) -> Deployment {
@@ -66,7 +72,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The next turn of a session.
+    /// The client sends the next turn of a session.
     Turn {
         session: u64,
     },
@@ -86,19 +92,21 @@
     answered: bool,
 }
 
-/// A session so far.
+/// The state of a session.
 #[derive(Default)]
 struct Session {
+    /// Length of the prompt of the latest turn, which includes the prompts of all earlier turns.
     prompt_tokens: f64,
 }
 
 struct Model {
     gateways: Vec<RequestManager>,
     random: Rand64,
-    /// Events by their time and, at the same time, in the order in which they were scheduled.
+    /// Pending events, ordered by time and, at equal times, by the order in which they were scheduled.
     events: BTreeSet<(Nanos, u64, Event)>,
+    /// The number of events scheduled so far.
     scheduled: u64,
-    /// Until when each prefill server is busy with what it was sent.
+    /// The time at which each prefill server has finished all prefills that it was sent.
     busy_until: BTreeMap<ServerId, Nanos>,
     sessions: BTreeMap<u64, Session>,
     requests: Vec<Request>,
@@ -130,28 +138,31 @@
         self.events.insert((at, self.scheduled, event));
     }
 
-    /// Schedules sessions of some turns each, whose prompts grow, at `load` times what the prefill servers can do.
+    /// Schedules sessions that start at random times until `end`, at an average load of `load` times the capacity of
+    /// the prefill servers.
     fn schedule_sessions(&mut self, load: f64, end: Nanos) {
         let capacity = PREFILL_TOKENS_PER_SECOND * SERVER_PAIRS as f64;
-        // The prompt of a session's turn is two and a half times what a turn adds, on average.
-        let sessions_per_second = load * capacity / MEAN_TURN_TOKENS / TURNS as f64 / 2.5;
+        // Each turn adds MEAN_TURN_TOKENS to the prompt on average, so the prompts of a session's four turns average
+        // (1 + 2 + 3 + 4) / 4 = 2.5 times that.
+        let sessions_per_second = load * capacity / MEAN_TURN_TOKENS / TURNS_PER_SESSION as f64 / 2.5;
         let (mut at, mut session) = (START, 0);
         while at < end {
             at += (-self.random.rand_float().max(1e-12).ln() / sessions_per_second * 1e9) as Nanos;
             session += 1;
-            for turn in 0..TURNS {
+            for turn in 0..TURNS_PER_SESSION {
                 self.schedule(at + turn * TURN_INTERVAL, Event::Turn { session });
             }
         }
     }
 
+    /// A random number of tokens that a turn adds to the prompt of its session.
     fn turn_tokens(&mut self) -> f64 {
         let normal = (-2.0 * self.random.rand_float().max(1e-12).ln()).sqrt()
             * (2.0 * std::f64::consts::PI * self.random.rand_float()).cos();
         MEDIAN_TURN_TOKENS * (TURN_TOKENS_SIGMA * normal).exp()
     }
 
-    /// A client sends the next turn of a session to a random gateway, which is returned.
+    /// Sends the next turn of a session to a random gateway and returns the index of that gateway.
     fn send_turn(&mut self, now: Nanos, session: u64, actions: &mut Vec<Action>) -> usize {
         let added_tokens = self.turn_tokens();
         let state = self.sessions.entry(session).or_default();
@@ -237,7 +248,8 @@
     }
 }
 
-/// Runs the model for `seconds`, at `load` times what the prefill servers can do; the requests after the first fifth.
+/// Runs the model for `seconds` at `load` times the capacity of the prefill servers. Returns all requests but the first
+/// fifth, which belongs to the warm-up.
 fn simulate(gateways: usize, load: f64, seconds: u64, seed: u64) -> Vec<Request> {
     let end = START + seconds * S;
     let mut model = Model::new(gateways, seed);
@@ -251,16 +263,20 @@
     model.requests.split_off(warm_up)
 }
 
+/// The share of the requests that got a complete answer.
 fn answered_share<'a>(requests: impl Iterator<Item = &'a Request>) -> f64 {
     let (total, answered) = requests
         .fold((0, 0), |(total, answered), request| (total + 1, answered + u32::from(request.answered)));
     f64::from(answered) / f64::from(total.max(1))
 }
 
-/// The answered share of a traffic type, and those of its longest prompts as multiples of it.
+/// The answered shares of one traffic type, by prompt length.
 struct ShareByLength {
+    /// The answered share of all its requests.
     overall: f64,
+    /// The answered share of the longest tenth of the prompts, relative to `overall`.
     longest_tenth: f64,
+    /// The answered share of the next longest fifth of the prompts, relative to `overall`.
     next_fifth: f64,
 }
 
@@ -278,6 +294,7 @@
     }
 }
 
+/// Guards against admission that rejects the longest prompts far more often than the others.
 #[test]
 fn longest_prompts_get_a_fair_share_of_answers() {
     for gateways in [3, 30] {
@@ -290,7 +307,8 @@
                     assert!(
                         longest_tenth >= min_share && next_fifth >= min_share,
                         "{gateways} gateways, load {load}, seed {seed}, type {traffic}: \
-                         {overall:.3}, {longest_tenth:.3}, {next_fifth:.3}"
+                         answered {overall:.3}, relative to that the longest tenth {longest_tenth:.3} \
+                         and the next fifth {next_fifth:.3}"
                     );
                 }
             }
@@ -298,11 +316,12 @@
     }
 }
 
-/// Share of the sessions all of whose turns were rejected.
+/// Share of the sessions of which every turn was rejected.
 struct RejectedSessions {
+    /// The share in the model run.
     observed: f64,
-    /// What chance gives if each turn is rejected with the same probability.
-    by_chance: f64,
+    /// The expected share if each turn were rejected independently with the same probability.
+    expected: f64,
 }
 
 fn rejected_sessions(requests: &[Request]) -> RejectedSessions {
@@ -323,20 +342,23 @@
     let rejected_throughout = sessions.iter().filter(|turns| turns.total == turns.rejected).count();
     RejectedSessions {
         observed: rejected_throughout as f64 / count,
-        by_chance: sessions.iter().map(|turns| rejected_share.powi(turns.total)).sum::<f64>() / count,
+        expected: sessions.iter().map(|turns| rejected_share.powi(turns.total)).sum::<f64>() / count,
     }
 }
 
+/// Guards against admission that rejects all turns of some sessions far more often than independent rejections of the
+/// single turns would.
 #[test]
 fn sessions_are_not_rejected_throughout_beyond_chance() {
     for gateways in [3, 30] {
         for load in [0.6, 0.9] {
             for seed in 0..3 {
                 let requests = simulate(gateways, load, 60, seed * 100);
-                let RejectedSessions { observed, by_chance } = rejected_sessions(&requests);
+                let RejectedSessions { observed, expected } = rejected_sessions(&requests);
                 assert!(
-                    observed <= by_chance + 0.12,
-                    "{gateways} gateways, load {load}, seed {seed}: {observed:.3}, {by_chance:.3}"
+                    observed <= expected + 0.12,
+                    "{gateways} gateways, load {load}, seed {seed}: {observed:.3} of the sessions are \
+                     rejected throughout, {expected:.3} are expected"
                 );
             }
         }
--- a/gateway-core/tests/buffered.rs
+++ b/gateway-core/tests/buffered.rs
@@ -1,4 +1,5 @@
-//! The buffered request table without sockets: idempotency keys, KV caches, usage of resumed streams, capacity.
+//! The buffered request table without sockets: idempotency keys, releases of KV caches, token usage of resumed streams,
+//! and capacity.
 
 use petrelshore::interface::{
     CellId, Delivery, Deployment, Discovery, Endpoint, EndpointState, Idempotency, Nanos, Role, SequenceId,
@@ -80,27 +81,32 @@
     }
 }
 
+/// Returns the first attempt that the commands send.
 fn sent_attempt(commands: &[Command<u8>]) -> &OutgoingAttempt<u8> {
-    let found = commands.iter().find_map(|command| match command {
-        Command::Send(sent_attempt) => Some(sent_attempt.as_ref()),
+    let sent_attempt = commands.iter().find_map(|command| match command {
+        Command::Send(attempt) => Some(attempt.as_ref()),
         _ => None,
     });
-    found.unwrap_or_else(|| panic!("nothing is sent: {commands:?}"))
+    sent_attempt.unwrap_or_else(|| panic!("no attempt is sent: {commands:?}"))
 }
 
-/// Accepts a request and completes its prefill; the attempt that is sent to a decode server.
+/// Accepts a request and completes its prefill. Returns the id and the attempt that is sent to a decode server.
 fn accept_and_prefill(
     requests: &mut BufferedRequests<u8>,
     request: Request,
 ) -> (SequenceId, OutgoingAttempt<u8>) {
     let mut commands = Vec::new();
-    let Admission::Accepted(id) = requests.accept(0, request, &mut commands) else { panic!("not accepted") };
+    let Admission::Accepted(id) = requests.accept(0, request, &mut commands) else {
+        panic!("the request is not accepted")
+    };
     let prefill = sent_attempt(&commands).clone();
     commands.clear();
     requests.prefill_done(MS, &prefill.dispatch, 0.0, 7, &mut commands);
     (id, sent_attempt(&commands).clone())
 }
 
+/// A stream that breaks after some tokens is resumed: the text that the client already has is prefilled as part of the
+/// prompt. The usage reported to the client must not count that text as prompt tokens as well.
 #[test]
 fn resumed_stream_prefills_delivered_text_and_counts_tokens_once() {
     let mut requests = requests(10);
@@ -136,7 +142,7 @@
     let mut requests = requests(10);
     let (id, first) = accept_and_prefill(&mut requests, request(0, None));
     let mut commands = Vec::new();
-    // Its decode server fails before it has fetched the KV cache.
+    // The decode server fails before it has fetched the KV cache.
     requests.attempt_ended(2 * MS, &first.dispatch, AttemptEnd::Reset, &mut commands);
     let retry = sent_attempt(&commands).clone();
     assert_eq!(retry.dispatch.step, Step::Prefill);
@@ -170,7 +176,11 @@
         let prefill = sent_attempt(&commands).dispatch;
         requests.attempt_ended(millisecond * MS, &prefill, AttemptEnd::NotConnected, &mut commands);
     }
-    assert_eq!(requests.pending_releases(), 1, "a connection that is not established proves nothing");
+    assert_eq!(
+        requests.pending_releases(),
+        1,
+        "failed connections do not prove that the prefill server has dropped the KV cache"
+    );
 }
 
 #[test]
@@ -186,11 +196,11 @@
         Command::Release(release) => Some(release.clone()),
         _ => None,
     });
-    let release = released.unwrap_or_else(|| panic!("nothing is released: {commands:?}"));
+    let release = released.unwrap_or_else(|| panic!("no KV cache is released: {commands:?}"));
     assert_eq!((requests.tracked(), requests.pending_releases()), (0, 1));
     requests.release_finished(3 * MS, &release, ReleaseOutcome::Acknowledged);
     assert_eq!(requests.pending_releases(), 0);
-    // Its decode server may have run it: the key must not run it again.
+    // The decode server may have run the request, so a repeat with the same key must not run again.
     let last = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
     assert!(
         matches!(requests.accept(3 * MS, request(1, Some("k")), &mut commands), Admission::Replayed { last: l, .. } if l == last)
@@ -210,7 +220,7 @@
         requests.accept(0, request(0, Some("b")), &mut commands),
         Admission::Rejected(Rejection::GatewayAtCapacity { .. })
     ));
-    // A rejection frees the key that it checked.
+    // A rejected request does not occupy its idempotency key.
     assert!(matches!(
         requests.accept(0, request(0, Some("b")), &mut commands),
         Admission::Rejected(Rejection::GatewayAtCapacity { .. })
--- a/gateway-core/tests/cache_releases.rs
+++ b/gateway-core/tests/cache_releases.rs
@@ -1,4 +1,4 @@
-//! Releases of KV caches: retries, their end, and relays.
+//! Pending releases of KV caches: when they are retried, settled or abandoned, and the relays that they use.
 
 use petrelshore::interface::ServerId;
 use petrelshore_gateway_core::cache_releases::{CacheRelease, CacheReleases, CacheState, ReleaseOutcome};
@@ -28,7 +28,7 @@
     let release = CacheRelease { server: ServerId(1), request_id: "a-0".to_owned() };
     let mut releases = CacheReleases::new(400 * MILLISECOND);
     releases.add(0, &release, CacheState::Uncertain);
-    // Its prefill server holds nothing yet, and says so; the prefill may still reach it.
+    // The prefill server acknowledges the release since it holds no KV cache yet, but the prefill may still reach it.
     releases.finished(MILLISECOND, &release, ReleaseOutcome::Acknowledged);
     let mut sent = Vec::new();
     while let Some(timeout) = releases.next_timeout().filter(|timeout| *timeout < 10 * SECOND) {
@@ -40,10 +40,10 @@
     assert!(sent[0] <= 100 * MILLISECOND && sent.iter().any(|time| *time >= 2 * SECOND), "{sent:?}");
     assert!(
         sent.windows(2).all(|pair| pair[1] - pair[0] <= 200 * MILLISECOND),
-        "it may arrive at any time: {sent:?}"
+        "too long between two release requests while the prefill may still arrive: {sent:?}"
     );
     assert!(sent.len() <= 12 && releases.pending() == 0, "{sent:?}");
-    // A server that provably does not run holds nothing, and nothing can reach it.
+    // A server that is known to be gone holds no KV cache, and no prefill can reach it.
     releases.add(0, &release, CacheState::Uncertain);
     releases.finished(MILLISECOND, &release, ReleaseOutcome::ServerGone);
     assert_eq!(releases.pending(), 0);
@@ -58,9 +58,9 @@
     let relays = |releases: &CacheReleases| {
         releases.relays(&release, &ready).iter().map(|id| id.0).collect::<Vec<u64>>()
     };
-    assert_eq!(relays(&releases), [7, 6, 5], "the others have been unreachable for longer");
+    assert_eq!(relays(&releases), [7, 6, 5], "the most recently heard servers come first");
     assert_eq!(releases.on_timeout(150 * MILLISECOND).len(), 1);
-    assert_eq!(relays(&releases), [4, 3, 1], "not the server itself");
+    assert_eq!(relays(&releases), [4, 3, 1], "a retry uses other relays, never the prefill server itself");
     assert_eq!(releases.on_timeout(400 * MILLISECOND).len(), 1);
     assert_eq!(relays(&releases), [7, 6, 5]);
     assert_eq!(releases.relays(&release, &[(0, ServerId(2))]), []);
--- a/gateway-core/tests/capacity.rs
+++ b/gateway-core/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! How much a gateway holds at once, and when a rejected client should come back.
+//! The number of requests that a gateway holds at once, and the Retry-After of the requests that it rejects.
 
 use petrelshore_gateway_core::capacity::{CapacityError, CapacityLimit};
 
@@ -15,9 +15,9 @@
         (Err(CapacityError::Gateway), Ok(()))
     );
     let mut limit = CapacityLimit::new(0, 1000);
-    let of_client = (0..1000).filter(|_| limit.acquire(0, 1, 1.0).is_ok()).count();
+    let admitted_of_client = (0..1000).filter(|_| limit.acquire(0, 1, 1.0).is_ok()).count();
     assert_eq!(
-        (of_client, limit.acquire(0, 1, 1.0), limit.acquire(0, 2, 1.0)),
+        (admitted_of_client, limit.acquire(0, 1, 1.0), limit.acquire(0, 2, 1.0)),
         (250, Err(CapacityError::Client), Ok(()))
     );
     limit.release(0, 1);
@@ -27,12 +27,13 @@
 #[test]
 fn retry_after_grows_with_rejections_within_its_bounds() {
     let mut limit = CapacityLimit::new(0, 10);
-    let reject_many =
-        |limit: &mut CapacityLimit, now| (0..200).filter(|c| limit.acquire(now, *c, 1.0).is_err()).count();
+    let reject_many = |limit: &mut CapacityLimit, now| {
+        (0..200).filter(|client| limit.acquire(now, *client, 1.0).is_err()).count()
+    };
     reject_many(&mut limit, SECOND);
-    let blocked = limit.retry_after(SECOND, Some(8 * SECOND));
+    let without_releases = limit.retry_after(SECOND, Some(8 * SECOND));
     (0..10).for_each(|client| limit.release(SECOND, client));
-    assert_eq!(blocked, 8 * SECOND);
-    let moving = limit.retry_after(20 * SECOND, Some(8 * SECOND));
-    assert!((100 * MILLISECOND..blocked).contains(&moving), "{moving}");
+    assert_eq!(without_releases, 8 * SECOND);
+    let after_releases = limit.retry_after(20 * SECOND, Some(8 * SECOND));
+    assert!((100 * MILLISECOND..without_releases).contains(&after_releases), "{after_releases}");
 }
--- a/gateway-core/tests/common/mod.rs
+++ b/gateway-core/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! A small deployment of readers and writers.
-#![allow(dead_code)] // Each test file uses its own part.
+//! A deployment of prefill and decode servers with one traffic type.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use petrelshore::interface::*;
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
+/// The time at which tests start their gateways.
 pub const START: Nanos = 1_000 * S;
 
 pub fn deployment() -> Deployment {
--- a/gateway-core/tests/estimates_and_timeouts.rs
+++ b/gateway-core/tests/estimates_and_timeouts.rs
@@ -1,4 +1,4 @@
-//! Token estimates, fingerprints and timeouts.
+//! Token estimates, request fingerprints and timeouts.
 
 use petrelshore_gateway_core::fingerprint;
 use petrelshore_gateway_core::timeouts::{connect_timeout, first_token_deadline};
@@ -28,6 +28,6 @@
     assert_eq!(first_token_deadline(0, 40 * MILLISECOND), 30 * MILLISECOND);
     assert!(connect_timeout(10 * MILLISECOND, None) <= 10 * MILLISECOND);
     assert_eq!(connect_timeout(60 * SECOND, None), SECOND);
-    let with_waiting_cache = connect_timeout(5 * SECOND, Some(250 * MILLISECOND));
-    assert_eq!(with_waiting_cache, 125 * MILLISECOND, "another server is tried after it");
+    let with_held_cache = connect_timeout(5 * SECOND, Some(250 * MILLISECOND));
+    assert_eq!(with_held_cache, 125 * MILLISECOND, "half of the time is left to try another server");
 }
--- a/gateway-core/tests/event_budget.rs
+++ b/gateway-core/tests/event_budget.rs
@@ -1,4 +1,4 @@
-//! How many single events are logged, and that none goes uncounted.
+//! The limit on log lines for single events: every event is counted, but only some of each kind are logged.
 
 use petrelshore_gateway_core::event_budget::{EventBudget, EventKind};
 
--- a/gateway-core/tests/http2_abuse.rs
+++ b/gateway-core/tests/http2_abuse.rs
@@ -1,4 +1,4 @@
-//! Limits on what peers of HTTP/2 connections send, and their keepalive.
+//! Limits on the frames that the peer of an HTTP/2 connection may send, and the keepalive of the connection.
 
 use petrelshore_gateway_core::http2_abuse::{Abuse, AbuseDetector, KeepaliveAction, PeerFrame};
 
@@ -8,22 +8,22 @@
 #[test]
 fn unprompted_pings_are_abuse_but_path_measurements_are_not() {
     let mut detector = AbuseDetector::new(0, 100);
-    // A client that measures its path: a ping for each burst that it gets, forty a second.
+    // A client that measures the network path sends a ping for each burst of data that it receives, here 40 per second.
     for event in 1..10_000 {
         detector.frame_sent();
         detector.frame_received(event * 25 * MILLISECOND, PeerFrame::Ping);
     }
     assert_eq!(detector.detected(), None);
-    // One that keeps an idle connection alive every ten seconds.
+    // A client may send a ping every ten seconds to keep an idle connection open.
     (1..100).for_each(|event| detector.frame_received(300 * SECOND + event * 10 * SECOND, PeerFrame::Ping));
     assert_eq!(detector.detected(), None);
     let mut flood = AbuseDetector::new(0, 100);
-    let first = (1..1000).find(|event| {
+    let detected_at = (1..1000).find(|event| {
         flood.frame_received(event * MILLISECOND, PeerFrame::Ping);
         flood.detected().is_some()
     });
-    assert_eq!((first, flood.detected()), (Some(10), Some(Abuse::Pings)));
-    // On a stream that runs, a flood of pings is one all the same.
+    assert_eq!((detected_at, flood.detected()), (Some(10), Some(Abuse::Pings)));
+    // The limit on all pings also holds while the client is sent data.
     let mut flood = AbuseDetector::new(0, 100);
     (0..1000).for_each(|event| {
         flood.frame_sent();
@@ -59,7 +59,7 @@
         (detector.on_timeout(16 * SECOND), detector.on_timeout(17 * SECOND)),
         (Some(KeepaliveAction::Ping), None)
     );
-    // Any frame is an answer.
+    // Any frame counts as an answer to the ping.
     detector.frame_received(18 * SECOND, PeerFrame::Small);
     assert_eq!(
         (detector.next_timeout(), detector.on_timeout(33 * SECOND)),
@@ -69,7 +69,7 @@
         (detector.on_timeout(42 * SECOND), detector.on_timeout(43 * SECOND)),
         (None, Some(KeepaliveAction::PeerGone))
     );
-    // Without calls nothing is pinged; the connection is closed once it is idle for long.
+    // A connection without calls is not pinged, but closed after the idle timeout.
     let mut idle = AbuseDetector::new(0, 10);
     idle.call_started();
     idle.call_ended(SECOND);
--- a/gateway-core/tests/idempotency.rs
+++ b/gateway-core/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Replays of completed requests by idempotency key.
+//! Replayed answers of completed requests, by idempotency key.
 
 use petrelshore_gateway_core::idempotency::{CompletedRequest, IdempotencyKey, IdempotencyStore, KeyStatus};
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn repeat_gets_the_first_answer_and_nothing_runs_twice() {
-    let key = key_of("riders", "k");
+    let key = key_of("tenant-a", "k");
     let mut store: IdempotencyStore<&str> = IdempotencyStore::default();
     assert_eq!(store.begin(0, &key, 1), KeyStatus::New);
     assert_eq!(
@@ -26,8 +26,12 @@
     assert_eq!((store.begin(12 * SECOND, &key, 1), store.bytes()), (KeyStatus::New, 0));
     store.remove(&key);
     assert_eq!((store.begin(12 * SECOND, &key, 3), store.keys()), (KeyStatus::New, 1));
-    let other = key_of("workshops", "k");
-    assert_eq!(store.begin(12 * SECOND, &other, 9), KeyStatus::New, "tenants can't share a key");
+    let other = key_of("tenant-b", "k");
+    assert_eq!(
+        store.begin(12 * SECOND, &other, 9),
+        KeyStatus::New,
+        "an idempotency key belongs to a single tenant"
+    );
 }
 
 #[test]
--- a/gateway-core/tests/ingress_limits.rs
+++ b/gateway-core/tests/ingress_limits.rs
@@ -1,13 +1,13 @@
-//! Bounds on connections and bytes of unfinished requests.
+//! Limits on client connections and on the bytes of requests that have not been received completely.
 
 use petrelshore_gateway_core::ingress_limits::{IngressError, IngressLimits};
 
 #[test]
 fn connections_and_bytes_are_bounded_in_total_and_per_address() {
     let mut limits = IngressLimits::new(200, 1000);
-    let first = (0..200).filter(|_| limits.acquire_connection(1).is_ok()).count();
+    let connections = (0..200).filter(|_| limits.acquire_connection(1).is_ok()).count();
     assert_eq!(
-        (first, limits.acquire_connection(1), limits.acquire_connection(2)),
+        (connections, limits.acquire_connection(1), limits.acquire_connection(2)),
         (100, Err(IngressError::AddressAtCapacity), Ok(()))
     );
     limits.release_connection(1);
--- a/gateway-core/tests/invariants.rs
+++ b/gateway-core/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Violations of the invariants are counted, each kind by itself; nothing else is.
+//! Run-time checks of the invariants: each violation is counted under its kind, and behavior that is allowed is not
+//! counted.
 
 mod common;
 
@@ -46,6 +47,7 @@
     }
 }
 
+/// Asserts that exactly one violation was counted, of this kind.
 fn assert_only_violation(checks: &InvariantChecks, violation: Violation) {
     assert_eq!(checks.violations().iter().collect::<Vec<_>>(), [(&violation, &1)]);
 }
@@ -53,7 +55,7 @@
 #[test]
 fn only_attempts_that_violate_an_invariant_are_counted() {
     let reset = AttemptStatus::Finished(Outcome::Reset);
-    let never_ran = AttemptStatus::Finished(Outcome::ConnectFailed);
+    let not_run = AttemptStatus::Finished(Outcome::ConnectFailed);
     let decode = |sent_at, status| attempt(Step::Decode, sent_at, status);
     let now = START + 100 * MS;
     let checks_of = |sequence: &Sequence, now, idempotency| {
@@ -62,10 +64,13 @@
         checks
     };
     let repeated = new_sequence(vec![decode(START, reset), decode(now, AttemptStatus::InFlight)], false);
-    let proven = new_sequence(vec![decode(START, never_ran), decode(now, AttemptStatus::InFlight)], false);
-    for (sequence, idempotency) in
-        [(&repeated, Idempotency::Idempotent), (&repeated, KEYED), (&proven, Idempotency::AtMostOnce)]
-    {
+    let repeated_without_run =
+        new_sequence(vec![decode(START, not_run), decode(now, AttemptStatus::InFlight)], false);
+    for (sequence, idempotency) in [
+        (&repeated, Idempotency::Idempotent),
+        (&repeated, KEYED),
+        (&repeated_without_run, Idempotency::AtMostOnce),
+    ] {
         assert!(checks_of(sequence, now, idempotency).violations().is_empty(), "{idempotency:?}");
     }
     assert_only_violation(&checks_of(&repeated, now, Idempotency::AtMostOnce), Violation::RepeatedEffect);
--- a/gateway-core/tests/passthrough/fixtures.rs
+++ b/gateway-core/tests/passthrough/fixtures.rs
@@ -1,4 +1,4 @@
-//! Endpoints, sequences and tables for the tests of the passthrough table.
+//! Endpoints, sequences and request tables for the tests of the passthrough request table.
 
 use crate::common::{S, START, deployment};
 use petrelshore::interface::{
@@ -22,17 +22,19 @@
     }
 }
 
+/// A request manager with a prefill server, 1, and a decode server, 2.
 pub(crate) fn manager() -> RequestManager {
     let mut manager = RequestManager::new(START, deployment(), 7);
     manager.update_endpoints(START, SnapshotKind::Full, &[endpoint(1, 0), endpoint(2, 1)]);
     manager
 }
 
+/// The address of a server that listens on this port.
 pub(crate) fn at(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Two prefill servers, 1 and 2, and a decode server, 3, each at a port of its number.
+/// A request table with prefill servers 1 and 2 and decode server 3. The port of each server is its number.
 pub(crate) fn requests(max_requests: usize) -> PassthroughRequests<&'static str> {
     let mut requests = PassthroughRequests::new(START, deployment(), 7, max_requests);
     let entries = [(endpoint(1, 0), at(1)), (endpoint(2, 0), at(2)), (endpoint(3, 1), at(3))];
@@ -40,25 +42,26 @@
     requests
 }
 
-/// Accepts a sequence; the dispatch of its prefill.
+/// Accepts a sequence and returns the dispatch of its prefill.
 pub(crate) fn accept_prefill(requests: &mut PassthroughRequests<&'static str>, id: SequenceId) -> Dispatch {
     let mut commands = Vec::new();
     requests.accept(START, new_sequence(id, Relay::Passthrough), "hello", &mut commands).unwrap();
     sent_dispatch(&commands)
 }
 
+/// Returns the last dispatch that the commands send.
 pub(crate) fn sent_dispatch(commands: &[Command<&'static str>]) -> Dispatch {
-    let sent_dispatch = commands.iter().rev().find_map(|command| match command {
+    let last_dispatch = commands.iter().rev().find_map(|command| match command {
         Command::Send { dispatch, address: to, message: Some("hello") } => {
             assert_eq!(*to, Some(at(dispatch.server.0 as u16)));
             Some(*dispatch)
         }
         _ => None,
     });
-    sent_dispatch.unwrap_or_else(|| panic!("nothing is sent: {commands:?}"))
+    last_dispatch.unwrap_or_else(|| panic!("no attempt is sent: {commands:?}"))
 }
 
-/// An attempt whose connection to that address is established.
+/// An attempt whose connection to the address `to` is established.
 pub(crate) fn pending_send<'a>(
     requests: &PassthroughRequests<&'static str>,
     dispatch: &'a Dispatch,
@@ -73,6 +76,7 @@
     }
 }
 
+/// Returns the release requests among the commands.
 pub(crate) fn releases(commands: &[Command<&'static str>]) -> Vec<CacheRelease> {
     let releases = commands.iter().filter_map(|command| match command {
         Command::Release(release) => Some(release.clone()),
@@ -99,7 +103,7 @@
     }
 }
 
-/// A prefill server, 1, and eight decode servers.
+/// A request table with one prefill server, 1, and eight decode servers, 2 to 9.
 pub(crate) fn with_decode_servers() -> PassthroughRequests<&'static str> {
     let mut requests = requests(9);
     let entries: Vec<_> = (1..10).map(|n| (endpoint(n, usize::from(n > 1)), at(n as u16))).collect();
--- a/gateway-core/tests/passthrough/main.rs
+++ b/gateway-core/tests/passthrough/main.rs
@@ -1,4 +1,4 @@
-//! The passthrough request table and the request manager's passthrough streams.
+//! Tests of the passthrough request table and of the request manager's passthrough streams.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/gateway-core/tests/passthrough/random_faults.rs
+++ b/gateway-core/tests/passthrough/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults: no KV cache is held past its deadline.
+//! Random faults of servers and connections: no KV cache is held past its release deadline.
 
 use crate::common::{MS, S, START};
 use crate::fixtures::{at, endpoint, new_sequence, with_decode_servers};
@@ -9,43 +9,46 @@
 use petrelshore_gateway_core::{Dispatch, NewSequence, Relay};
 use std::collections::BTreeMap;
 
-/// What model servers observe of one sequence: which of them hold a KV cache, and the attempt in flight.
+/// The state of one sequence at the model servers.
 #[derive(Default)]
 struct ObservedSequence {
-    /// The prefill servers that hold a KV cache for it.
+    /// The prefill servers that hold a KV cache for the sequence.
     holders: Vec<ServerId>,
     in_flight: Option<InFlightAttempt>,
-    /// Since when a KV cache is held while no server has an attempt.
+    /// The time since which a KV cache is held while no server has an attempt of the sequence.
     idle_since: Option<Nanos>,
 }
 
 #[derive(Clone, Copy)]
 struct InFlightAttempt {
     dispatch: Dispatch,
-    /// Whether its server provably has it.
+    /// Whether the server provably has the attempt.
     delivered: bool,
-    /// When its connection fails unless it is established.
+    /// The time at which connecting fails if the connection is not established.
     connect_deadline: Nanos,
 }
 
 impl ObservedSequence {
+    /// Updates `idle_since` and returns an error if a KV cache is held for too long.
     fn check(&mut self, now: Nanos) -> Result<(), String> {
         let idle = !self.holders.is_empty() && !self.in_flight.is_some_and(|attempt| attempt.delivered);
         self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
         match self.idle_since {
-            Some(since) if now - since > 300 * MS => Err(format!("held for {} ms", (now - since) / MS)),
+            Some(since) if now - since > 300 * MS => {
+                Err(format!("a KV cache is held for {} ms without an attempt", (now - since) / MS))
+            }
             _ => Ok(()),
         }
     }
 }
 
-/// One run of a few sequences with servers that answer, fail or can't be reached at random.
+/// Runs some sequences with servers that answer, fail or are unreachable at random.
 fn random_run(seed: u64) -> Result<(), String> {
     let mut random = Rand64::new(seed.into());
     let mut random_below = |below: u64| random.rand_range(0..below);
     let mut requests = with_decode_servers();
     let listed_endpoint =
-        |n: u64, condition| (Endpoint { state: condition, ..endpoint(n, usize::from(n > 3)) }, at(n as u16));
+        |n: u64, state| (Endpoint { state, ..endpoint(n, usize::from(n > 3)) }, at(n as u16));
     let entries: Vec<_> = (1..10).map(|n| listed_endpoint(n, EndpointState::Ready)).collect();
     requests.update_endpoints(START, SnapshotKind::Full, &entries);
     let (mut now, mut commands) = (START, Vec::new());
@@ -73,7 +76,7 @@
                     }
                     Command::Release(release) => {
                         let id = SequenceId(u64::from_str_radix(&release.request_id, 16).unwrap());
-                        // A release request releases everything held for its request id, whichever server gets it.
+                        // A release request releases the KV caches of all servers for its request id.
                         observed.entry(id).or_default().holders.clear();
                         requests.release_finished(
                             now,
@@ -88,21 +91,21 @@
             for observed in observed.values_mut() {
                 observed.check(now)?;
             }
-            // Connections that are not established in time fail.
-            let is_late = |(_, observed): &(&SequenceId, &ObservedSequence)| {
+            // Attempts fail whose connection is not established by its deadline.
+            let is_overdue = |(_, observed): &(&SequenceId, &ObservedSequence)| {
                 observed
                     .in_flight
                     .is_some_and(|attempt| !attempt.delivered && now >= attempt.connect_deadline)
             };
-            let late: Vec<SequenceId> = observed.iter().filter(is_late).map(|(id, _)| *id).collect();
-            for id in &late {
+            let overdue: Vec<SequenceId> = observed.iter().filter(is_overdue).map(|(id, _)| *id).collect();
+            for id in &overdue {
                 let attempt = observed.get_mut(id).and_then(|observed| observed.in_flight.take()).unwrap();
                 requests.attempt_ended(now, &attempt.dispatch, AttemptEnd::NotConnected, &mut commands);
             }
-            if !late.is_empty() {
+            if !overdue.is_empty() {
                 continue;
             }
-            // Time passes in random steps, but not past a deadline.
+            // Time passes in random steps, but never past the next deadline.
             let connect_deadlines = observed
                 .values()
                 .filter_map(|observed| observed.in_flight)
@@ -117,12 +120,12 @@
             }
         }
         if random_below(12) == 0 {
-            let condition = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+            let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
                 [random_below(3) as usize];
             requests.update_endpoints(
                 now,
                 SnapshotKind::Delta,
-                &[listed_endpoint(1 + random_below(9), condition)],
+                &[listed_endpoint(1 + random_below(9), state)],
             );
         }
         let ids: Vec<SequenceId> = observed.keys().copied().collect();
@@ -141,7 +144,7 @@
                 requests.attempt_delivered(id, dispatch.attempt);
             } else {
                 observed.in_flight = None;
-                // It was never established, or was a reused connection that leads nowhere.
+                // The connection was never established, or a reused connection turned out to be dead.
                 let end = if random_below(2) == 0 { AttemptEnd::NotConnected } else { AttemptEnd::Reset };
                 requests.attempt_ended(now, &dispatch, end, &mut commands);
             }
@@ -161,7 +164,7 @@
         };
         match (end, prefill) {
             (AttemptEnd::PrefillDone { .. }, _) => observed.holders.push(dispatch.server),
-            // It may have completed just as its connection broke.
+            // The prefill may have completed just as the connection broke.
             (AttemptEnd::Reset, true) if random_below(2) == 0 => observed.holders.push(dispatch.server),
             (AttemptEnd::Completed | AttemptEnd::KvCacheMissing, _) => {
                 observed.holders.retain(|holder| Some(*holder) != dispatch.prefill_server);
@@ -172,15 +175,15 @@
     }
     match requests.violations().is_empty() {
         true => Ok(()),
-        false => Err(format!("counted at run time: {:?}", requests.violations())),
+        false => Err(format!("the run-time checks counted violations: {:?}", requests.violations())),
     }
 }
 
 #[test]
 fn no_cache_is_held_past_its_deadline_under_random_faults() {
     for seed in 0..200 {
-        if let Err(what) = random_run(seed) {
-            panic!("seed {seed}: {what}");
+        if let Err(violation) = random_run(seed) {
+            panic!("seed {seed}: {violation}");
         }
     }
 }
--- a/gateway-core/tests/passthrough/releases.rs
+++ b/gateway-core/tests/passthrough/releases.rs
@@ -1,4 +1,4 @@
-//! Releases of KV caches by the passthrough table.
+//! Releases of KV caches by the passthrough request table.
 
 use crate::common::{MS, S, START, deployment};
 use crate::fixtures::{accept_prefill, at, endpoint, releases, requests, sent_dispatch, with_decode_servers};
@@ -8,13 +8,15 @@
 use petrelshore_gateway_core::cache_releases::CacheRelease;
 use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests};
 
+/// A release request that is sent while the same sequence is prefilled again might release the second KV cache, so the
+/// first one is released only once the second has been fetched.
 #[test]
 fn cache_of_failed_decode_is_released_with_next_first_event() {
     let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
     let first = accept_prefill(&mut requests, id);
     requests.attempt_ended(START + MS, &first, AttemptEnd::PrefillDone { cached_tokens: 0.0 }, &mut commands);
     let failed_decode = sent_dispatch(&commands);
-    // Its prefill server drains, so that the prompt is prefilled again at the other one.
+    // The prefill server is draining, so the prompt is prefilled again at the other server.
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(first.server.0, 0) };
     requests.update_endpoints(START + MS, SnapshotKind::Delta, &[(draining, at(first.server.0 as u16))]);
     requests.attempt_ended(START + 2 * MS, &failed_decode, AttemptEnd::Reset, &mut commands);
@@ -22,7 +24,7 @@
     assert_eq!(
         (retry.step, releases(&commands)),
         (Step::Prefill, vec![]),
-        "a release now might overtake the second prefill"
+        "a release request now might hit the second KV cache"
     );
     assert_ne!(retry.server, first.server);
     requests.attempt_ended(
@@ -35,7 +37,7 @@
     commands.clear();
     requests.first_token(START + 4 * MS, &decode, &mut commands);
     let released_by: Vec<ServerId> = releases(&commands).iter().map(|release| release.server).collect();
-    assert_eq!(released_by, [first.server], "and nothing at the server whose KV cache was fetched");
+    assert_eq!(released_by, [first.server], "only the KV cache that was not fetched is released");
     commands.clear();
     requests.attempt_ended(START + 5 * MS, &decode, AttemptEnd::Completed, &mut commands);
     assert_eq!(commands, [Command::Answer { id, last: FinalAnswer::Completed }, Command::Remove { id }]);
@@ -54,7 +56,7 @@
         &mut commands,
     );
     let (mut now, mut attempts) = (held_since, 0);
-    // No decode server can be reached: each connection fails at its timeout.
+    // No decode server is reachable: each connection fails at its timeout.
     while releases(&commands).is_empty() {
         let decode = sent_dispatch(&commands);
         (now, attempts) = (now + decode.connect_timeout, attempts + 1);
@@ -63,7 +65,7 @@
     }
     assert!(
         attempts >= 2 && now <= held_since + 300 * MS,
-        "{attempts} decode servers, released after {} ms",
+        "{attempts} decode servers were tried, the KV cache was released after {} ms",
         (now - held_since) / MS
     );
     assert_eq!(requests.tracked(), 0);
@@ -81,7 +83,7 @@
             &mut commands,
         );
         let decode = sent_dispatch(&commands);
-        assert!(decode.holds_cache, "a reused connection has to prove itself");
+        assert!(decode.holds_cache, "a reused connection must prove that the decode server is there");
         if delivered {
             requests.attempt_delivered(id, decode.attempt);
         }
@@ -98,11 +100,11 @@
 
 #[test]
 fn older_cache_keeps_its_deadline_after_newer_cache_is_lost() {
-    let six = Deployment { max_attempts: 6, ..deployment() };
+    let six_attempts = Deployment { max_attempts: 6, ..deployment() };
     let (mut requests, mut commands, id) =
-        (PassthroughRequests::new(START, six, 7, 9), Vec::new(), SequenceId(5));
+        (PassthroughRequests::new(START, six_attempts, 7, 9), Vec::new(), SequenceId(5));
     let listed_endpoint =
-        |n: u64, condition| (Endpoint { state: condition, ..endpoint(n, usize::from(n > 2)) }, at(n as u16));
+        |n: u64, state| (Endpoint { state, ..endpoint(n, usize::from(n > 2)) }, at(n as u16));
     let entries: Vec<_> = (1..5).map(|n| listed_endpoint(n, EndpointState::Ready)).collect();
     requests.update_endpoints(START, SnapshotKind::Full, &entries);
     let first = accept_prefill(&mut requests, id);
@@ -125,18 +127,18 @@
         &mut commands,
     );
     let decode = sent_dispatch(&commands);
-    // No server is left once the newer KV cache is lost.
+    // All servers are gone when the newer KV cache is lost.
     let gone: Vec<_> = (1..5).map(|n| listed_endpoint(n, EndpointState::Gone)).collect();
     requests.update_endpoints(START + 4 * MS, SnapshotKind::Delta, &gone);
     commands.clear();
     requests.attempt_ended(START + 5 * MS, &decode, AttemptEnd::KvCacheMissing, &mut commands);
-    assert_eq!(requests.tracked(), 1, "it waits for a server");
+    assert_eq!(requests.tracked(), 1, "the sequence waits for a server");
     let mut now = START + 5 * MS;
     while releases(&commands).is_empty() {
-        now = requests.next_timeout().expect("it fails by itself");
+        now = requests.next_timeout().expect("a timer releases the older KV cache");
         requests.on_timeout(now, &mut commands);
     }
-    assert!(now <= START + 5 * MS + 250 * MS, "{} ms", (now - START) / MS);
+    assert!(now <= START + 5 * MS + 250 * MS, "released after {} ms", (now - START) / MS);
     assert_eq!(releases(&commands)[0].server, first.server);
 }
 
@@ -148,7 +150,7 @@
     requests.update_endpoints(START, SnapshotKind::Delta, &[gone(1), gone(2)]);
     requests.attempt_delivered(id, prefill.attempt);
     requests.attempt_ended(START + MS, &prefill, AttemptEnd::Reset, &mut commands);
-    assert_eq!(releases(&commands).len(), 1, "nothing is in flight, and it may hold a KV cache");
+    assert_eq!(releases(&commands).len(), 1, "no attempt is in flight, and the server may hold a KV cache");
     commands.clear();
     requests.update_endpoints(
         START + 2 * MS,
@@ -160,7 +162,7 @@
     assert_eq!(
         (retry.step, requests.pending_releases()),
         (Step::Prefill, 0),
-        "a release would also hit the second KV cache"
+        "a release request would also release the second KV cache"
     );
     requests.attempt_delivered(id, retry.attempt);
     commands.clear();
@@ -176,6 +178,8 @@
     assert_eq!(released, expected);
 }
 
+/// A cancelled prefill may arrive at its server after the release request, which the server has then acknowledged
+/// without holding a KV cache. The release stays pending until the prefill can no longer arrive.
 #[test]
 fn cancelled_prefill_is_released_until_acknowledged() {
     let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
@@ -219,22 +223,22 @@
     requests.client_cancelled(START + MS, id, &mut commands);
     let release = CacheRelease { server: prefill.server, request_id: format!("{:016x}", id.0) };
     let older_since = requests.release_pending_since(&release);
-    // The same id comes again to the same prefill server, is prefilled, and its client leaves too.
-    let retry = loop {
-        let retry = accept_prefill(&mut requests, id);
-        if retry.server == prefill.server {
-            break retry;
+    // A second sequence with the same id is prefilled at the same prefill server, and its client leaves too.
+    let second_prefill = loop {
+        let second_prefill = accept_prefill(&mut requests, id);
+        if second_prefill.server == prefill.server {
+            break second_prefill;
         }
         requests.client_cancelled(START + 2 * MS, id, &mut commands);
     };
     assert_eq!(
         requests.release_pending_since(&release),
         None,
-        "revoked: a release now would hit what is prefilled"
+        "the release is revoked, since it would also release the second KV cache"
     );
     requests.attempt_ended(
         START + 3 * S,
-        &retry,
+        &second_prefill,
         AttemptEnd::PrefillDone { cached_tokens: 0.0 },
         &mut commands,
     );
@@ -245,7 +249,7 @@
     assert_eq!(
         requests.release_pending_since(&release),
         newer_since,
-        "it was sent before that KV cache was there"
+        "the older release request was sent before the second KV cache existed"
     );
     requests.release_finished(START + 6 * S, &release, newer_since, Some(prefill.server));
     assert_eq!(requests.release_pending_since(&release), None);
@@ -255,12 +259,17 @@
 fn pending_release_survives_news_of_earlier_restart() {
     let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
     let prefill = accept_prefill(&mut requests, id);
-    // Its server had restarted before that prefill, and the list shows it only now: the KV cache is held all the same.
+    // The server restarted before the prefill, but the endpoint list shows the restart only now. The KV cache is still
+    // held.
     requests.client_cancelled(START + MS, id, &mut commands);
     let release = releases(&commands)[0].clone();
-    let retry = Endpoint { started_at: START - S, ..endpoint(prefill.server.0, 0) };
-    requests.update_endpoints(START + 2 * MS, SnapshotKind::Delta, &[(retry, at(prefill.server.0 as u16))]);
-    assert_eq!(requests.pending_releases(), 1, "its server has not answered");
+    let restarted = Endpoint { started_at: START - S, ..endpoint(prefill.server.0, 0) };
+    requests.update_endpoints(
+        START + 2 * MS,
+        SnapshotKind::Delta,
+        &[(restarted, at(prefill.server.0 as u16))],
+    );
+    assert_eq!(requests.pending_releases(), 1, "the prefill server has not acknowledged the release");
     requests.release_finished(
         START + 3 * S,
         &release,
--- a/gateway-core/tests/passthrough/sending.rs
+++ b/gateway-core/tests/passthrough/sending.rs
@@ -1,4 +1,4 @@
-//! The send gate of the passthrough table.
+//! The send gate of the passthrough request table: the last check before an attempt is written.
 
 use crate::common::{MS, START, deployment};
 use crate::fixtures::{accept_prefill, at, endpoint, pending_send, requests, sent_dispatch};
@@ -32,7 +32,7 @@
     assert_eq!(
         requests.may_send(START + 2 * MS, &answered),
         Err(SendDenial::Superseded),
-        "it has its final answer"
+        "the sequence has its final answer"
     );
     assert!(requests.violations().is_empty(), "{:?}", requests.violations());
 }
@@ -81,7 +81,7 @@
     );
     let prefill = accept_prefill(&mut requests, SequenceId(5));
     let mut commands = Vec::new();
-    assert_eq!(prefill.send_deadline, Nanos::MAX, "nothing has run yet");
+    assert_eq!(prefill.send_deadline, Nanos::MAX, "no attempt has run yet");
     requests.attempt_ended(
         START + 10 * MS,
         &prefill,
@@ -99,9 +99,10 @@
     assert_eq!(
         requests.may_send(expired, &pending_send(&requests, &retry, address)),
         denied,
-        "its connection was established too late"
+        "the connection was established after the idempotency window"
     );
-    // Reported as never sent, it ends: nothing is sent after the window, and no retry is called harmless.
+    // The attempt ends as not sent. No attempt follows after the window, and the sequence is aborted: a rejection would
+    // tell the client that a retry is harmless, but the first attempt may have run.
     commands.clear();
     requests.attempt_ended(retry.send_deadline, &retry, AttemptEnd::NotSent, &mut commands);
     let answers = commands
--- a/gateway-core/tests/passthrough/streams.rs
+++ b/gateway-core/tests/passthrough/streams.rs
@@ -1,4 +1,4 @@
-//! Passthrough streams in the request manager: breaks, silence and graceful shutdown.
+//! Passthrough streams in the request manager: broken connections, silent servers and graceful shutdown.
 
 use crate::common::{MS, S, START};
 use crate::fixtures::{manager, new_sequence};
@@ -6,7 +6,7 @@
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::{Action, Dispatch, FailureReason, NewSequence, Relay, RequestManager};
 
-/// A sequence whose first event has arrived.
+/// Accepts a sequence, completes its prefill and delivers its first token.
 fn streaming(manager: &mut RequestManager, relay: Relay) -> SequenceId {
     let (id, mut actions) = (SequenceId(5), Vec::new());
     manager.accept(START, new_sequence(id, relay), &mut actions);
@@ -24,20 +24,20 @@
 
 #[test]
 fn broken_passthrough_stream_is_not_resumed() {
-    for (relay, goes_on) in [(Relay::Passthrough, false), (Relay::Streamed, true)] {
+    for (relay, resumes) in [(Relay::Passthrough, false), (Relay::Streamed, true)] {
         let (mut manager, mut actions) = (manager(), Vec::new());
         let id = streaming(&mut manager, relay);
         manager.token_received(START + 30 * MS, id);
         manager.attempt_ended(START + 40 * MS, id, 1, AttemptEnd::Reset, &mut actions);
         let completion =
             Action::Complete { id, outcome: Outcome::Reset, reason: Some(FailureReason::StreamBroken) };
-        let held = actions
+        let sent_with_cache = actions
             .iter()
             .any(|action| matches!(action, Action::Send(Dispatch { holds_cache: true, attempt: 2, .. })));
-        assert!(!held, "its decode server had fetched the KV cache: {actions:?}");
+        assert!(!sent_with_cache, "the failed decode server had fetched the KV cache: {actions:?}");
         assert_eq!(
             (actions.contains(&completion), manager.contains(id)),
-            (!goes_on, goes_on),
+            (!resumes, resumes),
             "{relay:?}: {actions:?}"
         );
     }
@@ -47,7 +47,7 @@
 fn silent_passthrough_stream_ends_within_five_seconds() {
     let (mut manager, mut actions) = (manager(), Vec::new());
     let id = streaming(&mut manager, Relay::Passthrough);
-    // Slow, and far past what the token interval of its type allows for the complete answer.
+    // The stream is slow: it lasts far longer than the token interval of its traffic type allows for a complete answer.
     let mut now = START;
     for _ in 0..20 {
         now += 4_500 * MS;
--- a/gateway-core/tests/rules/failures.rs
+++ b/gateway-core/tests/rules/failures.rs
@@ -1,4 +1,4 @@
-//! Every failure of a sequence is answered at once.
+//! Every failure of a sequence is answered as soon as the request manager learns of it.
 
 use crate::test_deployment::{MS, TestDeployment, endpoint, new_sequence};
 use crate::world::World;
@@ -8,10 +8,11 @@
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
 use petrelshore_gateway_core::{Action, RequestManager};
 
-/// Brings a request manager to the event that makes a sequence fail; gives the time of that event.
+/// Takes a request manager up to the event that makes its sequence fail. Returns the time of that event.
 type FailureCause = fn(&mut RequestManager, &mut Vec<Action>) -> Nanos;
 
-/// Accepts a sequence whose client waits for four seconds, and ends its attempts, each 10 ms after the one before.
+/// Accepts a sequence whose client waits for four seconds, and ends its attempts 10 ms apart. Returns the time of the
+/// last end.
 fn accept_and_end_attempts(
     manager: &mut RequestManager,
     traffic: usize,
@@ -27,7 +28,8 @@
     now
 }
 
-/// Lets timers expire, up to the first that is not before `until`.
+/// Lets timers expire up to the first one at or after `until`, or until none is left. Returns the time of the last
+/// one, or `until` if there was none.
 fn expire_timers(manager: &mut RequestManager, until: Nanos, actions: &mut Vec<Action>) -> Nanos {
     while let Some(deadline) = manager.next_timeout() {
         actions.clear();
@@ -106,11 +108,14 @@
         assert_eq!(
             (manager.next_timeout(), manager.unanswered()),
             (None, 0),
-            "{cause_name}: a timer or a sequence is left"
+            "{cause_name}: a timer or an unanswered sequence is left"
         );
-        assert!(now <= 4_000 * MS, "{cause_name}: at {now}");
-        let reported =
+        assert!(now <= 4_000 * MS, "{cause_name}: answered at {now} ns");
+        let has_retry_after =
             actions.iter().all(|action| !matches!(action, Action::Reject { retry_after: None, .. }));
-        assert!(reported, "{cause_name}: a rejection carries a Retry-After where settings allow it");
+        assert!(
+            has_retry_after,
+            "{cause_name}: a rejection lacks the Retry-After that the deployment allows"
+        );
     }
 }
--- a/gateway-core/tests/rules/main.rs
+++ b/gateway-core/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The request manager under generated events: whatever happens, the rules hold in its actions.
+//! The request manager under generated events: its actions keep the rules that `observer` checks.
 
 mod failures;
 mod observer;
--- a/gateway-core/tests/rules/observer.rs
+++ b/gateway-core/tests/rules/observer.rs
@@ -1,4 +1,10 @@
-//! What an observer outside the request manager knows of each sequence, and the rules that it checks.
+//! An observer outside the request manager, which follows each sequence and checks the rules:
+//!
+//! - Rule 1: every sequence gets exactly one final answer, within its client's deadlines. No attempt is sent after the
+//!   final answer or, while the client has no token, after the first-token deadline.
+//! - Rule 2: work that may have run is not run again, unless it is idempotent or its idempotency key still holds.
+//! - Rule 3: no attempt is sent to a server that is draining.
+//! - Rule 5: no KV cache is held longer than the release timeout while no attempt is in flight.
 
 use crate::test_deployment::{AT_MOST_ONCE, IDEMPOTENT};
 use petrelshore::interface::{Deployment, Idempotency, KeyScope, Nanos, SequenceId, ServerId, Step};
@@ -12,7 +18,7 @@
     pub(crate) attempt: usize,
 }
 
-/// One sequence.
+/// The state of one sequence, as the events and actions show it.
 #[derive(Default)]
 pub(crate) struct ObservedSequence {
     pub(crate) traffic: usize,
@@ -21,27 +27,27 @@
     pub(crate) completion_deadline: Option<Nanos>,
     pub(crate) final_answers: usize,
     pub(crate) in_flight: Option<Dispatch>,
-    /// The attempt in flight is streaming.
+    /// Whether the attempt in flight has sent its first token.
     pub(crate) streaming: bool,
-    /// Its client has received part of its stream.
+    /// Whether the client has received part of the stream.
     pub(crate) client_has_tokens: bool,
     pub(crate) may_have_run: Option<PossibleRun>,
-    /// Prefills that may have left a KV cache.
+    /// The number of KV caches that prefills may have left.
     pub(crate) caches: usize,
-    /// Since when one is held with no attempt in flight.
+    /// The time since which a KV cache may be held with no attempt in flight.
     pub(crate) cache_held_since: Option<Nanos>,
 }
 
 impl ObservedSequence {
-    /// An attempt is sent.
+    /// Records that an attempt is sent, and checks that it may be.
     pub(crate) fn sent(
         &mut self,
         now: Nanos,
         dispatch: Dispatch,
-        server_closed: bool,
+        server_draining: bool,
         deployment: &Deployment,
     ) -> Result<(), String> {
-        self.check_send(now, &dispatch, server_closed)?;
+        self.check_send(now, &dispatch, server_draining)?;
         self.check_key_scope(now, &dispatch, deployment)?;
         if dispatch.step != Step::Prefill && self.may_have_run.is_none() {
             self.may_have_run =
@@ -53,24 +59,24 @@
         Ok(())
     }
 
-    fn check_send(&self, now: Nanos, dispatch: &Dispatch, server_closed: bool) -> Result<(), String> {
+    fn check_send(&self, now: Nanos, dispatch: &Dispatch, server_draining: bool) -> Result<(), String> {
         let decodes = dispatch.step != Step::Prefill;
         let at_most_once = self.traffic == AT_MOST_ONCE;
         let violations = [
-            (self.final_answers > 0, "rule 1: sent after its final answer"),
+            (self.final_answers > 0, "rule 1: sent after the final answer"),
             (
                 self.client_has_tokens && self.traffic != IDEMPOTENT,
-                "rule 2: resumed though it may have run to its end",
+                "rule 2: stream resumed though the work may have run to its end",
             ),
             (self.in_flight.is_some(), "two attempts in flight at once"),
-            (server_closed, "rule 3: sent to a server that is draining"),
+            (server_draining, "rule 3: sent to a server that is draining"),
             (
                 !self.client_has_tokens && now >= self.first_token_deadline,
-                "rule 1: sent after its client's deadline",
+                "rule 1: sent after the client's deadline",
             ),
             (
                 !self.client_has_tokens && dispatch.timeout + now > self.first_token_deadline,
-                "rule 1: an attempt outlasts its client's deadline",
+                "rule 1: attempt may outlast the client's deadline",
             ),
             (at_most_once && self.may_have_run.is_some(), "rule 2: at-most-once work sent again"),
             (
@@ -84,6 +90,7 @@
         }
     }
 
+    /// Keyed work may be sent again only to servers that share its keys, and within the window.
     fn check_key_scope(
         &self,
         now: Nanos,
@@ -98,26 +105,26 @@
                 KeyScope::Cell => first.server.0 % 2 == dispatch.server.0 % 2,
             };
             if !in_scope || now >= first.sent_at + window {
-                return Err(format!("rule 2: keyed work left its scope or window: {dispatch:?}"));
+                return Err(format!("rule 2: keyed work sent outside its scope or window: {dispatch:?}"));
             }
         }
         Ok(())
     }
 
-    /// An attempt is cancelled.
+    /// Records that the attempt in flight is cancelled.
     pub(crate) fn cancelled(&mut self, now: Nanos, step: Step) {
         self.in_flight = None;
         self.caches += usize::from(step == Step::Prefill);
         self.cache_held_since = (self.caches > 0).then_some(now);
     }
 
-    /// Its KV caches are released.
+    /// Records that the KV caches are released.
     pub(crate) fn released(&mut self) {
         self.caches = 0;
         self.cache_held_since = None;
     }
 
-    /// It is rejected.
+    /// Records that the sequence is rejected, and checks that a retry of the client is harmless.
     pub(crate) fn rejected(
         &mut self,
         now: Nanos,
@@ -126,24 +133,24 @@
         deployment: &Deployment,
     ) -> Result<(), String> {
         self.final_answers += 1;
-        let harmful = match (deployment.types[self.traffic].idempotency, self.may_have_run) {
+        let retry_is_harmful = match (deployment.types[self.traffic].idempotency, self.may_have_run) {
             (Idempotency::Idempotent, _) | (_, None) => false,
             (Idempotency::Keyed { scope: KeyScope::Fleet, window }, Some(first)) => {
                 now + retry_after.unwrap_or(0) >= first.sent_at + window
             }
             _ => true,
         };
-        if harmful || self.client_has_tokens {
+        if retry_is_harmful || self.client_has_tokens {
             return Err(format!("rule 2: {id:?} was rejected though it may have run"));
         }
         Ok(())
     }
 
-    /// The rules that hold at any time.
+    /// Checks the rules that hold at any time.
     pub(crate) fn check(&self, now: Nanos, id: SequenceId, deployment: &Deployment) -> Result<(), String> {
         let unanswered = self.final_answers == 0;
         if unanswered && self.completion_deadline.is_some_and(|deadline| now > deadline) {
-            return Err(format!("rule 1: {id:?} outlasts its client's completion deadline"));
+            return Err(format!("rule 1: {id:?} is unanswered after its client's completion deadline"));
         }
         let late = now >= self.first_token_deadline + deployment.timer_resolution.max(1);
         if unanswered && !self.streaming && !self.client_has_tokens && late {
--- a/gateway-core/tests/rules/random_events.rs
+++ b/gateway-core/tests/rules/random_events.rs
@@ -1,29 +1,30 @@
-//! Random events: whatever happens, the rules hold.
+//! Random events: the request manager keeps the rules whatever the order of events.
 
 use crate::test_deployment::TestDeployment;
 use crate::world::World;
 use oorandom::Rand64;
 use quickcheck::{QuickCheck, TestResult};
 
+/// The maximum number of timers that may expire in one run; guards against a timer that is set again without end.
 const MAX_TIMERS: usize = 100_000;
 
-/// One run of random events, until every sequence is answered.
+/// Runs random events until every sequence is answered.
 fn run(seed: u64, test: TestDeployment) -> Result<(), String> {
     let mut world = World::new(seed, test);
     for number in 0..300 {
         world.step(number)?;
     }
-    // Every timer expires: everything in flight ends by itself.
+    // No more events arrive: the timers alone must end every sequence.
     for _ in 0..MAX_TIMERS {
         let Some(deadline) = world.manager.next_timeout() else { break };
         world.expire_timer(deadline)?;
     }
-    // And no KV cache is held after the end, however late it is checked.
+    // No KV cache is left: one that is held now would violate rule 5 after the release timeout.
     world.now += 2 * world.test.deployment.release_timeout;
     world.apply(Vec::new())?;
     let unanswered = world.sequences.values().filter(|sequence| sequence.final_answers != 1).count();
     if unanswered + world.manager.unanswered() > 0 {
-        return Err(format!("rule 1: {unanswered} without a final answer"));
+        return Err(format!("rule 1: {unanswered} sequences without exactly one final answer"));
     }
     Ok(())
 }
--- a/gateway-core/tests/rules/test_deployment.rs
+++ b/gateway-core/tests/rules/test_deployment.rs
@@ -9,27 +9,30 @@
 use petrelshore_gateway_core::{NewSequence, Relay};
 
 pub(crate) const MS: Nanos = 1_000_000;
-/// Number of servers.
+/// The number of servers.
 pub(crate) const SERVERS: usize = 6;
-/// Traffic types of [`deployment`], by their place.
+/// Indices of the traffic types of [`deployment`].
 pub(crate) const IDEMPOTENT: usize = 0;
 pub(crate) const AT_MOST_ONCE: usize = 1;
 pub(crate) const KEYED: usize = 2;
 
+/// Time in which a KV cache must be released, in nanoseconds.
 const RELEASE_TIMEOUT: Nanos = 500 * MS;
 
-/// A deployment that settings allow, and the kind of each server.
+/// A deployment and the server kind of each server.
 pub(crate) struct TestDeployment {
     pub(crate) deployment: Deployment,
+    /// Index into the server kinds of the deployment, by server.
     kinds: [usize; SERVERS],
 }
 
 impl TestDeployment {
+    /// Two prefill servers, three decode servers and one combined server.
     pub(crate) fn usual() -> Self {
         TestDeployment { deployment: deployment(), kinds: [0, 0, 1, 1, 1, 2] }
     }
 
-    /// Any mix of roles and limits that settings allow.
+    /// A random mix of roles and limits, within what the settings allow.
     pub(crate) fn any(random: &mut Rand64) -> Self {
         let mut deployment = deployment();
         let mut below = |bound: u64| random.rand_range(0..bound) as usize;
@@ -100,7 +103,7 @@
     }
 }
 
-/// Two prefill servers, three decode servers and a combined one.
+/// An endpoint of the usual deployment: servers 0 and 1 prefill, 2 to 4 decode, and 5 is combined.
 pub(crate) fn endpoint(server: u64, state: EndpointState) -> Endpoint {
     let kind = match server {
         0..2 => 0,
--- a/gateway-core/tests/rules/world.rs
+++ b/gateway-core/tests/rules/world.rs
@@ -1,4 +1,4 @@
-//! A request manager with random events, and the observer that checks its actions.
+//! A request manager that gets random events, and the observed sequences that check its actions.
 
 use crate::observer::ObservedSequence;
 use crate::test_deployment::{MS, SERVERS, TestDeployment, new_sequence};
@@ -10,7 +10,7 @@
 use petrelshore_gateway_core::{Action, Dispatch, NewSequence, Relay, RequestManager};
 use std::collections::BTreeMap;
 
-/// An attempt in flight that was picked at random.
+/// An attempt in flight that a random event concerns.
 #[derive(Clone, Copy)]
 struct PickedAttempt {
     id: SequenceId,
@@ -18,12 +18,13 @@
     streaming: bool,
 }
 
+/// The request manager under test, with the servers, the clock and the observed sequences.
 pub(crate) struct World {
     pub(crate) test: TestDeployment,
     pub(crate) manager: RequestManager,
     pub(crate) sequences: BTreeMap<SequenceId, ObservedSequence>,
-    /// Servers that are draining.
-    closed: [bool; SERVERS],
+    /// Whether each server is draining.
+    draining: [bool; SERVERS],
     random: Rand64,
     pub(crate) now: Nanos,
 }
@@ -35,18 +36,21 @@
             (0..SERVERS as u64).map(|server| test.endpoint(server, EndpointState::Ready)).collect();
         manager.update_endpoints(0, SnapshotKind::Full, &endpoints);
         let random = Rand64::new(seed.into());
-        World { test, manager, sequences: BTreeMap::new(), closed: [false; SERVERS], random, now: MS }
+        World { test, manager, sequences: BTreeMap::new(), draining: [false; SERVERS], random, now: MS }
     }
 
-    /// Applies actions to what the observer knows, and checks the rules.
+    /// Applies actions to the observed sequences and checks the rules.
     pub(crate) fn apply(&mut self, actions: Vec<Action>) -> Result<(), String> {
         let deployment = &self.test.deployment;
         for action in actions {
             match action {
                 Action::Send(dispatch) => {
-                    let closed = self.closed[dispatch.server.0 as usize];
-                    let sequence = self.sequences.get_mut(&dispatch.id).ok_or("a send for no sequence")?;
-                    sequence.sent(self.now, dispatch, closed, deployment)?;
+                    let server_draining = self.draining[dispatch.server.0 as usize];
+                    let sequence = self
+                        .sequences
+                        .get_mut(&dispatch.id)
+                        .ok_or("an attempt is sent for an unknown sequence")?;
+                    sequence.sent(self.now, dispatch, server_draining, deployment)?;
                 }
                 Action::Cancel { id, step, .. } => {
                     if let Some(sequence) = self.sequences.get_mut(&id) {
@@ -59,11 +63,14 @@
                     }
                 }
                 Action::Reject { id, retry_after, .. } => {
-                    let sequence = self.sequences.get_mut(&id).ok_or("a rejection for no sequence")?;
+                    let sequence = self.sequences.get_mut(&id).ok_or("an unknown sequence is rejected")?;
                     sequence.rejected(self.now, id, retry_after, deployment)?;
                 }
                 Action::Abort { id, .. } | Action::Complete { id, .. } => {
-                    self.sequences.get_mut(&id).ok_or("an end for no sequence")?.final_answers += 1;
+                    self.sequences
+                        .get_mut(&id)
+                        .ok_or("an unknown sequence is aborted or completed")?
+                        .final_answers += 1;
                 }
                 Action::WakeAt { .. } | Action::PollEndpoints { .. } => {}
             }
@@ -71,7 +78,7 @@
         self.sequences.iter().try_for_each(|(id, sequence)| sequence.check(self.now, *id, deployment))
     }
 
-    /// Lets a timer expire, as late as the timer resolution allows.
+    /// Lets a timer expire with a random delay within the timer resolution.
     pub(crate) fn expire_timer(&mut self, deadline: Nanos) -> Result<(), String> {
         let delay = self.random.rand_range(0..self.test.deployment.timer_resolution.max(1));
         self.now = self.now.max(deadline + delay);
@@ -80,7 +87,7 @@
         self.apply(actions)
     }
 
-    /// One random event.
+    /// Generates one random event. `number` becomes the id of a new sequence, and selects the server of a load report.
     pub(crate) fn step(&mut self, number: u64) -> Result<(), String> {
         let mut actions = Vec::new();
         let picked = self.pick_attempt();
@@ -118,7 +125,7 @@
         let traffic = self.random.rand_range(0..3) as usize;
         let relay = if self.random.rand_range(0..2) == 0 { Relay::Streamed } else { Relay::Buffered };
         let first_token_deadline = self.now + (200 + self.random.rand_range(0..2_000)) * MS;
-        // Some clients have a deadline for the complete answer too.
+        // Half of the clients also have a deadline for the complete answer.
         let completion_budget = self.random.rand_range(0..4_000);
         let completion_deadline =
             completion_budget.is_multiple_of(2).then_some(first_token_deadline + completion_budget * MS);
@@ -145,7 +152,7 @@
             return Ok(());
         }
         self.manager.first_token(self.now, id, dispatch.attempt);
-        let sequence = self.sequences.get_mut(&id).ok_or("it is gone")?;
+        let sequence = self.sequences.get_mut(&id).ok_or("the sequence is not observed")?;
         sequence.streaming = true;
         sequence.caches = 0;
         sequence.client_has_tokens |= sequence.relay == Some(Relay::Streamed);
@@ -159,7 +166,7 @@
     ) -> Result<(), String> {
         let Some(PickedAttempt { id, dispatch, streaming }) = picked else { return Ok(()) };
         let end = self.random_end(&dispatch, streaming);
-        let sequence = self.sequences.get_mut(&id).ok_or("it is gone")?;
+        let sequence = self.sequences.get_mut(&id).ok_or("the sequence is not observed")?;
         sequence.in_flight = None;
         let leaves_cache = dispatch.step == Step::Prefill && !end.proves_not_run();
         let cache_missing = end == AttemptEnd::KvCacheMissing;
@@ -167,14 +174,14 @@
             (sequence.caches + usize::from(leaves_cache)).saturating_sub(usize::from(cache_missing));
         sequence.cache_held_since = (sequence.caches > 0).then_some(self.now);
         if end.proves_not_run() && !streaming {
-            // The observer forgets an attempt that provably never ran.
+            // An attempt that provably never ran does not count as a possible run.
             sequence.may_have_run = sequence.may_have_run.filter(|run| run.attempt != dispatch.attempt);
         }
         self.manager.attempt_ended(self.now, id, dispatch.attempt, end, actions);
         Ok(())
     }
 
-    /// Nothing of an answer shows before its end.
+    /// Whether the answer is buffered, so that no token shows before the end.
     fn is_buffered(&self, id: SequenceId) -> bool {
         let traffic = self.sequences.get(&id).map_or(0, |sequence| sequence.traffic);
         self.test.deployment.types[traffic].delivery == Delivery::Buffered
@@ -207,8 +214,8 @@
 
     fn cancel(&mut self, picked: Option<PickedAttempt>, actions: &mut Vec<Action>) -> Result<(), String> {
         if let Some(PickedAttempt { id, .. }) = picked {
-            // No client is left to be answered.
-            self.sequences.get_mut(&id).ok_or("it is gone")?.final_answers += 1;
+            // The client has left and gets no final answer, so the sequence counts as answered.
+            self.sequences.get_mut(&id).ok_or("the sequence is not observed")?.final_answers += 1;
             self.manager.client_cancelled(id, actions);
         }
         Ok(())
@@ -218,12 +225,12 @@
         let server = self.random.rand_range(0..SERVERS as u64);
         let states = [EndpointState::Ready, EndpointState::Draining];
         let state = states[self.random.rand_range(0..2) as usize];
-        self.closed[server as usize] = state != EndpointState::Ready;
+        self.draining[server as usize] = state != EndpointState::Ready;
         let endpoint = self.test.endpoint(server, state);
         self.manager.update_endpoints(self.now, SnapshotKind::Delta, &[endpoint]);
     }
 
-    /// Time never passes a timer without it, as in a runtime.
+    /// Lets a random time pass, in which every timer that becomes due expires, as in a runtime.
     fn pass_time(&mut self) -> Result<(), String> {
         let until = self.now + self.random.rand_range(0..400) * MS;
         while let Some(deadline) = self.manager.next_timeout().filter(|deadline| *deadline <= until) {
