--- a/gateway-core/src/cache_leases.rs
+++ b/gateway-core/src/cache_leases.rs
@@ -1,7 +1,8 @@
-//! Which prefill servers may hold a KV cache for one sequence: what is to be released once no attempt will fetch it.
+//! Tracks which prefill servers may hold a KV cache for one sequence. These KV caches have to be released once no
+//! attempt will fetch them.
 //!
-//! A prefill that was cancelled may have completed just then, and its KV cache be held like any other. So every end of
-//! a prefill counts as one that left a KV cache, except those that prove that it never ran.
+//! A prefill may complete just as the gateway cancels it, and its server then holds a KV cache. So every ended prefill
+//! counts as one that left a KV cache, unless its end proves that it never ran.
 
 use crate::attempt_outcome::AttemptEnd;
 use crate::cache_releases::CacheState;
@@ -14,7 +15,7 @@
 }
 
 impl CacheLeases {
-    /// A prefill ended, as its connection showed.
+    /// Records how a prefill ended.
     pub fn prefill_ended(&mut self, server: ServerId, end: AttemptEnd) {
         let state = match end {
             AttemptEnd::PrefillDone { .. } => CacheState::Held,
@@ -25,20 +26,21 @@
         self.leases.push((server, state));
     }
 
-    /// A decode server has fetched the KV cache from that prefill server, or found that it is not there any more. What
-    /// other prefill servers hold, whose decode servers failed, stays.
+    /// Records that a decode server has fetched the KV cache from the prefill server `from`, or has found that the KV
+    /// cache is no longer there. KV caches on other prefill servers, whose decode servers failed, are still held.
     pub fn cache_fetched(&mut self, from: Option<ServerId>) {
         self.leases.retain(|(holder, state)| *state != CacheState::Held || Some(*holder) != from);
     }
 
-    /// A pending release at that prefill server was revoked: its KV cache may still be there.
+    /// Records that a pending release at a prefill server was revoked, so the server may still hold the KV cache.
     pub fn release_revoked(&mut self, server: ServerId) {
         if self.leases.iter().all(|(holder, _)| *holder != server) {
             self.leases.push((server, CacheState::Uncertain));
         }
     }
 
-    /// Takes out what cancelled prefills may have left, to be released while no attempt is in flight.
+    /// Removes and returns the leases that cancelled prefills may have left. The caller releases them while no attempt
+    /// is in flight.
     pub fn take_uncertain(&mut self) -> Vec<(ServerId, CacheState)> {
         let uncertain =
             self.leases.iter().copied().filter(|(_, state)| *state == CacheState::Uncertain).collect();
@@ -46,7 +48,7 @@
         uncertain
     }
 
-    /// Takes out everything.
+    /// Removes and returns all leases.
     pub fn take_all(&mut self) -> Vec<(ServerId, CacheState)> {
         std::mem::take(&mut self.leases)
     }
--- a/gateway-core/src/cache_leases/tests.rs
+++ b/gateway-core/src/cache_leases/tests.rs
@@ -18,5 +18,5 @@
     assert_eq!(leases.clone().take_all(), [(far, CacheState::Held)]);
     leases.prefill_ended(near, AttemptEnd::PrefillDone { cached_tokens: 0.0 });
     leases.cache_fetched(Some(near));
-    assert_eq!(leases.take_all(), [(far, CacheState::Held)], "the one whose decode server failed");
+    assert_eq!(leases.take_all(), [(far, CacheState::Held)], "the unfetched KV cache is still held");
 }
--- a/gateway-core/src/cache_releases.rs
+++ b/gateway-core/src/cache_releases.rs
@@ -1,61 +1,64 @@
-//! Pending release requests: KV caches that prefill servers hold and that no attempt will fetch any more.
+//! Pending release requests for KV caches that prefill servers hold and that no attempt will fetch any more.
 //!
-//! Rule 5 gives a release little time, and a message can get lost, so each is sent again until its prefill server has
-//! answered. A prefill server that can't be reached is sent the request for as long as it may still hold the KV cache:
-//! prefill servers drop what nobody fetched after a time of their own.
+//! Rule 5 requires that a KV cache is released within a short time. A message can get lost, so the gateway sends each
+//! release request again until its prefill server has answered. It retries a prefill server that can't be reached for
+//! as long as the server may still hold the KV cache: prefill servers drop an unfetched KV cache after a timeout of
+//! their own.
 //!
-//! A cancelled prefill may still arrive at its server after the release request did, as the two use different
-//! connections. Its server then answers that it holds nothing, and holds a KV cache a moment later. So for such a
-//! prefill an answer settles nothing until the prefill can no longer be in transit, and the request is sent again often
-//! enough for the rule.
+//! A cancelled prefill and its release request use different connections, so the prefill may arrive at its server after
+//! the release request. The server then answers that it holds no KV cache, and holds one a moment later. So for a
+//! cancelled prefill no answer completes the release until the prefill can no longer be in transit, and the gateway
+//! sends the request again often enough to keep rule 5.
 //!
-//! A release request releases everything that is held for its request id. So while a sequence has an attempt in flight
-//! none is sent for it: pending ones are revoked, and added again once no attempt is in flight.
+//! A release request releases all KV caches that are held for its request id. So no release request is sent for a
+//! sequence that has an attempt in flight: pending releases are revoked, and added again once no attempt is in flight.
 
 use petrelshore::interface::{Nanos, ServerId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first wait for an answer is this part of the time that the rule allows; each next one is twice as long.
+/// The release timeout divided by this is the first timeout for an answer.
 const INITIAL_ANSWER_TIMEOUT_DIVISOR: u64 = 4;
-/// The longest wait for an answer.
+/// The longest timeout for an answer, in nanoseconds.
 const MAX_ANSWER_TIMEOUT: Nanos = 5_000_000_000;
-/// The longest wait while a cancelled prefill may be in transit, as a part of the time that the rule allows.
+/// The release timeout divided by this is the longest timeout for an answer while a cancelled prefill may be in
+/// transit.
 const MAX_IN_TRANSIT_TIMEOUT_DIVISOR: u64 = 2;
-/// How much longer each wait is than the one before.
+/// The timeout for an answer is multiplied by this factor with each retry.
 const BACKOFF_FACTOR: u64 = 2;
-/// After this long a KV cache counts as dropped by its prefill server.
+/// Time after which a release is abandoned, in nanoseconds: by then the prefill server counts as having dropped the KV
+/// cache by itself.
 const ABANDON_AFTER: Nanos = 60_000_000_000;
-/// The most releases that are pending at once: beyond it the oldest is abandoned.
+/// The maximum number of pending releases; beyond it the oldest is abandoned.
 const MAX_PENDING: usize = 10_000;
-/// How many relays at once are sent a release request that its prefill server does not answer.
+/// The maximum number of relays that are sent one release request when its prefill server does not answer.
 const MAX_RELAYS: usize = 3;
-/// Each next relay is sent the request after this part of the time for an answer, while the earlier ones are awaited.
+/// The first timeout for an answer divided by this is the delay before the next relay is sent the request as well.
 const RELAY_INTERVAL_DIVISOR: u64 = 2;
-/// For how long a cancelled prefill may still arrive at its server.
+/// Time for which a cancelled prefill may still arrive at its server, in nanoseconds.
 const MAX_TRANSIT_TIME: Nanos = 2_000_000_000;
-/// Connections reserved for release requests, beyond one for each sequence in flight.
+/// Number of connections reserved for release requests, in addition to one for each sequence in flight.
 pub const RELEASE_CONNECTIONS: usize = 8;
 
-/// What is known of a KV cache that is to be released.
+/// What the gateway knows about a KV cache that is to be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheState {
-    /// The prefill server has said that it holds it.
+    /// The prefill server has answered that it holds the KV cache.
     Held,
-    /// Its prefill was cancelled: it may be held, never be held, or be held a moment later.
+    /// The prefill was cancelled: the server may hold the KV cache now, a moment later, or never.
     Uncertain,
 }
 
 /// The result of a release request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// The prefill server answered it.
+    /// The prefill server answered the request.
     Acknowledged,
-    /// The prefill server is known to run no more, or is not known any more.
+    /// The prefill server is known to have stopped, or the gateway no longer knows it.
     ServerGone,
 }
 
-/// A release request: tells a prefill server to release what it holds for a request id.
+/// A request to a prefill server to release the KV caches that it holds for a request id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheRelease {
     /// The prefill server.
@@ -66,8 +69,8 @@
 
 struct PendingRelease {
     added_at: Nanos,
-    /// Answers before this settle nothing.
-    settles_from: Nanos,
+    /// Answers before this time don't complete the release: the cancelled prefill may still be in transit.
+    answers_valid_from: Nanos,
     next_send_at: Nanos,
     answer_timeout: Nanos,
     retries: usize,
@@ -82,12 +85,13 @@
 }
 
 impl CacheReleases {
-    /// Without any pending release; `release_timeout` is the time in which a KV cache must be released.
+    /// Creates an empty collection. `release_timeout` is the time within which a KV cache must be released.
     pub fn new(release_timeout: Nanos) -> Self {
         CacheReleases { release_timeout, pending: BTreeMap::new(), send_queue: BTreeSet::new(), abandoned: 0 }
     }
 
-    /// Adds a release that is sent now, whatever was sent before: a second prefill may have left another KV cache.
+    /// Adds a release whose first request the caller sends now. A pending release for the same server and request id
+    /// starts over, since a second prefill may have left another KV cache.
     pub fn add(&mut self, now: Nanos, release: &CacheRelease, state: CacheState) {
         self.remove(release);
         if self.pending.len() >= MAX_PENDING {
@@ -95,17 +99,17 @@
         }
         let answer_timeout = self.answer_timeout();
         let next_send_at = now + answer_timeout;
-        let settles_from = match state {
+        let answers_valid_from = match state {
             CacheState::Held => now,
             CacheState::Uncertain => now.saturating_add(MAX_TRANSIT_TIME),
         };
         self.send_queue.insert((next_send_at, release.clone()));
         let pending =
-            PendingRelease { added_at: now, settles_from, next_send_at, answer_timeout, retries: 0 };
+            PendingRelease { added_at: now, answers_valid_from, next_send_at, answer_timeout, retries: 0 };
         self.pending.insert(release.clone(), pending);
     }
 
-    /// Revokes all pending releases of a request id: the prefill servers that may still hold something.
+    /// Revokes all pending releases of a request id. Returns the prefill servers that may still hold a KV cache.
     pub fn revoke(&mut self, request_id: &str) -> Vec<ServerId> {
         let revoked: Vec<CacheRelease> =
             self.pending.keys().filter(|release| release.request_id == request_id).cloned().collect();
@@ -113,10 +117,11 @@
         revoked.into_iter().map(|release| release.server).collect()
     }
 
-    /// The prefill server has answered, or is known to run no more.
+    /// Records that the prefill server has answered a release request, or is known to have stopped.
     pub fn finished(&mut self, now: Nanos, release: &CacheRelease, outcome: ReleaseOutcome) {
-        let too_early = self.pending.get(release).is_some_and(|pending| now < pending.settles_from);
-        if outcome == ReleaseOutcome::ServerGone || !too_early {
+        let prefill_may_be_in_transit =
+            self.pending.get(release).is_some_and(|pending| now < pending.answers_valid_from);
+        if outcome == ReleaseOutcome::ServerGone || !prefill_may_be_in_transit {
             self.remove(release);
         }
     }
@@ -127,18 +132,19 @@
         }
     }
 
-    /// How long a prefill server may take to answer before it is sent the request again.
+    /// Time that a prefill server has to answer the first request before the request is sent again.
     pub fn answer_timeout(&self) -> Nanos {
         (self.release_timeout / INITIAL_ANSWER_TIMEOUT_DIVISOR).max(1)
     }
 
-    /// How long an answer is awaited before the next relay is sent the request as well.
+    /// Time without an answer after which the next relay is sent the request as well.
     pub fn relay_interval(&self) -> Nanos {
         (self.answer_timeout() / RELAY_INTERVAL_DIVISOR).max(1)
     }
 
-    /// The servers that relay a request to a prefill server that can't be reached. Of the ready servers, each given with
-    /// when it was last heard from, the most recently heard ones; others with each retry, since those may be lost too.
+    /// The servers that relay a request to a prefill server that can't be reached. `ready` lists the ready servers with
+    /// the time of their last response. The servers with the most recent responses are chosen first. Each retry chooses
+    /// the next servers, since the earlier relays may be unreachable too.
     pub fn relays(&self, release: &CacheRelease, ready: &[(Nanos, ServerId)]) -> Vec<ServerId> {
         let mut candidates: Vec<_> =
             ready.iter().filter(|(_, server)| *server != release.server).copied().collect();
@@ -149,12 +155,12 @@
         candidates.into_iter().take(MAX_RELAYS).map(|(_, server)| server).collect()
     }
 
-    /// When [`CacheReleases::on_timeout`] next has something to do.
+    /// When to call [`CacheReleases::on_timeout`] next; none without a pending release.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.send_queue.first().map(|(at, _)| *at)
     }
 
-    /// The releases to be sent again by now.
+    /// Returns the releases whose request has to be sent again now, and abandons those that are too old.
     pub fn on_timeout(&mut self, now: Nanos) -> Vec<CacheRelease> {
         let mut due = Vec::new();
         while let Some((at, release)) = self.send_queue.first().cloned().filter(|(at, _)| *at <= now) {
@@ -172,7 +178,7 @@
         due
     }
 
-    /// Since when a release is pending.
+    /// The time at which a pending release was added.
     pub fn pending_since(&self, release: &CacheRelease) -> Option<Nanos> {
         self.pending.get(release).map(|pending| pending.added_at)
     }
@@ -182,7 +188,7 @@
         self.pending.len()
     }
 
-    /// How many were abandoned without an answer.
+    /// Number of releases that were abandoned without an answer.
     pub fn abandoned(&self) -> u64 {
         self.abandoned
     }
@@ -197,10 +203,10 @@
 }
 
 impl PendingRelease {
-    /// Sets when the request is sent next.
+    /// Sets the time of the next request, with exponential backoff.
     fn schedule_retry(&mut self, now: Nanos, release_timeout: Nanos) {
-        // A cancelled prefill may arrive at any time yet, and the rule's time for its KV cache starts then.
-        let max_timeout = if now < self.settles_from {
+        // The cancelled prefill may still arrive at any time, and the release timeout of its KV cache starts then.
+        let max_timeout = if now < self.answers_valid_from {
             release_timeout / MAX_IN_TRANSIT_TIMEOUT_DIVISOR
         } else {
             MAX_ANSWER_TIMEOUT
--- a/gateway-core/src/capacity.rs
+++ b/gateway-core/src/capacity.rs
@@ -1,7 +1,8 @@
-//! How many sequences a gateway holds at once, and when a rejected client should come back.
+//! Limits the number of sequences in flight at a gateway, and computes Retry-After for rejected clients.
 //!
-//! Memory is what a gateway runs out of before it notices: each sequence in flight keeps a prompt and two sockets.
-//! The limit is checked before a sequence is admitted, so that a rejection is certain and cheap.
+//! Each sequence in flight keeps a prompt in memory and two sockets open, and a gateway can run out of memory without
+//! warning. The limit is checked before a sequence is admitted, so a rejected request has provably not run, and its
+//! rejection costs little.
 
 use petrelshore::decay::DecayingSum;
 use petrelshore::interface::{Deployment, Nanos, TrafficTypeId};
@@ -9,50 +10,52 @@
 use std::error::Error;
 use std::fmt;
 
-/// Half-life of the rates of releases and rejections, in nanoseconds: some answers are long.
+/// Half-life of the rates of releases and rejections, in nanoseconds. It spans seconds because some answers are long.
 const RATE_HALF_LIFE: Nanos = 4_000_000_000;
 /// Share of the capacity that is reserved for the traffic types of the highest priority.
 const PRIORITY_RESERVE_SHARE: f64 = 0.1;
-/// Bounds of Retry-After, in nanoseconds; settings may bound it more.
+/// Bounds of Retry-After, in nanoseconds. Settings may lower the upper bound.
 const MIN_RETRY_AFTER: Nanos = 100_000_000;
 const MAX_RETRY_AFTER: Nanos = 30_000_000_000;
-/// Sequences a second that are expected to be released whatever was observed: two sums that decay alike have a ratio
-/// that does not.
-const MIN_RELEASES_PER_SECOND: f64 = 1.0;
-/// Share of the capacity that one client address may hold, but never fewer sequences than the number below.
+/// Added to the observed rate of releases, in sequences per second. Without it, Retry-After would stay constant while
+/// no sequence is released or rejected: the sums of releases and rejections decay alike, so their ratio doesn't change.
+const BASE_RELEASES_PER_SECOND: f64 = 1.0;
+/// Share of the capacity that one client address may hold. At least [`MIN_CLIENT_SEQUENCES`] are always allowed.
 const MAX_CLIENT_SHARE: f64 = 0.25;
 const MIN_CLIENT_SEQUENCES: usize = 64;
 
-/// Buffered answers are collected in memory up to so many bytes; the token limit of no answer comes near it.
+/// The maximum size of an answer that is buffered in memory, in bytes. Answers within their token limits stay far below
+/// it.
 pub const MAX_BUFFERED_ANSWER_BYTES: usize = 8 << 20;
 
-/// The priority weight of each traffic type as a share of the highest.
+/// The priority weight of each traffic type, as a share of the highest weight.
 pub fn relative_priorities(deployment: &Deployment) -> Vec<f64> {
     let types = (0..deployment.types.len()).map(TrafficTypeId);
     types.map(|traffic| deployment.relative_priority(traffic)).collect()
 }
 
-/// Capacity for sequences in flight, over all ingresses of the gateway.
+/// The limit on sequences in flight, shared by all ingresses of the gateway.
 #[derive(Debug)]
 pub struct CapacityLimit {
     capacity: usize,
     in_flight: usize,
-    /// Capacity that something else than sequences takes up.
+    /// Capacity, in sequences, that is used by something other than sequences in flight.
     otherwise_used: usize,
     in_flight_by_client: BTreeMap<u64, usize>,
     released: DecayingSum,
-    /// When this limit was made.
+    /// Time at which this limit was created.
     started_at: Nanos,
-    /// Rejections of late: clients that retry queue behind each other.
+    /// Recent rejections. Retry-After grows with their number, since rejected clients compete for the capacity when
+    /// they retry.
     rejected: DecayingSum,
 }
 
 /// Why a sequence was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityError {
-    /// The gateway is at capacity for this priority.
+    /// The gateway has no capacity left for a sequence of this priority.
     Gateway,
-    /// The client's address holds all that one may.
+    /// The client's address has as many sequences in flight as one address may.
     Client,
 }
 
@@ -68,7 +71,7 @@
 impl Error for CapacityError {}
 
 impl CapacityLimit {
-    /// Capacity for `capacity` sequences, all of it free.
+    /// Creates a limit of `capacity` sequences, none of which is in flight.
     pub fn new(now: Nanos, capacity: usize) -> Self {
         let rate = DecayingSum::new(RATE_HALF_LIFE);
         CapacityLimit {
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Takes capacity for a sequence. `client` identifies the client's address; `priority` is that of the sequence's
-    /// traffic type, 1 for the highest.
+    /// Acquires capacity for a sequence. `client` identifies the client's address. `priority` is the relative priority
+    /// of the sequence's traffic type; the highest is 1.
     pub fn acquire(&mut self, now: Nanos, client: u64, priority: f64) -> Result<(), CapacityError> {
         let admission = self.check(client, priority);
         match admission {
@@ -102,38 +105,40 @@
         if (self.in_flight + self.otherwise_used) as f64 >= available {
             return Err(CapacityError::Gateway);
         }
-        let of_client = self.in_flight_by_client.get(&client).copied().unwrap_or(0);
-        if of_client >= self.client_capacity() {
+        let client_in_flight = self.in_flight_by_client.get(&client).copied().unwrap_or(0);
+        if client_in_flight >= self.client_capacity() {
             return Err(CapacityError::Client);
         }
         Ok(())
     }
 
-    /// Sets how much of the capacity something else than sequences takes up now.
+    /// Sets how much capacity, in sequences, is used by something other than sequences in flight, such as pending
+    /// releases.
     pub fn set_otherwise_used(&mut self, sequences: usize) {
         self.otherwise_used = sequences;
     }
 
-    /// Gives the capacity of one sequence back.
+    /// Releases the capacity of one sequence.
     pub fn release(&mut self, now: Nanos, client: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(of_client) = self.in_flight_by_client.get_mut(&client) {
-            *of_client = of_client.saturating_sub(1);
-            if *of_client == 0 {
+        if let Some(client_in_flight) = self.in_flight_by_client.get_mut(&client) {
+            *client_in_flight = client_in_flight.saturating_sub(1);
+            if *client_in_flight == 0 {
                 self.in_flight_by_client.remove(&client);
             }
         }
         self.released.add(now, 1.0);
     }
 
-    /// Retry-After: the time in which as many sequences are released as were rejected of late, at most `max`.
+    /// Retry-After, in nanoseconds: the expected time until as many sequences are released as were rejected recently,
+    /// at most `max`.
     pub fn retry_after(&self, now: Nanos, max: Option<Nanos>) -> Nanos {
-        let releases_per_second = self.released.per_second(now, self.started_at) + MIN_RELEASES_PER_SECOND;
+        let releases_per_second = self.released.per_second(now, self.started_at) + BASE_RELEASES_PER_SECOND;
         let wait = (self.rejected.read(now).max(1.0) / releases_per_second * 1e9) as Nanos;
         wait.clamp(MIN_RETRY_AFTER, max.unwrap_or(MAX_RETRY_AFTER).max(MIN_RETRY_AFTER))
     }
 
-    /// Sequences in flight.
+    /// Number of sequences in flight.
     pub fn in_use(&self) -> usize {
         self.in_flight
     }
--- a/gateway-core/src/client_connections.rs
+++ b/gateway-core/src/client_connections.rs
@@ -1,7 +1,8 @@
-//! Which connections of clients a gateway with few descriptors closes, and when.
+//! Decides which client connections a gateway with few file descriptors closes, and when.
 //!
-//! Clients keep their connections, some for ever, and some open hundreds and send nothing. A connection without an
-//! open request may be closed after a while; where the table is full, those that never brought a request go first.
+//! Clients keep their connections open, some indefinitely, and some clients open hundreds of connections and send
+//! nothing. A connection without a request in flight may be closed after an idle timeout. When the table is full,
+//! connections that never carried a request are closed first.
 
 use petrelshore::interface::Nanos;
 use std::cmp::Reverse;
@@ -9,43 +10,44 @@
 
 const MILLISECOND: Nanos = 1_000_000;
 
-/// The head of a connection's first request must be complete after this time, and that of a later one this long after
-/// its first byte. In nanoseconds.
+/// Time for receiving a complete request head, in nanoseconds. It starts when the connection is accepted, and for later
+/// requests with the first byte of the request.
 pub const HEAD_TIMEOUT: Nanos = 2_200 * MILLISECOND;
-/// The same for the request's body.
+/// Time for receiving a complete request body, in nanoseconds.
 pub const BODY_TIMEOUT: Nanos = 2_700 * MILLISECOND;
-/// A connection without an open request is closed after this at the latest.
+/// Time after which a connection without a request in flight is closed, in nanoseconds.
 const MAX_IDLE: Nanos = 15_000 * MILLISECOND;
-/// And not before this: its client may be about to send the next one.
+/// Time for which an idle connection is never evicted, in nanoseconds: its client may be about to send the next
+/// request.
 const MIN_IDLE: Nanos = 2_000 * MILLISECOND;
-/// In a crowded table, a connection that has not brought a complete request may be closed after this: clients that
-/// have one send it as they connect.
+/// Time after which a crowded table may evict a new connection that has sent nothing, in nanoseconds: clients that have
+/// a request send it as they connect. A full table may evict a connection with a partial first request after this time.
 const CROWDED_MIN_SILENCE: Nanos = 300 * MILLISECOND;
-/// The same in a full table. In nanoseconds.
+/// Time after which a full table may evict a new connection that has sent nothing, in nanoseconds.
 pub const FULL_MIN_SILENCE: Nanos = 3 * MILLISECOND;
-/// Share of the table in use from which on it counts as crowded.
+/// A table counts as crowded from this share of its capacity on.
 const CROWDED_SHARE: f64 = 0.8;
 
-/// What a connection waits for.
+/// The state of a connection, by what it waits for. Each `since` is the time at which that wait began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Its first complete request, since it was accepted.
+    /// Waits for its first request, since it was accepted.
     New { since: Nanos },
-    /// The rest of its first request, since it was accepted.
+    /// Has received part of its first request, and waits for the rest since it was accepted.
     Started { since: Nanos },
-    /// Its next request, since its last answer.
+    /// Waits for its next request, since its last answer.
     Idle { since: Nanos },
-    /// The answer to its request.
+    /// Waits for the answer to its request.
     Active,
-    /// Its client, which has still to read the last answer.
+    /// Waits for its client to read the last answer.
     Closing,
 }
 
-/// A connection, by a number of its own.
+/// Identifies a connection of a [`ConnectionTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// Open connections of clients.
+/// The open client connections of a gateway.
 #[derive(Debug)]
 pub struct ConnectionTable {
     max_connections: usize,
@@ -53,34 +55,35 @@
     connections: BTreeMap<ConnectionId, Phase>,
 }
 
-/// Whether a new connection may stay.
+/// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// It may, under this number.
+    /// The connection is admitted, with this id.
     Admitted(ConnectionId),
-    /// The table is full, but some have only just connected: [`FULL_MIN_SILENCE`] shows which of them send a request.
+    /// The table is full, but some of its connections have not sent a complete request yet. Those that are still silent
+    /// after [`FULL_MIN_SILENCE`] may be evicted.
     RetrySoon,
-    /// All connections of the table have a request, or had one just now.
+    /// The table is full, and each of its connections has a request in flight or had one just now.
     Full,
 }
 
-/// What follows from a new connection.
+/// The result of [`ConnectionTable::accept`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// Whether it may stay.
+    /// Whether the new connection is admitted.
     pub entry: Entry,
-    /// The connection to be closed for it.
+    /// The connection that the caller has to close to make room for the new one.
     pub evicted: Option<ConnectionId>,
 }
 
 impl ConnectionTable {
-    /// A table for `max_connections` connections.
+    /// Creates an empty table for up to `max_connections` connections.
     pub fn new(max_connections: usize) -> Self {
         ConnectionTable { max_connections, next_id: 0, connections: BTreeMap::new() }
     }
 
-    /// A client has connected. In a crowded table another connection may have to be closed for it, of those on which
-    /// nothing has come, as `is_silent` says.
+    /// Decides on a new connection. A crowded table may evict another connection for it. `is_silent` tells whether no
+    /// unread bytes have arrived on a connection; only silent connections are evicted.
     pub fn accept(&mut self, now: Nanos, is_silent: impl Fn(ConnectionId) -> bool) -> Accepted {
         let evicted = self.eviction_candidate(now, is_silent);
         if let Some(id) = evicted {
@@ -101,8 +104,9 @@
         Entry::Admitted(id)
     }
 
-    /// The first byte of a request has come. A connection that was idle is not closed from here on; a new one is closed
-    /// after all others, and has to bring the complete request first: partial requests would fill the table.
+    /// Records that the first byte of a request has arrived. An idle connection can't be evicted from then on. A new
+    /// connection is only evicted after all other candidates, but it stays a candidate until its request is complete:
+    /// otherwise clients could fill the table with partial requests.
     pub fn request_started(&mut self, id: ConnectionId) {
         match self.connections.get(&id) {
             Some(Phase::Idle { .. }) => self.request_received(id),
@@ -111,27 +115,27 @@
         }
     }
 
-    /// A complete request has come.
+    /// Records that a complete request has arrived.
     pub fn request_received(&mut self, id: ConnectionId) {
         self.set_phase(id, Phase::Active);
     }
 
-    /// Its answer is written, and the connection waits for the next request.
+    /// Records that an answer has been written and the connection waits for its next request.
     pub fn idle(&mut self, now: Nanos, id: ConnectionId) {
         self.set_phase(id, Phase::Idle { since: now });
     }
 
-    /// Its last answer is written.
+    /// Records that the last answer of a connection has been written.
     pub fn closing(&mut self, id: ConnectionId) {
         self.set_phase(id, Phase::Closing);
     }
 
-    /// It is closed.
+    /// Records that a connection is closed.
     pub fn closed(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
-    /// For how long a connection may wait for the first byte of its next request.
+    /// Time for which a connection may wait for the first byte of its next request, in nanoseconds.
     pub fn idle_timeout(&self, id: ConnectionId) -> Nanos {
         match self.connections.get(&id) {
             Some(Phase::New { .. } | Phase::Started { .. }) => HEAD_TIMEOUT,
@@ -139,8 +143,8 @@
         }
     }
 
-    /// From when on a gateway that shuts down may close a connection on which nothing comes. One that was accepted
-    /// just now will bring a request, which is answered.
+    /// Time from which a gateway that shuts down may close a connection on which nothing arrives. A connection that was
+    /// accepted just now stays open for a moment: its client is about to send a request, which is still answered.
     pub fn keep_open_until(&self, id: ConnectionId) -> Nanos {
         match self.connections.get(&id) {
             Some(Phase::New { since } | Phase::Started { since }) => {
@@ -150,12 +154,12 @@
         }
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there are none.
+    /// Returns true if no connection is open.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
@@ -166,9 +170,10 @@
         }
     }
 
-    /// The connection to close for a new one, if the table is crowded: one whose last answer is written, else the new
-    /// one that was silent for longest, else the one that was idle for longest. One that has sent part of its first
-    /// request goes last, and only from a full table: the rest may come just as it is closed, and would get no answer.
+    /// The connection to evict for a new one, if the table is crowded. The order of preference is: a connection whose
+    /// last answer is written, the new connection that has been silent for longest, the connection that has been idle
+    /// for longest. A connection that has sent part of its first request comes last, and only when the table is full:
+    /// the rest of the request may arrive just as the connection is closed, and would get no answer.
     fn eviction_candidate(
         &self,
         now: Nanos,
@@ -192,7 +197,8 @@
             })
     }
 
-    /// Of the connections that wait since `waiting_since`, for `min_wait` or more, the first on which nothing has come.
+    /// The silent connection that has waited for longest, among those that have waited for `min_wait` or more.
+    /// `waiting_since` returns the start of the wait, or none for a phase that doesn't count.
     fn longest_waiting(
         &self,
         now: Nanos,
@@ -202,7 +208,7 @@
     ) -> Option<ConnectionId> {
         let waiting = self.connections.iter().filter_map(|(id, phase)| Some((waiting_since(*phase)?, *id)));
         let long_enough = waiting.filter(|(since, _)| now.saturating_sub(*since) >= min_wait);
-        // A heap, not a sort: mostly the first one will do.
+        // A heap instead of a sort, since the first candidate is usually silent.
         let mut longest_first: BinaryHeap<_> = long_enough.map(Reverse).collect();
         while let Some(Reverse((_, id))) = longest_first.pop() {
             if is_silent(id) {
--- a/gateway-core/src/client_connections/tests.rs
+++ b/gateway-core/src/client_connections/tests.rs
@@ -49,25 +49,33 @@
     assert_eq!(
         table.accept(3 * SECOND, |_| true),
         accepted(Entry::Admitted(ConnectionId(4)), Some(ids[3])),
-        "the silent one"
+        "the new connection that sent nothing is evicted first"
     );
     table.request_received(ConnectionId(4));
-    assert_eq!(table.accept(3 * SECOND, |_| true).evicted, Some(ids[2]), "the longest idle");
+    assert_eq!(
+        table.accept(3 * SECOND, |_| true).evicted,
+        Some(ids[2]),
+        "then the connection that was idle for longest"
+    );
     table.request_received(ConnectionId(5));
     assert_eq!(
         table.accept(3 * SECOND, |_| true),
         accepted(Entry::Admitted(ConnectionId(6)), None),
-        "idle for too short a time"
+        "the other idle connection was used too recently"
     );
     table.request_received(ConnectionId(6));
     table.request_received(ids[1]);
-    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Full, None), "all are active");
+    assert_eq!(
+        table.accept(9 * SECOND, |_| true),
+        accepted(Entry::Full, None),
+        "no active connection is evicted"
+    );
     table.closed(ids[1]);
     assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Admitted(ConnectionId(7)), None));
     assert_eq!(
         table.accept(9 * SECOND, |_| true),
         accepted(Entry::RetrySoon, None),
-        "the silent one has only just connected"
+        "the silent connection was accepted too recently"
     );
     let later = 9 * SECOND + FULL_MIN_SILENCE;
     assert_eq!(
--- a/gateway-core/src/connection_pool.rs
+++ b/gateway-core/src/connection_pool.rs
@@ -1,8 +1,9 @@
-//! Which connection an exchange with a model server uses: which ones are kept open in between, and for how long.
+//! A pool of idle connections to model servers. The pool decides which connection an exchange uses, which connections
+//! are kept open between exchanges, and for how long.
 //!
-//! A pooled connection saves a round trip, but its server may close it just as a request is sent, which proves nothing
-//! about that request. So connections are kept for a short time, and for less where a server closes many of them under
-//! a request.
+//! A pooled connection saves a round trip, but its server may close it just as a request is sent, and the gateway then
+//! can't tell whether the request ran. So connections are kept for a short time, and for a shorter time where a server
+//! closes connections during requests.
 
 use petrelshore::decay::DecayingSum;
 use petrelshore::interface::Nanos;
@@ -11,31 +12,36 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// Idle connections kept to one server.
+/// The maximum number of idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 64;
-/// Idle connections kept to all servers together, where nothing else bounds them.
+/// The maximum number of idle connections to all servers together, where the caller sets no limit.
 const DEFAULT_MAX_IDLE: usize = 4096;
-/// Servers close idle connections after some time of their own. Where nothing is known of it, this is safe.
+/// Upper bound of [`ServerPool::max_idle_time`], in nanoseconds. Servers close idle connections after a timeout of
+/// their own; this value is safe where that timeout is unknown.
 const MAX_IDLE_TIME: Nanos = 20 * SECOND;
-/// Idle connections are trusted for at least this long, whatever broke.
+/// Lower bound of [`ServerPool::max_idle_time`], in nanoseconds, however many connections broke.
 const MIN_IDLE_TIME: Nanos = 500 * MILLISECOND;
-/// An idle connection is not used any more this long before its server would close it: the request has to get there.
+/// Margin before the server's idle timeout in which a connection is no longer used, in nanoseconds: the request has to
+/// arrive before the server closes the connection.
 const SERVER_CLOSE_MARGIN: Nanos = SECOND;
-/// After a connection broke under a request, the next ones are trusted for this share of the time that it was idle.
-const TRUST_FACTOR_AFTER_BREAK: f64 = 0.5;
-/// After each exchange that succeeds, idle connections are trusted for so many times as long.
-const TRUST_FACTOR_AFTER_SUCCESS: f64 = 1.05;
-/// Bytes that belong to no request may come some milliseconds after a complete answer. A request sent on that
-/// connection meanwhile would take them for its own answer; this long after an answer they have come or never will.
+/// After a reused connection broke during a request, the maximum idle time is this share of the time for which that
+/// connection was idle.
+const IDLE_TIME_FACTOR_AFTER_BREAK: f64 = 0.5;
+/// The maximum idle time is multiplied by this factor whenever a connection enters the pool, as after each successful
+/// exchange.
+const IDLE_TIME_FACTOR_AFTER_SUCCESS: f64 = 1.05;
+/// Time after an answer before its connection is used again, in nanoseconds. Bytes that belong to no request may arrive
+/// some milliseconds after a complete answer, and would be taken for the answer to the next request. After this delay
+/// such bytes have arrived or never will.
 const REUSE_DELAY: Nanos = 100 * MILLISECOND;
 
-/// Half-life of the counts of reused connections, over all servers.
+/// Half-life of the counts of reused connections over all servers, in nanoseconds.
 const REUSE_HALF_LIFE: Nanos = 10 * SECOND;
-/// Above this share of reused connections that broke under their request, each request gets a new one: a handshake
-/// costs little, and a lost attempt is one of few. Guards against servers, or proxies before them, that drop idle
-/// connections.
+/// When more than this share of the reused connections break during their request, each request gets a new connection:
+/// a handshake costs little, and a request has only a few attempts. Guards against servers, or proxies in front of
+/// them, that drop idle connections.
 const MAX_BROKEN_SHARE: f64 = 0.1;
-/// That share counts only above so many that broke of late.
+/// [`MAX_BROKEN_SHARE`] applies only when more reused connections than this broke recently.
 const MIN_BROKEN: f64 = 1.5;
 
 struct IdleConnection<C> {
@@ -44,15 +50,15 @@
     usable_at: Nanos,
 }
 
-/// Idle connections to one server, the one used last at the end.
+/// Idle connections to one server, the most recently used one at the end.
 struct ServerPool<C> {
     connections: Vec<IdleConnection<C>>,
-    /// How long they may be idle and still be used.
+    /// The maximum time for which a connection is idle and still used, in nanoseconds.
     max_idle_time: Nanos,
 }
 
 impl<C> ServerPool<C> {
-    /// Since when the connection is idle that is so for longest.
+    /// The time since which the oldest connection is idle.
     fn oldest(&self) -> Option<Nanos> {
         self.connections.first().map(|idle| idle.idle_since)
     }
@@ -63,35 +69,36 @@
 pub struct PooledConnection<C> {
     /// The connection.
     pub connection: C,
-    /// How long it was idle.
+    /// Time for which the connection was idle, in nanoseconds.
     pub idle_for: Nanos,
 }
 
-/// Open connections that wait for their next exchange. `S` identifies a server, `C` is a connection.
+/// Open connections that wait for their next exchange. `S` identifies a server; `C` is a connection.
 pub struct ConnectionPool<S, C> {
     servers: BTreeMap<S, ServerPool<C>>,
-    /// When connections became idle, and to which server, the oldest first. Entries of connections that are in the pool
-    /// no more are dropped later.
+    /// The time at which each connection became idle, with its server, oldest first. Entries of connections that have
+    /// left the pool are dropped later.
     by_age: VecDeque<(Nanos, S)>,
     idle_count: usize,
     max_idle_time: Nanos,
     max_idle: usize,
     reuse_delay: Nanos,
-    /// Reused connections that got their answer, and those that broke.
+    /// Reused connections that carried an answer.
     reused: DecayingSum,
+    /// Reused connections that broke during a request.
     broken: DecayingSum,
 }
 
 impl<S: Ord + Copy, C> Default for ConnectionPool<S, C> {
-    /// For connections that a library owns: these can be reused at once.
+    /// Creates a pool for connections that a library owns. Such connections can be reused at once.
     fn default() -> Self {
         ConnectionPool { reuse_delay: 0, ..Self::bounded(MAX_IDLE_TIME, DEFAULT_MAX_IDLE) }
     }
 }
 
 impl<S: Ord + Copy, C> ConnectionPool<S, C> {
-    /// For servers that close a connection that is idle for `server_idle_timeout`, with at most `max_idle` idle
-    /// connections, where descriptors are few.
+    /// Creates a pool with at most `max_idle` connections, for gateways with few file descriptors.
+    /// `server_idle_timeout` is the time after which a server closes an idle connection, in nanoseconds.
     pub fn bounded(server_idle_timeout: Nanos, max_idle: usize) -> Self {
         let max_idle_time =
             server_idle_timeout.saturating_sub(SERVER_CLOSE_MARGIN).clamp(MIN_IDLE_TIME, MAX_IDLE_TIME);
@@ -107,7 +114,7 @@
         }
     }
 
-    /// Drops the connection that was idle for longest; false where none is.
+    /// Drops the connection that has been idle for longest. Returns false if the pool is empty.
     pub fn close_oldest_idle(&mut self) -> bool {
         while let Some((since, server)) = self.by_age.pop_front() {
             let pool = self.servers.get_mut(&server).filter(|pool| pool.oldest() == Some(since));
@@ -120,8 +127,8 @@
         false
     }
 
-    /// Takes a connection for an exchange: of those that may be used already the one used last, so that the others can
-    /// expire. Connections that are closed, as `is_open` says, or were idle for too long are dropped on the way.
+    /// Takes a connection for an exchange: of the usable connections the most recently used one, so that the others can
+    /// expire. Connections that were idle for too long, or for which `is_open` is false, are dropped on the way.
     pub fn check_out(
         &mut self,
         now: Nanos,
@@ -143,18 +150,18 @@
         None
     }
 
-    /// An answer has come on a connection that was used before.
+    /// Records that an answer has arrived on a reused connection.
     pub fn reuse_succeeded(&mut self, now: Nanos) {
         self.reused.add(now, 1.0);
     }
 
-    /// An exchange has succeeded: its connection may serve another.
+    /// Returns a connection to the pool after a successful exchange.
     pub fn check_in(&mut self, now: Nanos, server: S, connection: C) {
         let usable_at = now.saturating_add(self.reuse_delay);
         self.insert(now, server, IdleConnection { connection, idle_since: now, usable_at });
     }
 
-    /// A connection was made and has carried nothing yet.
+    /// Adds a new connection that has carried no exchange yet.
     pub fn check_in_unused(&mut self, now: Nanos, server: S, connection: C) {
         self.insert(now, server, IdleConnection { connection, idle_since: now, usable_at: now });
     }
@@ -165,7 +172,7 @@
         }
         let new_pool = ServerPool { connections: Vec::new(), max_idle_time: self.max_idle_time };
         let pool = self.servers.entry(server).or_insert(new_pool);
-        let longer = (pool.max_idle_time as f64 * TRUST_FACTOR_AFTER_SUCCESS) as Nanos;
+        let longer = (pool.max_idle_time as f64 * IDLE_TIME_FACTOR_AFTER_SUCCESS) as Nanos;
         pool.max_idle_time = longer.min(self.max_idle_time);
         if pool.connections.len() < MAX_IDLE_PER_SERVER && self.idle_count < self.max_idle {
             pool.connections.push(idle);
@@ -175,7 +182,7 @@
         }
     }
 
-    /// Drops the ages of connections that left the pool, once they are as many as those in it.
+    /// Drops the ages of connections that have left the pool, once they outnumber the connections in it.
     fn compact_ages(&mut self) {
         if self.by_age.len() > 2 * self.idle_count + MAX_IDLE_PER_SERVER {
             let servers = &self.servers;
@@ -187,12 +194,12 @@
         }
     }
 
-    /// A reused connection, which was idle for `idle_for`, broke under its request. Others of that server that are
-    /// about as old are dropped.
+    /// Records that a reused connection, which was idle for `idle_for`, broke during its request. Connections to the
+    /// same server that have been idle for about as long are dropped.
     pub fn reuse_failed(&mut self, now: Nanos, server: S, idle_for: Nanos) {
         self.broken.add(now, 1.0);
         let Some(pool) = self.servers.get_mut(&server) else { return };
-        let shorter = (idle_for as f64 * TRUST_FACTOR_AFTER_BREAK) as Nanos;
+        let shorter = (idle_for as f64 * IDLE_TIME_FACTOR_AFTER_BREAK) as Nanos;
         let max_idle_time = shorter.clamp(MIN_IDLE_TIME, MAX_IDLE_TIME);
         pool.max_idle_time = max_idle_time;
         let before = pool.connections.len();
@@ -210,13 +217,13 @@
         });
     }
 
-    /// Whether reused connections break too often to reuse any.
+    /// Returns true if reused connections break so often that none should be reused.
     fn breaks_too_often(&self, now: Nanos) -> bool {
         let (reused, broken) = (self.reused.read(now), self.broken.read(now));
         broken > MIN_BROKEN && broken > MAX_BROKEN_SHARE * (reused + broken)
     }
 
-    /// Idle connections to all servers.
+    /// Number of idle connections to all servers.
     pub fn idle(&self) -> usize {
         self.idle_count
     }
--- a/gateway-core/src/error_response.rs
+++ b/gateway-core/src/error_response.rs
@@ -1,8 +1,8 @@
-//! The error that a client gets in place of an answer, and whether it may retry by itself then.
+//! The error that a client gets instead of an answer, and whether the client may retry automatically.
 //!
-//! Every API words these errors in its own protocol; which of them may be retried is decided here, once for all. A
-//! retry is called harmless only where nothing ran. An abort promises nothing, and no API may word it as an error that
-//! clients retry by themselves.
+//! Every API encodes these errors in its own protocol, but this module alone decides which of them may be retried. An
+//! error permits a retry only if nothing ran. After an abort the work may have run, so no API may encode an abort as an
+//! error that clients retry automatically.
 
 use crate::FailureReason;
 use crate::buffered::{FinalAnswer, Rejection};
@@ -12,31 +12,31 @@
 use std::error::Error;
 use std::fmt;
 
-/// Whether a client may retry by itself after an error.
+/// Tells whether a client may retry automatically after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// Nothing ran: a retry is harmless, after this time.
+    /// Nothing ran: a retry is safe after this time, in nanoseconds.
     After(Nanos),
-    /// Nothing ran, but the request has to be corrected first: it would fail again as it is.
+    /// Nothing ran, but the unchanged request would fail again: it has to be corrected first.
     AfterCorrection,
-    /// Not by itself: the work may have run.
+    /// No automatic retry: the work may have run.
     Never,
 }
 
 /// Why a request was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCause {
-    /// It was admitted, and given up before anything ran.
+    /// The request was admitted, and rejected before anything ran.
     Rejected(FailureReason),
-    /// It was given up after something may have run.
+    /// The request was aborted after something may have run.
     Aborted(FailureReason),
-    /// The gateway has as many requests in flight as it may.
+    /// The gateway has reached its limit of requests in flight.
     GatewayAtCapacity,
-    /// This client has as many requests in flight as one may.
+    /// The client has reached its limit of requests in flight.
     ClientAtCapacity,
-    /// This client cancels too many requests before their answer.
+    /// The client cancels too many requests before their answer.
     TooManyCancelled,
-    /// The bodies of too many requests are being received.
+    /// Too many request bodies are being received.
     IngressAtCapacity,
     /// The gateway is shutting down.
     Draining,
@@ -44,14 +44,14 @@
     KeyInFlight,
     /// The idempotency key belongs to another request.
     KeyReused,
-    /// The client waits for too short a time for any answer.
+    /// The client's deadline is too short for any answer.
     DeadlineTooShort,
-    /// The request is larger than any may be.
+    /// The request exceeds the size limit.
     TooLarge,
 }
 
 impl ErrorCause {
-    /// The error code, for programs, the same in every API.
+    /// The machine-readable error code, the same in every API.
     pub fn code(self) -> &'static str {
         match self {
             ErrorCause::Rejected(_) => "rejected",
@@ -67,23 +67,23 @@
         }
     }
 
-    /// The header of the request that is at fault, if one is.
+    /// The request header that caused the error, if any.
     pub fn field(self) -> Option<&'static str> {
         matches!(self, ErrorCause::KeyInFlight | ErrorCause::KeyReused).then_some("Idempotency-Key")
     }
 }
 
-/// The error that a client gets in place of an answer.
+/// The error that a client gets instead of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Why it gets one.
+    /// Why the request was not answered.
     pub cause: ErrorCause,
-    /// Whether it may retry.
+    /// Whether the client may retry.
     pub retry: Retry,
 }
 
 impl ErrorResponse {
-    /// The error of a final answer; none where that is a completed one.
+    /// The error of a final answer; none for a completed one.
     pub fn from_final_answer(answer: &FinalAnswer) -> Option<ErrorResponse> {
         match answer {
             FinalAnswer::Completed { .. } => None,
@@ -138,15 +138,15 @@
 impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            FailureReason::AtCapacity => "no model server can take it in time",
-            FailureReason::AttemptsExhausted => "the model servers failed at it",
-            FailureReason::DeadlineExceeded => "it was not answered in time",
-            FailureReason::StreamBroken => "the answer broke off",
-            FailureReason::ClientStalled => "the client took nothing of its answer",
-            FailureReason::ShuttingDown => "this gateway is stopping",
-            FailureReason::AnswerTooLarge => "the answer is larger than a whole answer may be",
+            FailureReason::AtCapacity => "no model server has capacity for the request in time",
+            FailureReason::AttemptsExhausted => "all attempts at model servers failed",
+            FailureReason::DeadlineExceeded => "the request was not answered before its deadline",
+            FailureReason::StreamBroken => "the answer was interrupted",
+            FailureReason::ClientStalled => "the client did not read its answer",
+            FailureReason::ShuttingDown => "the gateway is shutting down",
+            FailureReason::AnswerTooLarge => "the answer exceeds the size limit of a buffered answer",
             FailureReason::AlreadyRan => {
-                "a request with this idempotency key ended before and its answer is not kept"
+                "an earlier request with this idempotency key has ended, and its answer is not stored"
             }
         })
     }
@@ -155,19 +155,21 @@
 impl fmt::Display for ErrorResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.cause {
-            ErrorCause::Rejected(reason) => write!(f, "rejected: {reason}; trying again is harmless"),
-            ErrorCause::Aborted(reason) => write!(f, "aborted: {reason}; the work may have run"),
-            ErrorCause::GatewayAtCapacity => f.write_str("the gateway holds all that it may"),
-            ErrorCause::ClientAtCapacity => f.write_str("too many requests of yours are in hand"),
+            ErrorCause::Rejected(reason) => write!(f, "rejected: {reason}; a retry is safe"),
+            ErrorCause::Aborted(reason) => write!(f, "aborted: {reason}; the request may have run"),
+            ErrorCause::GatewayAtCapacity => {
+                f.write_str("the gateway has reached its limit of requests in flight")
+            }
+            ErrorCause::ClientAtCapacity => f.write_str("the client has too many requests in flight"),
             ErrorCause::TooManyCancelled => {
-                f.write_str("too many requests of yours were withdrawn before their answer")
+                f.write_str("the client cancelled too many requests before their answer")
             }
-            ErrorCause::IngressAtCapacity => f.write_str("too many requests are being read"),
-            ErrorCause::Draining => f.write_str("this gateway is stopping"),
-            ErrorCause::KeyInFlight => f.write_str("a request with this idempotency key is still running"),
-            ErrorCause::KeyReused => f.write_str("this idempotency key stands for another request"),
-            ErrorCause::DeadlineTooShort => f.write_str("the time given is too short for any answer"),
-            ErrorCause::TooLarge => f.write_str("the request is larger than any may be"),
+            ErrorCause::IngressAtCapacity => f.write_str("the gateway is receiving too many request bodies"),
+            ErrorCause::Draining => f.write_str("the gateway is shutting down"),
+            ErrorCause::KeyInFlight => f.write_str("a request with this idempotency key is still in flight"),
+            ErrorCause::KeyReused => f.write_str("this idempotency key belongs to a different request"),
+            ErrorCause::DeadlineTooShort => f.write_str("the deadline is too short for any answer"),
+            ErrorCause::TooLarge => f.write_str("the request exceeds the size limit"),
         }
     }
 }
--- a/gateway-core/src/event_budget.rs
+++ b/gateway-core/src/event_budget.rs
@@ -1,36 +1,37 @@
-//! Which single events a gateway logs by default: so many of each kind in an interval, and a count of the rest.
+//! Limits how many single events a gateway logs by default: a fixed number of each kind per interval. All events are
+//! counted.
 //!
-//! A status line tells that something goes wrong, never which request it concerns or why. What tells that must be in the
-//! log before anybody asks for it, and must cost the same small amount on the worst day as on any other.
+//! A status line shows that requests fail, but not which requests or why. The log has to hold those details before an
+//! operator looks for them. The limit keeps the cost of logging small even while every request fails.
 
 use petrelshore::interface::Nanos;
 use std::collections::BTreeMap;
 
-/// After this time each kind of event may be logged as often again.
+/// Interval after which the number of lines of each kind starts again at zero, in nanoseconds.
 const INTERVAL: Nanos = 5_000_000_000;
-/// Lines of one kind in an interval.
+/// The maximum number of lines of one kind in an interval.
 const MAX_LINES_PER_KIND: u32 = 40;
 
 /// A kind of event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum EventKind {
-    /// An attempt ended without what it was sent for, or timed out.
+    /// An attempt ended without the result that it was sent for, or timed out.
     AttemptFailed,
-    /// An attempt was cancelled since its client left or the gateway shuts down.
+    /// An attempt was cancelled because its client disconnected or the gateway is shutting down.
     AttemptCancelled,
-    /// An attempt was denied right before its first byte.
+    /// An attempt was denied right before its first byte was sent.
     AttemptDenied,
-    /// A release request was answered late, by another server, or not at all.
+    /// A release request was answered late, by another server than its prefill server, or not at all.
     ReleaseDelayed,
     /// A request was rejected or aborted.
     RequestFailed,
-    /// The gateway closed a client's connection for a reason of its own.
+    /// The gateway closed a client's connection on its own initiative.
     ClientConnectionClosed,
     /// The endpoint list changed, or its watch ended.
     EndpointListChanged,
 }
 
-/// How many events of each kind there were, and which of them are logged.
+/// Counts the events of each kind, and limits how many of them are logged.
 #[derive(Clone, Debug, Default)]
 pub struct EventBudget {
     interval_started_at: Nanos,
@@ -40,7 +41,7 @@
 }
 
 impl EventBudget {
-    /// Counts an event; whether it is to be logged.
+    /// Counts an event. Returns true if the event is to be logged.
     pub fn admit(&mut self, now: Nanos, kind: EventKind) -> bool {
         *self.counts.entry(kind).or_insert(0) += 1;
         if now.saturating_sub(self.interval_started_at) >= INTERVAL {
@@ -56,12 +57,12 @@
         admitted
     }
 
-    /// How many events of each kind there were since the start.
+    /// Number of events of each kind since the start.
     pub fn counts(&self) -> &BTreeMap<EventKind, u64> {
         &self.counts
     }
 
-    /// How many of them were not logged.
+    /// Number of events that were not logged, of all kinds.
     pub fn unlogged(&self) -> u64 {
         self.unlogged
     }
--- a/gateway-core/src/fingerprint.rs
+++ b/gateway-core/src/fingerprint.rs
@@ -1,11 +1,12 @@
-//! Hashes that are the same at every gateway and in every run: FNV-1a, which wires and stored lists rely on.
+//! FNV-1a hashes, which are the same at every gateway and in every run. Wire formats and stored endpoint lists rely on
+//! that.
 
 use petrelshore::interface::SessionId;
 
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// An FNV-1a hash under way.
+/// An incremental FNV-1a hash.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fnv1a(u64);
 
@@ -31,17 +32,18 @@
     hash.finish()
 }
 
-/// A number for a name that is the same at every gateway.
+/// The numeric id of a name, the same at every gateway.
 pub fn stable_id(name: &str) -> u64 {
     hash_parts(&[name.as_bytes()])
 }
 
-/// The session that a tenant's own key names, the same at every gateway; tenants can't name each other's.
+/// The session id of a tenant's session key, the same at every gateway. The hash includes the tenant, so no tenant can
+/// refer to the session of another.
 pub fn session_id(tenant: &str, key: &str) -> SessionId {
     SessionId(hash_parts(&[tenant.as_bytes(), &[0], key.as_bytes()]))
 }
 
-/// Distinguishes requests under the same idempotency key.
+/// A fingerprint of a request's content, to detect different requests with the same idempotency key.
 pub fn request_fingerprint(model: &str, prompt: &str, max_tokens: u32) -> u64 {
     hash_parts(&[model.as_bytes(), &max_tokens.to_le_bytes(), prompt.as_bytes()])
 }
--- a/gateway-core/src/flow_control.rs
+++ b/gateway-core/src/flow_control.rs
@@ -1,42 +1,46 @@
-//! How much each stream of an HTTP/2 connection may have unacknowledged, and which one to reset when all are blocked.
+//! Limits the unacknowledged bytes of each stream of an HTTP/2 connection, and selects the stream to reset when all
+//! streams are blocked.
 //!
-//! The streams of a connection share its flow-control window. A client that does not read one of them leaves that
-//! stream's bytes in the shared window, until nothing is left for the others. So no stream may hold more than a share
-//! that leaves the others some; that share is more than a client that reads needs before it sends a window update.
-//! Several such streams can still exhaust the window. Then the one that holds most is reset, so that the others
-//! go on; one at a time, since with most clients a reset frees its bytes at once. Streams that only wait are not at
-//! fault, however long.
+//! The streams of a connection share its flow-control window. If a client does not read a stream, that stream's
+//! unacknowledged bytes take up the shared window until no bytes are left for the other streams. So a stream may hold
+//! only a share of the window. The share is large enough that a client that reads sends a window update before the
+//! stream reaches it.
+//!
+//! Several unread streams can still exhaust the window. Then the stream with the most unacknowledged bytes is reset, so
+//! that the others can continue. Streams are reset one at a time, since most clients acknowledge the bytes of a reset
+//! stream at once. A stream without unacknowledged bytes is never reset, however long it waits.
 
 use petrelshore::interface::Nanos;
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// The window in bytes until the peer enlarges it, by the protocol.
+/// The initial flow-control window of a connection, in bytes, as HTTP/2 defines it.
 const DEFAULT_WINDOW: i64 = 65_535;
-/// Share of the connection's window that one stream may hold. Clients send a window update once half of a stream's own
-/// window is read, so it must be more than half.
+/// Share of the connection's window that one stream may hold. It must be more than half, since clients send a window
+/// update once they have read half of a stream's own window.
 const MAX_STREAM_SHARE: f64 = 0.625;
-/// A window with fewer bytes left than this is exhausted: no message fits.
+/// A window with fewer bytes left than this counts as exhausted, since no message fits.
 const MIN_USABLE_WINDOW: i64 = 64;
-/// A connection may be blocked for so long before a stream is reset, and again so long before the next.
+/// Time for which a connection may be blocked before a stream is reset, and before each further reset, in nanoseconds.
 const BLOCKED_TIMEOUT: Nanos = 3 * SECOND;
-/// A stream that holds less than this share of all unacknowledged bytes is not the cause.
+/// A stream with less than this share of all unacknowledged bytes does not count as the cause and is not reset.
 const MIN_CAUSE_SHARE: f64 = 0.125;
 
-/// The number of a stream on its connection.
+/// The id of a stream on its connection.
 pub type StreamId = u32;
 
-/// The flow-control window of a connection, and what its streams hold of it.
+/// The flow-control window of a connection, and the unacknowledged bytes of its streams.
 #[derive(Debug)]
 pub struct FlowControl {
-    /// The connection's window when nothing is unacknowledged, as far as the peer has announced it.
+    /// The connection's window when no bytes are unacknowledged, as far as window updates of the peer have shown, in
+    /// bytes.
     window: i64,
-    /// Bytes sent for which the peer has not sent a window update of the connection.
+    /// Bytes sent for which the peer has not sent a window update for the connection.
     unacknowledged: i64,
-    /// The same of each open stream.
+    /// The unacknowledged bytes of each open stream.
     streams: BTreeMap<StreamId, i64>,
-    /// Since when nothing could be sent, and no window update came.
+    /// The time since which the window is exhausted. A window update for the connection or a reset starts it anew.
     blocked_since: Option<Nanos>,
 }
 
@@ -52,19 +56,19 @@
 }
 
 impl FlowControl {
-    /// A stream is open.
+    /// Records that a stream was opened.
     pub fn stream_opened(&mut self, stream: StreamId) {
         self.streams.insert(stream, 0);
     }
 
-    /// Bytes that a stream may send now without harm to the others; the protocol's windows bound it too.
+    /// Number of bytes that a stream may send now without blocking the others. The windows of the protocol apply too.
     pub fn sendable(&self, stream: StreamId) -> usize {
         let held = self.streams.get(&stream).copied().unwrap_or(0);
         let max_held = (self.window as f64 * MAX_STREAM_SHARE) as i64;
         (max_held - held).max(0) as usize
     }
 
-    /// A stream has sent so many bytes.
+    /// Records that a stream has sent `bytes` bytes.
     pub fn data_sent(&mut self, now: Nanos, stream: StreamId, bytes: usize) {
         self.unacknowledged += bytes as i64;
         if let Some(held) = self.streams.get_mut(&stream) {
@@ -75,44 +79,46 @@
         }
     }
 
-    /// A window update of so many bytes has come for a stream or, as stream 0, for the connection.
+    /// Records a window update of `bytes` bytes for a stream or, as stream 0, for the connection.
     pub fn window_update(&mut self, now: Nanos, stream: StreamId, bytes: u32) {
         let bytes = i64::from(bytes);
         if stream == 0 {
             self.connection_window_update(now, bytes);
         } else if let Some(held) = self.streams.get_mut(&stream) {
-            // More than that enlarges the stream's own window, which is not tracked here.
+            // Any excess enlarges the stream's own window, which is not tracked here.
             *held = (*held - bytes).max(0);
         }
     }
 
     fn connection_window_update(&mut self, now: Nanos, bytes: i64) {
-        // More than what is unacknowledged enlarges the window.
+        // An update of more than the unacknowledged bytes enlarges the window.
         let growth = (bytes - self.unacknowledged).max(0);
         self.window = self.window.saturating_add(growth).min(i64::from(i32::MAX));
         self.unacknowledged = (self.unacknowledged - bytes).max(0);
         self.blocked_since = self.is_exhausted().then_some(now);
     }
 
-    /// A stream is closed. Its unacknowledged bytes count to the connection until the peer sends a window update.
+    /// Records that a stream was closed. Its unacknowledged bytes count towards the connection until the peer sends a
+    /// window update.
     pub fn stream_closed(&mut self, stream: StreamId) {
         self.streams.remove(&stream);
     }
 
-    /// When [`FlowControl::stream_to_reset`] may next name a stream.
+    /// When to call [`FlowControl::stream_to_reset`] next; none while the window is not exhausted.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.blocked_since.map(|since| since + BLOCKED_TIMEOUT)
     }
 
-    /// The stream to reset by now, so that the others can go on; none where no single one is the cause.
+    /// The stream to reset now, so that the others can continue. None if the connection has not been blocked for long
+    /// enough, if only one stream is open, or if no single stream is the cause.
     pub fn stream_to_reset(&mut self, now: Nanos) -> Option<StreamId> {
         let since = self.blocked_since.filter(|since| now >= since + BLOCKED_TIMEOUT)?;
-        // A reset must have had its time to help before the next.
+        // Each reset gets the full timeout to take effect before the next one.
         self.blocked_since = Some(now.max(since));
-        let held_by_all: i64 = self.streams.values().sum();
+        let total_held: i64 = self.streams.values().sum();
         let (id, held) = self.streams.iter().max_by_key(|(id, held)| (**held, **id))?;
         let is_alone = self.streams.len() == 1;
-        let is_cause = *held > 0 && *held as f64 >= MIN_CAUSE_SHARE * held_by_all as f64;
+        let is_cause = *held > 0 && *held as f64 >= MIN_CAUSE_SHARE * total_held as f64;
         (!is_alone && is_cause).then_some(*id)
     }
 
--- a/gateway-core/src/graceful_shutdown.rs
+++ b/gateway-core/src/graceful_shutdown.rs
@@ -1,44 +1,45 @@
-//! How a gateway shuts down that got its stop signal and will be killed some time after it.
+//! Plans the graceful shutdown of a gateway that has received its stop signal and will be killed some time later.
 //!
-//! Ingresses notice late, and another gateway may not be back yet: clients go on connecting for a moment, and use
-//! their connections for as long as these are open. So the gateway goes on accepting for as long as it can, then
-//! closes idle connections. Where clients resume broken streams elsewhere, streams that the kill would break are ended
-//! in time; otherwise new requests are rejected early and streams run on for as long as they can.
+//! Ingresses notice the shutdown late, and another gateway may still be restarting. So clients keep connecting for a
+//! moment, and use their connections for as long as these are open. The gateway therefore accepts requests for as long
+//! as it can, and then closes idle connections. If clients resume broken streams at another gateway, the gateway ends
+//! the streams that the kill would break early enough to be resumed. Otherwise it rejects new requests early, and lets
+//! streams run for as long as they can.
 //!
-//! Streams that are ended at the same moment are resumed at the same moment, each with a prompt to prefill, which
-//! overloads the prefill servers. So they are ended one after the other, for as long as another gateway can resume
-//! them.
+//! Streams that end at the same moment are resumed at the same moment, each with a prompt to prefill, which overloads
+//! the prefill servers. So the gateway ends them gradually, over the time in which another gateway can resume them.
 
 use petrelshore::decay::DecayingSum;
 use petrelshore::interface::Nanos;
 
 const MILLISECOND: Nanos = 1_000_000;
 
-/// New connections may still come for this long after the stop signal.
+/// Time after the stop signal in which new connections may still arrive, in nanoseconds.
 const MIN_ACCEPT_TIME: Nanos = 600 * MILLISECOND;
-/// The kill comes so long after the longest time for which a client waits.
+/// Time that is added to the longest abandon time of the clients to get the time of the kill, in nanoseconds.
 const KILL_DELAY: Nanos = 700 * MILLISECOND;
-/// Where clients wait for longer than this, it counts as this.
+/// A longer abandon time than this counts as this when the time of the kill is computed, in nanoseconds.
 const MAX_COUNTED_ABANDON_TIME: Nanos = 3_000 * MILLISECOND;
-/// The last stream is migrated this long before the kill: the next gateway may get its stop signal right after this
-/// one has exited, and must have time to resume the stream before that.
+/// Time before the kill at which the last stream is migrated, in nanoseconds. The next gateway may get its stop signal
+/// right after this gateway has exited, and must have time to resume the stream before that.
 const MIGRATION_MARGIN: Nanos = 1_100 * MILLISECOND;
-/// While no other gateway is available, streams are migrated this late: one may be back by then.
+/// Time before the kill at which the last stream is migrated while no other gateway is available, in nanoseconds. It is
+/// shorter, since another gateway may be available again by then.
 const LATE_MIGRATION_MARGIN: Nanos = 600 * MILLISECOND;
-/// This long before the kill new requests are rejected.
+/// Time before the kill from which new requests are rejected, in nanoseconds.
 const ACCEPT_MARGIN: Nanos = 900 * MILLISECOND;
-/// This long before the kill everything that still runs is ended.
+/// Time before the kill at which all requests that are still in flight are ended, in nanoseconds.
 const TERMINATION_MARGIN: Nanos = 400 * MILLISECOND;
-/// Until this long before the kill final answers are sent and KV caches released.
+/// Time before the kill until which final answers are sent and KV caches are released, in nanoseconds.
 const EXIT_MARGIN: Nanos = 100 * MILLISECOND;
 
-/// How long a gateway takes to restart, about.
+/// Approximate time that a gateway takes to restart, in nanoseconds.
 const RESTART_TIME: Nanos = 3_000 * MILLISECOND;
-/// Resumed streams of late, as a share of the sequences in flight, above which another gateway must have migrated its
-/// streams just now: servers that fail are few at a time.
+/// When recently resumed streams exceed this share of the sequences in flight, another gateway must have migrated its
+/// streams. Failures of model servers cause fewer resumptions, since only a few servers fail at the same time.
 const MIN_RESUMED_SHARE: f64 = 0.25;
 
-/// How many streams that broke elsewhere were resumed here of late.
+/// Tracks how many streams that broke at another gateway were recently resumed at this one.
 pub struct ResumeRate {
     resumed: DecayingSum,
 }
@@ -50,65 +51,67 @@
 }
 
 impl ResumeRate {
-    /// Counts a client that resumes a stream here.
+    /// Records that a client resumed a stream at this gateway.
     pub fn record(&mut self, now: Nanos) {
         self.resumed.add(now, 1.0);
     }
 
-    /// Whether another gateway seems to have stopped just now, with `in_flight` sequences here.
+    /// Returns true if another gateway seems to have stopped recently. `in_flight` is the number of sequences in flight
+    /// at this gateway.
     pub fn another_gateway_stopped(&self, now: Nanos, in_flight: usize) -> bool {
         self.resumed.read(now) > MIN_RESUMED_SHARE * in_flight.max(1) as f64
     }
 }
 
-/// Whether clients resume a stream that breaks, at another gateway.
+/// Tells whether clients resume a broken stream at another gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResumption {
-    /// They ask for the rest of the answer.
+    /// Clients request the rest of the answer.
     Supported,
-    /// A stream that breaks is lost.
+    /// A broken stream is lost.
     Unsupported,
 }
 
 impl ClientResumption {
-    /// [`ClientResumption::Supported`] where the condition holds.
+    /// Returns [`ClientResumption::Supported`] if the condition holds.
     pub fn supported_if(condition: bool) -> Self {
         if condition { ClientResumption::Supported } else { ClientResumption::Unsupported }
     }
 }
 
-/// Whether another gateway can resume the streams of this one now.
+/// Tells whether another gateway can resume the streams of this one now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerGateways {
-    /// One seems to run.
+    /// Another gateway seems to be running.
     Available,
-    /// There is none, or one seems to be restarting.
+    /// There is no other gateway, or another gateway seems to be restarting.
     Unavailable,
 }
 
-/// When running streams are migrated, as times from the stop signal.
+/// When running streams are migrated, as times since the stop signal in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MigrationWindow {
-    /// When the first may be ended.
+    /// When the first stream may be ended.
     pub start: Nanos,
-    /// When the last is ended.
+    /// When the last stream is ended.
     pub end: Nanos,
 }
 
-/// What a gateway does when, as times from the stop signal.
+/// The schedule of a shutdown, as times since the stop signal in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// When running streams are ended for their clients to resume elsewhere; none where clients do not.
+    /// When running streams are ended for their clients to resume at another gateway; none if clients don't resume
+    /// streams.
     pub migrate_streams: Option<MigrationWindow>,
-    /// Until when new requests are accepted.
+    /// The time until which new requests are accepted.
     pub accept_until: Nanos,
-    /// When what still runs is ended; none where it runs on.
+    /// When requests that are still in flight are ended; none if they may run to their end.
     pub terminate_at: Option<Nanos>,
-    /// When the process has to have exited, whatever is left; none where everything runs on.
+    /// When the process has to have exited, whatever is still in flight; none if requests may run to their end.
     pub exit_by: Option<Nanos>,
 }
 
-/// Plans the shutdown of a gateway whose clients wait for at most `longest_abandon_time`.
+/// Plans the shutdown of a gateway whose clients abandon a request after at most `longest_abandon_time` nanoseconds.
 pub fn plan_shutdown(
     longest_abandon_time: Nanos,
     resumption: ClientResumption,
@@ -137,8 +140,8 @@
 }
 
 impl ShutdownPlan {
-    /// How many of `running` streams to end now, at `elapsed` from the stop signal, where the next call comes at
-    /// `next_call` from it.
+    /// Number of the `running` streams to end now. `elapsed` is the time since the stop signal; `next_call` is the time
+    /// since the stop signal at which this function is called next. Both are in nanoseconds.
     pub fn streams_to_migrate(&self, elapsed: Nanos, next_call: Nanos, running: usize) -> usize {
         match self.migrate_streams {
             Some(MigrationWindow { start, end }) if elapsed >= start => {
--- a/gateway-core/src/http2_abuse.rs
+++ b/gateway-core/src/http2_abuse.rs
@@ -1,49 +1,53 @@
 //! Limits on what the peer of an HTTP/2 connection may send, and its keepalive.
 //!
-//! Such a connection can cause work without asking for any answer: pings, settings, streams opened and reset. Each
-//! kind of frame has a limit that ordinary clients never meet, on bursts and on the rate; past it the connection is
-//! ended, with the reason. A peer that vanished without closing is detected by a ping.
+//! A peer can cause work without requesting any answer: by pings, by settings, and by streams that it opens and
+//! resets. Each kind of frame is limited in its bursts and its rate, and ordinary clients never reach these limits. A
+//! connection that exceeds a limit is ended, with the reason. A ping detects a peer that has disappeared without
+//! closing its connection.
 
 use petrelshore::interface::Nanos;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// Pings that come this soon after each other, with nothing sent to the peer in between, count as unprompted. Clients
-/// that measure a path send one for each burst of data they get.
+/// A ping that arrives within this time after the previous ping counts as unprompted, in nanoseconds. The count
+/// restarts whenever something is sent to the peer, since clients that measure a path send a ping for each burst of
+/// data that they receive.
 const MIN_PING_INTERVAL: Nanos = 5 * SECOND;
+/// The maximum number of unprompted pings between two frames sent to the peer.
 const MAX_UNPROMPTED_PINGS: u32 = 8;
-/// All pings, whatever was sent to the peer.
+/// Limit on all pings, whatever was sent to the peer.
 const PING_LIMIT: RateLimit = RateLimit { burst: 200.0, per_second: 50.0 };
 const SETTINGS_LIMIT: RateLimit = RateLimit { burst: 32.0, per_second: 1.0 };
-/// Frames that carry nothing, or nothing that was asked for.
+/// Limit on frames that carry no call and no data of a call, such as window updates and empty data frames.
 const SMALL_FRAME_LIMIT: RateLimit = RateLimit { burst: 20_000.0, per_second: 5_000.0 };
-/// Streams reset by the peer: all that a connection may have may be reset at once, and so many times over.
+/// Burst of stream resets by the peer, as a multiple of the maximum number of streams of a connection. A peer may reset
+/// all of its streams at once, and may do so this many times in a row.
 const RESET_BURST_PER_STREAM: f64 = 2.0;
 const RESETS_PER_SECOND: f64 = 100.0;
 
-/// A peer that has calls in flight and sends nothing is pinged after this.
+/// Time without a frame from the peer after which the peer is pinged while calls are in flight, in nanoseconds.
 const PING_AFTER_SILENCE: Nanos = 15 * SECOND;
-/// And has so long to answer the ping.
+/// Time that a peer has to answer the ping, in nanoseconds.
 const PING_TIMEOUT: Nanos = 10 * SECOND;
-/// A connection without calls is closed after this.
+/// Time after which a connection without calls is closed, in nanoseconds.
 const IDLE_TIMEOUT: Nanos = 300 * SECOND;
 
-/// A frame that a peer sent, by the limit that it counts to.
+/// A frame from the peer, by the limit that applies to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFrame {
-    /// A ping that wants an answer.
+    /// A ping that requires an answer.
     Ping,
     /// A change of settings.
     Settings,
-    /// The reset of a stream.
+    /// A stream reset.
     Reset,
     /// A frame that carries a call or its data.
     Call,
-    /// Any other.
+    /// Any other frame.
     Small,
 }
 
-/// What a peer sent too much of: why its connection is ended.
+/// The kind of frame that a peer sent too often, which is the reason to end its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Abuse {
     /// Pings.
@@ -52,18 +56,18 @@
     Settings,
     /// Resets of streams.
     Resets,
-    /// Frames that carry nothing.
+    /// Frames that carry no call and no data of a call.
     SmallFrames,
 }
 
-/// What a timeout of a connection asks for.
+/// The action that a timeout of a connection requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepaliveAction {
     /// Ping the peer.
     Ping,
-    /// The peer has not answered: end the connection.
+    /// The peer has not answered a ping: end the connection.
     PeerGone,
-    /// The connection was idle for long: close it.
+    /// The connection has been idle for too long: close it.
     CloseIdle,
 }
 
@@ -85,7 +89,7 @@
         TokenBucket { limit, tokens: limit.burst, updated_at: now }
     }
 
-    /// Takes a token; false where none was left, which is counted all the same.
+    /// Takes a token. Returns false if none was left; the token is then taken all the same.
     fn take(&mut self, now: Nanos) -> bool {
         let elapsed_seconds = now.saturating_sub(self.updated_at) as f64 / SECOND as f64;
         let refilled = self.tokens + elapsed_seconds * self.limit.per_second;
@@ -95,7 +99,7 @@
     }
 }
 
-/// What the peer of one connection has sent, and how long it has been silent.
+/// Counts the frames that the peer of one connection sends, and tracks how long the peer has been silent.
 #[derive(Debug)]
 pub struct AbuseDetector {
     pings: TokenBucket,
@@ -105,7 +109,7 @@
     last_ping: Option<Nanos>,
     unprompted_pings: u32,
     last_frame: Nanos,
-    /// When it was pinged, if nothing has come since.
+    /// Time of the last ping to the peer, if no frame has arrived since.
     pinged_at: Option<Nanos>,
     calls: usize,
     last_call_ended: Nanos,
@@ -113,7 +117,7 @@
 }
 
 impl AbuseDetector {
-    /// For a connection that was made just now and may carry up to `max_calls` calls.
+    /// Creates a detector for a new connection that may carry up to `max_calls` calls.
     pub fn new(now: Nanos, max_calls: usize) -> Self {
         let reset_burst = max_calls as f64 * RESET_BURST_PER_STREAM;
         let reset_limit = RateLimit { burst: reset_burst, per_second: RESETS_PER_SECOND };
@@ -132,7 +136,7 @@
         }
     }
 
-    /// The peer sent a frame.
+    /// Records a frame from the peer.
     pub fn frame_received(&mut self, now: Nanos, frame: PeerFrame) {
         self.last_frame = now;
         self.pinged_at = None;
@@ -155,23 +159,23 @@
         self.pings.take(now) && self.unprompted_pings <= MAX_UNPROMPTED_PINGS
     }
 
-    /// Something was sent to the peer for a call.
+    /// Records that a frame of a call was sent to the peer.
     pub fn frame_sent(&mut self) {
         self.unprompted_pings = 0;
     }
 
-    /// A call has begun.
+    /// Records that a call has started.
     pub fn call_started(&mut self) {
         self.calls += 1;
     }
 
-    /// A call has ended.
+    /// Records that a call has ended.
     pub fn call_ended(&mut self, now: Nanos) {
         self.calls = self.calls.saturating_sub(1);
         self.last_call_ended = now;
     }
 
-    /// Why the connection is to be ended, once it is.
+    /// The reason to end the connection; none as long as the peer has kept the limits.
     pub fn detected(&self) -> Option<Abuse> {
         self.detected
     }
@@ -185,7 +189,7 @@
         }
     }
 
-    /// What to do by now; nothing before the next timeout.
+    /// The action that is due now; none before the next timeout.
     pub fn on_timeout(&mut self, now: Nanos) -> Option<KeepaliveAction> {
         if now < self.next_timeout() {
             return None;
--- a/gateway-core/src/idempotency.rs
+++ b/gateway-core/src/idempotency.rs
@@ -1,56 +1,58 @@
-//! Final answers by idempotency key: a client that repeats a request gets the answer that its first one got.
+//! Stores final answers by idempotency key: a client that repeats a request gets the answer to its first request again.
 //!
-//! This is rule 2 as a client sees it: work that may have run is not run again because its answer got lost on the way.
-//! While the first request is in flight, a repeat is rejected. Once it was completed or aborted, a repeat within the
-//! window gets that same answer; an abort is repeated as an abort, since what ran is not known. After a rejection
-//! nothing has run, and a repeat is a new request. The same key with another request is an error of the client.
+//! This keeps rule 2 for retries by clients: work that may have run is not run again because its answer was lost on the
+//! way to the client. While the first request is in flight, a repeated request is rejected. Once the first request was
+//! completed or aborted, a repeated request within the window gets the same answer. An abort is repeated as an abort,
+//! since the gateway does not know what ran. After a rejection nothing has run, so a repeated request is a new request.
+//! A different request with the same key is an error of the client.
 
 use petrelshore::interface::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// How long answers are kept where the traffic type has no window of its own, in nanoseconds.
+/// Time for which answers are stored if the traffic type has no window of its own, in nanoseconds.
 pub const DEFAULT_WINDOW: Nanos = 60_000_000_000;
-/// Bytes of text kept for all keys together.
+/// The maximum size of the stored texts of all keys, in bytes.
 const MAX_TEXT_BYTES: usize = 32 << 20;
-/// Bytes of text kept for one key.
+/// The maximum size of the stored text of one key, in bytes.
 const MAX_TEXT_BYTES_PER_KEY: usize = 1 << 20;
-/// Completed keys that are kept, whatever their texts.
+/// The maximum number of completed keys, with or without a stored text.
 const MAX_KEYS: usize = 100_000;
 
 /// An idempotency key, which belongs to a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdempotencyKey {
-    /// The tenant, by a name that no other has.
+    /// The unique name of the tenant.
     pub tenant: String,
-    /// The key that the tenant chose.
+    /// The key, as chosen by the tenant.
     pub key: String,
 }
 
 /// How a request with a key ended. `E` is the final answer of the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CompletedRequest<E> {
-    /// Its answer is kept.
+    /// The answer is stored.
     Answered {
-        /// All text of the answer.
+        /// The full text of the answer.
         text: Rc<str>,
         /// The final answer.
         end: E,
     },
-    /// Its text was too large to keep: the answer can't be repeated, and the request must not run again.
+    /// The answer's text is not stored: it exceeded the limit for one key, or was dropped to keep the limit for all
+    /// keys. The answer can't be repeated, and the request must not run again.
     TooLarge,
 }
 
-/// What the store knows of a key.
+/// The status of a key in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus<E> {
-    /// Nothing; its request is in flight from now on.
+    /// The key was unknown. Its request counts as in flight from now on.
     New,
-    /// Its first request is still in flight.
+    /// The first request with the key is still in flight.
     InFlight,
-    /// Its first request has ended.
+    /// The first request with the key has ended.
     Completed(CompletedRequest<E>),
-    /// The key belongs to another request.
+    /// The key belongs to a different request.
     DifferentRequest,
 }
 
@@ -78,7 +80,7 @@
 /// Requests in flight and completed ones, by their idempotency keys.
 pub struct IdempotencyStore<E> {
     entries: BTreeMap<IdempotencyKey, Entry<E>>,
-    /// When completed keys expire, in the order of their completion.
+    /// The expiry times of completed keys, in the order of their completion.
     completed: VecDeque<(Nanos, IdempotencyKey)>,
     text_bytes: usize,
 }
@@ -90,7 +92,7 @@
 }
 
 impl<E: Clone> IdempotencyStore<E> {
-    /// A request with a key has come; `fingerprint` identifies what it asks for.
+    /// Looks up the key of a new request, and registers an unknown key. `fingerprint` identifies the request's content.
     pub fn begin(&mut self, now: Nanos, key: &IdempotencyKey, fingerprint: u64) -> KeyStatus<E> {
         self.drop_expired(now);
         match self.entries.get(key) {
@@ -104,14 +106,14 @@
         }
     }
 
-    /// A request in flight ended without having run, or was never admitted: its key is free again.
+    /// Removes the key of a request that was never admitted or ended without having run, so the key can be used again.
     pub fn remove(&mut self, key: &IdempotencyKey) {
         if matches!(self.entries.get(key), Some(Entry::InFlight { .. })) {
             self.entries.remove(key);
         }
     }
 
-    /// A request in flight has ended, and may have run. Its answer is kept for `window`.
+    /// Records that a request in flight has ended and may have run. Its answer is stored for `window` nanoseconds.
     pub fn complete(&mut self, now: Nanos, key: &IdempotencyKey, text: &str, end: E, window: Nanos) {
         let Some(Entry::InFlight { fingerprint }) = self.entries.get(key) else { return };
         let fingerprint = *fingerprint;
@@ -128,24 +130,26 @@
         self.enforce_limits();
     }
 
-    /// Bytes of text that are kept.
+    /// Total size of the stored texts, in bytes.
     pub fn bytes(&self) -> usize {
         self.text_bytes
     }
 
-    /// Keys that are known.
+    /// Number of keys in the store.
     pub fn keys(&self) -> usize {
         self.entries.len()
     }
 
-    /// Drops expired keys. Windows differ, so that the oldest may hold up an expired one behind it for a while.
+    /// Drops expired keys in the order of their completion. Windows differ, so an expired key may be kept until an
+    /// older key with a longer window has expired.
     fn drop_expired(&mut self, now: Nanos) {
         while self.completed.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
             self.drop_oldest();
         }
     }
 
-    /// Past the memory limit texts are dropped, the oldest first; that their keys have run is remembered for longer.
+    /// Drops the oldest texts while all texts exceed their size limit, and the oldest keys while there are too many. A
+    /// key outlives its dropped text, so that its request does not run again.
     fn enforce_limits(&mut self) {
         for (_, key) in &self.completed {
             if self.text_bytes <= MAX_TEXT_BYTES {
--- a/gateway-core/src/ingress_limits.rs
+++ b/gateway-core/src/ingress_limits.rs
@@ -1,17 +1,17 @@
-//! Limits on connections of clients, and on the bytes of requests that have not been received completely.
+//! Limits the connections of clients, and the bytes of request bodies that have not been parsed yet.
 //!
-//! Before a request is parsed it has no traffic type and no priority; only the address that it comes from is known.
-//! So one address gets a share of the whole, and the whole bounds memory.
+//! A request has no traffic type and no priority until it is parsed; only its client's address is known. So each
+//! address is limited to a share of the total, and the limit on the total bounds memory.
 
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::fmt;
 
-/// Share of the connections, and of the bytes, that one address may hold.
+/// Share of the maximum connections, and of the maximum bytes, that one address may hold.
 const MAX_ADDRESS_SHARE: f64 = 0.5;
-/// But never fewer connections than this.
+/// Number of connections that one address may always hold, however small its share is.
 const MIN_CONNECTIONS_PER_ADDRESS: usize = 64;
-/// Bytes of all bodies together, as a multiple of the largest body.
+/// The maximum size of all bodies together, as a multiple of the maximum size of one body.
 const MAX_BODIES: usize = 64;
 
 #[derive(Debug, Default, Clone, Copy)]
@@ -20,7 +20,7 @@
     bytes: usize,
 }
 
-/// What clients hold of the ingress, and how much they may.
+/// The connections and body bytes that clients hold at an ingress, with their limits.
 #[derive(Debug)]
 pub struct IngressLimits {
     max_connections: usize,
@@ -30,23 +30,23 @@
     by_address: BTreeMap<u64, Usage>,
 }
 
-/// Why a connection, or more bytes of a body, are rejected.
+/// Why a connection or further bytes of a body are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IngressError {
-    /// This one body is larger than any may be.
+    /// The body exceeds the size limit of one body.
     TooLarge,
-    /// The ingress is at capacity.
+    /// The ingress has reached its limit for all addresses together.
     AtCapacity,
-    /// This address holds its share already.
+    /// The address has reached its share of the limit.
     AddressAtCapacity,
 }
 
 impl fmt::Display for IngressError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            IngressError::TooLarge => "the body is larger than any may be",
+            IngressError::TooLarge => "the body exceeds the size limit",
             IngressError::AtCapacity => "the ingress is at capacity",
-            IngressError::AddressAtCapacity => "the address holds its share of the ingress",
+            IngressError::AddressAtCapacity => "the address has reached its share of the ingress capacity",
         })
     }
 }
@@ -54,12 +54,12 @@
 impl Error for IngressError {}
 
 impl IngressLimits {
-    /// Limits for `max_connections` connections and bodies of up to `max_body` bytes each.
+    /// Creates limits of `max_connections` connections and of `max_body` bytes for each body.
     pub fn new(max_connections: usize, max_body: usize) -> Self {
         Self::bounded(max_connections, max_body, max_body.saturating_mul(MAX_BODIES))
     }
 
-    /// The same with `max_bytes` for all bodies together, where memory is small.
+    /// Like [`IngressLimits::new`], but with `max_bytes` for all bodies together, for gateways with little memory.
     pub fn bounded(max_connections: usize, max_body: usize, max_bytes: usize) -> Self {
         IngressLimits {
             max_connections,
@@ -70,59 +70,59 @@
         }
     }
 
-    /// Admits a connection of an address.
+    /// Admits a connection from an address.
     pub fn acquire_connection(&mut self, address: u64) -> Result<(), IngressError> {
         if self.total.connections >= self.max_connections {
             return Err(IngressError::AtCapacity);
         }
         let share = (self.max_connections as f64 * MAX_ADDRESS_SHARE) as usize;
-        let max_of_address = share.max(MIN_CONNECTIONS_PER_ADDRESS);
-        let of_address = self.by_address.entry(address).or_default();
-        if of_address.connections >= max_of_address {
+        let max_per_address = share.max(MIN_CONNECTIONS_PER_ADDRESS);
+        let address_usage = self.by_address.entry(address).or_default();
+        if address_usage.connections >= max_per_address {
             return Err(IngressError::AddressAtCapacity);
         }
-        of_address.connections += 1;
+        address_usage.connections += 1;
         self.total.connections += 1;
         Ok(())
     }
 
-    /// A connection of an address is closed.
+    /// Records that a connection from an address was closed.
     pub fn release_connection(&mut self, address: u64) {
         self.total.connections = self.total.connections.saturating_sub(1);
         self.reduce(address, |usage| usage.connections = usage.connections.saturating_sub(1));
     }
 
-    /// Admits `bytes` more of a body that have come or were announced, beyond the `received` ones that it holds.
-    pub fn acquire_bytes(&mut self, address: u64, received: usize, bytes: usize) -> Result<(), IngressError> {
-        if received.saturating_add(bytes) > self.max_body {
+    /// Admits `bytes` further bytes of a body, received or announced, in addition to the `admitted` bytes of that body.
+    pub fn acquire_bytes(&mut self, address: u64, admitted: usize, bytes: usize) -> Result<(), IngressError> {
+        if admitted.saturating_add(bytes) > self.max_body {
             return Err(IngressError::TooLarge);
         }
         if self.total.bytes + bytes > self.max_bytes {
             return Err(IngressError::AtCapacity);
         }
         let share = (self.max_bytes as f64 * MAX_ADDRESS_SHARE) as usize;
-        let max_of_address = share.max(self.max_body);
-        let of_address = self.by_address.entry(address).or_default();
-        if of_address.bytes + bytes > max_of_address {
+        let max_per_address = share.max(self.max_body);
+        let address_usage = self.by_address.entry(address).or_default();
+        if address_usage.bytes + bytes > max_per_address {
             return Err(IngressError::AddressAtCapacity);
         }
-        of_address.bytes += bytes;
+        address_usage.bytes += bytes;
         self.total.bytes += bytes;
         Ok(())
     }
 
-    /// A body was parsed or dropped.
+    /// Records that a body of `bytes` bytes was parsed or dropped.
     pub fn release_bytes(&mut self, address: u64, bytes: usize) {
         self.total.bytes = self.total.bytes.saturating_sub(bytes);
         self.reduce(address, |usage| usage.bytes = usage.bytes.saturating_sub(bytes));
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.total.connections
     }
 
-    /// Bytes of bodies that are held.
+    /// Number of body bytes that are held, of all clients.
     pub fn bytes(&self) -> usize {
         self.total.bytes
     }
--- a/gateway-core/src/stream_resumption.rs
+++ b/gateway-core/src/stream_resumption.rs
@@ -1,32 +1,33 @@
-//! Whether a stream that broke is resumed from its last token.
+//! Decides whether a broken stream is resumed from its last token.
 //!
-//! A client that has seen part of an answer can't be given another one. But where the request is idempotent, the
-//! prompt with the answer so far is a prompt like any other: it is prefilled and the rest is decoded, so that the
-//! client sees one stream with a pause in it. Requests that are keyed or run at most once are never resumed: their
-//! first decode server may have run to the end.
+//! A client that has received part of an answer can't be given a different answer. But if the request is idempotent,
+//! the prompt with the answer so far is a prompt like any other: a server prefills it and decodes the rest, and the
+//! client sees one stream with a pause. Keyed requests and at-most-once requests are never resumed, since their first
+//! decode server may have run to the end.
 
 use crate::timeouts;
 use petrelshore::interface::{Idempotency, Nanos, TrafficType};
 
-/// A stream is resumed so often. What breaks everywhere breaks again, and each time costs a prefill.
+/// The maximum number of resumptions of one stream. Each resumption costs a prefill, and a stream that breaks at every
+/// server would break again.
 const MAX_RESUMPTIONS: usize = 2;
-/// With fewer tokens left than this the rest is not worth another prefill.
+/// With fewer tokens left than this, the rest of the answer is not worth another prefill.
 const MIN_TOKENS_LEFT: f64 = 2.0;
 
-/// What is known of a stream that broke.
+/// The state of a broken stream.
 #[derive(Clone, Copy, Debug)]
 pub struct BrokenStream {
-    /// How often it was resumed already.
+    /// Number of times that the stream was resumed already.
     pub resumptions: usize,
-    /// Tokens of the answer that have come.
+    /// Number of tokens of the answer that have arrived.
     pub tokens_received: f64,
-    /// Most tokens that the answer may have.
+    /// The maximum number of tokens of the answer.
     pub max_output_tokens: f64,
-    /// When the whole answer must have ended.
+    /// Time by which the whole answer must have ended.
     pub deadline: Nanos,
 }
 
-/// When the next token must have come for the stream to be resumed; none where it is not.
+/// Time by which the next token of the resumed stream must arrive; none if the stream is not resumed.
 pub fn resume_deadline(now: Nanos, traffic: &TrafficType, broken: &BrokenStream) -> Option<Nanos> {
     let tokens_left = broken.max_output_tokens - broken.tokens_received;
     if traffic.idempotency != Idempotency::Idempotent
--- a/gateway-core/src/token_estimate.rs
+++ b/gateway-core/src/token_estimate.rs
@@ -1,38 +1,39 @@
-//! Estimates how many tokens a conversation has, and which of them it shares with others.
+//! Estimates the number of tokens of a conversation and of the prefix that it shares with other conversations.
 
 use crate::fingerprint::Fnv1a;
 use petrelshore::interface::PrefixId;
 
-/// Bytes of text that make a token, roughly, while the gateway has no tokeniser.
+/// Approximate number of bytes of text per token. The gateway has no tokeniser.
 const BYTES_PER_TOKEN: f64 = 4.0;
-/// Tokens that delimit one message.
+/// Number of tokens that delimit one message.
 const TOKENS_PER_MESSAGE: f64 = 4.0;
 
-/// Estimated tokens of a text. The one place where the gateway guesses; a tokeniser goes here.
+/// Estimated number of tokens of a text. All token estimates of the gateway use this function, so a tokeniser would
+/// replace only this one.
 pub fn text_tokens(text: &str) -> f64 {
     (text.len() as f64 / BYTES_PER_TOKEN).ceil()
 }
 
 /// One message of a conversation.
 pub struct Message<'a> {
-    /// The role of its author, as the API names it.
+    /// The role of the message's author, as named in the API.
     pub role: &'a str,
-    /// Its text.
+    /// The text of the message.
     pub text: &'a str,
 }
 
 /// Estimated size of a conversation, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PromptEstimate {
-    /// All of it.
+    /// Tokens of the whole conversation.
     pub prompt_tokens: f64,
-    /// Names the prefix that it shares with others.
+    /// Identifies the prefix that the conversation shares with others; none without such a prefix.
     pub prefix: Option<PrefixId>,
-    /// Length of that prefix.
+    /// Tokens of the shared prefix.
     pub prefix_tokens: f64,
 }
 
-/// Estimates a conversation. Its leading system messages are the prefix that others share.
+/// Estimates the size of a conversation. Its leading system and developer messages are the shared prefix.
 pub fn estimate_prompt(messages: &[Message]) -> PromptEstimate {
     let tokens = |message: &Message| text_tokens(message.text) + TOKENS_PER_MESSAGE;
     let shared = messages.iter().take_while(|message| matches!(message.role, "system" | "developer"));
