--- a/gateway-core/src/idempotency.rs
+++ b/gateway-core/src/idempotency.rs
@@ -40,7 +40,7 @@
     },
     /// The answer's text is not stored: it exceeded the limit for one key, or was dropped to keep the limit for all
     /// keys. The answer can't be repeated, and the request must not run again.
-    TooLarge,
+    AnswerNotStored,
 }
 
 /// The status of a key in the store.
@@ -120,7 +120,7 @@
         let (text_bytes, request) = if text.len() <= MAX_TEXT_BYTES_PER_KEY {
             (text.len(), CompletedRequest::Answered { text: Rc::from(text), end })
         } else {
-            (0, CompletedRequest::TooLarge)
+            (0, CompletedRequest::AnswerNotStored)
         };
         let expires_at = now.saturating_add(window);
         let entry = CompletedEntry { fingerprint, expires_at, text_bytes, request };
@@ -157,7 +157,7 @@
             }
             if let Some(Entry::Completed(completed)) = self.entries.get_mut(key) {
                 self.text_bytes -= std::mem::take(&mut completed.text_bytes);
-                completed.request = CompletedRequest::TooLarge;
+                completed.request = CompletedRequest::AnswerNotStored;
             }
         }
         while self.completed.len() > MAX_KEYS {
--- a/gateway-core/src/request_table/buffered/admission.rs
+++ b/gateway-core/src/request_table/buffered/admission.rs
@@ -74,7 +74,7 @@
             KeyStatus::Completed(CompletedRequest::Answered { text, end }) => {
                 Some(Admission::Replayed { id, text, last: end })
             }
-            KeyStatus::Completed(CompletedRequest::TooLarge) => {
+            KeyStatus::Completed(CompletedRequest::AnswerNotStored) => {
                 let last = FinalAnswer::Aborted { reason: FailureReason::AlreadyRan };
                 Some(Admission::Replayed { id, text: Rc::from(""), last })
             }
--- a/gateway-core/tests/idempotency.rs
+++ b/gateway-core/tests/idempotency.rs
@@ -40,12 +40,12 @@
         store.complete(number, &key(number), &text, 7, 100 * SECOND);
         assert!(store.bytes() <= 32 << 20);
     }
-    assert_eq!(store.begin(SECOND, &key(0), 1), KeyStatus::Completed(CompletedRequest::TooLarge));
+    assert_eq!(store.begin(SECOND, &key(0), 1), KeyStatus::Completed(CompletedRequest::AnswerNotStored));
     assert!(matches!(
         store.begin(SECOND, &key(99), 1),
         KeyStatus::Completed(CompletedRequest::Answered { end: 7, .. })
     ));
     store.begin(SECOND, &key(500), 1);
     store.complete(SECOND, &key(500), &"y".repeat((1 << 20) + 1), 7, SECOND);
-    assert_eq!(store.begin(SECOND, &key(500), 1), KeyStatus::Completed(CompletedRequest::TooLarge));
+    assert_eq!(store.begin(SECOND, &key(500), 1), KeyStatus::Completed(CompletedRequest::AnswerNotStored));
 }
