--- a/gateway-core/src/client_connections.rs
+++ b/gateway-core/src/client_connections.rs
@@ -57,7 +57,7 @@
 
 /// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// The connection is admitted, with this id.
     Admitted(ConnectionId),
     /// The table is full, but some of its connections have not sent a complete request yet. Those that are still silent
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
     /// Whether the new connection is admitted.
-    pub entry: Entry,
+    pub admission: Admission,
     /// The connection that the caller has to close to make room for the new one.
     pub evicted: Option<ConnectionId>,
 }
@@ -89,19 +89,19 @@
         if let Some(id) = evicted {
             self.connections.remove(&id);
         }
-        Accepted { entry: self.admit(now), evicted }
+        Accepted { admission: self.admit(now), evicted }
     }
 
-    fn admit(&mut self, now: Nanos) -> Entry {
+    fn admit(&mut self, now: Nanos) -> Admission {
         if self.connections.len() >= self.max_connections {
             let is_new = |phase: &Phase| matches!(phase, Phase::New { .. } | Phase::Started { .. });
             let any_new = self.connections.values().any(is_new);
-            return if any_new { Entry::RetrySoon } else { Entry::Full };
+            return if any_new { Admission::RetrySoon } else { Admission::Full };
         }
         let id = ConnectionId(self.next_id);
         self.next_id += 1;
         self.connections.insert(id, Phase::New { since: now });
-        Entry::Admitted(id)
+        Admission::Admitted(id)
     }
 
     /// Records that the first byte of a request has arrived. An idle connection can't be evicted from then on. A new
--- a/gateway-core/src/client_connections/tests.rs
+++ b/gateway-core/src/client_connections/tests.rs
@@ -4,13 +4,13 @@
 
 fn admit(table: &mut ConnectionTable, now: Nanos) -> ConnectionId {
     match table.accept(now, |_| true) {
-        Accepted { entry: Entry::Admitted(id), evicted: None } => id,
+        Accepted { admission: Admission::Admitted(id), evicted: None } => id,
         other => panic!("{other:?}"),
     }
 }
 
-fn accepted(entry: Entry, evicted: Option<ConnectionId>) -> Accepted {
-    Accepted { entry, evicted }
+fn accepted(admission: Admission, evicted: Option<ConnectionId>) -> Accepted {
+    Accepted { admission, evicted }
 }
 
 #[test]
@@ -48,7 +48,7 @@
     table.idle(SECOND, ids[2]);
     assert_eq!(
         table.accept(3 * SECOND, |_| true),
-        accepted(Entry::Admitted(ConnectionId(4)), Some(ids[3])),
+        accepted(Admission::Admitted(ConnectionId(4)), Some(ids[3])),
         "the new connection that sent nothing is evicted first"
     );
     table.request_received(ConnectionId(4));
@@ -60,29 +60,29 @@
     table.request_received(ConnectionId(5));
     assert_eq!(
         table.accept(3 * SECOND, |_| true),
-        accepted(Entry::Admitted(ConnectionId(6)), None),
+        accepted(Admission::Admitted(ConnectionId(6)), None),
         "the other idle connection was used too recently"
     );
     table.request_received(ConnectionId(6));
     table.request_received(ids[1]);
     assert_eq!(
         table.accept(9 * SECOND, |_| true),
-        accepted(Entry::Full, None),
+        accepted(Admission::Full, None),
         "no active connection is evicted"
     );
     table.closed(ids[1]);
-    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Admitted(ConnectionId(7)), None));
+    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Admission::Admitted(ConnectionId(7)), None));
     assert_eq!(
         table.accept(9 * SECOND, |_| true),
-        accepted(Entry::RetrySoon, None),
+        accepted(Admission::RetrySoon, None),
         "the silent connection was accepted too recently"
     );
     let later = 9 * SECOND + FULL_MIN_SILENCE;
     assert_eq!(
         table.accept(later, |_| true),
-        accepted(Entry::Admitted(ConnectionId(8)), Some(ConnectionId(7)))
+        accepted(Admission::Admitted(ConnectionId(8)), Some(ConnectionId(7)))
     );
     table.closed(ConnectionId(8));
-    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Entry::Admitted(ConnectionId(9)), None));
+    assert_eq!(table.accept(9 * SECOND, |_| true), accepted(Admission::Admitted(ConnectionId(9)), None));
     assert_eq!((table.len(), table.keep_open_until(ConnectionId(9))), (5, 9 * SECOND + CROWDED_MIN_SILENCE));
 }
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::response;
 use async_io::Timer;
 use futures_lite::future;
-use petrelshore_gateway_core::client_connections::{ConnectionId, Entry, FULL_MIN_SILENCE};
+use petrelshore_gateway_core::client_connections::{Admission, ConnectionId, FULL_MIN_SILENCE};
 use petrelshore_http1::connection::HttpConnection;
 use petrelshore_ingress::listener::{AcceptedClient, Listener};
 use petrelshore_platform_gateway::PlatformGateway;
@@ -40,16 +40,16 @@
 
     async fn admit_or_reject(&self, listener: &Listener, accepted: AcceptedClient) {
         let AcceptedClient { stream, backlogged_since, .. } = accepted;
-        let mut entry = self.0.admit();
-        if entry == Entry::RetrySoon {
+        let mut admission = self.0.admit();
+        if admission == Admission::RetrySoon {
             listener.mark_backlog();
             Timer::after(Duration::from_nanos(FULL_MIN_SILENCE)).await;
-            entry = self.0.admit();
+            admission = self.0.admit();
         }
         let http = HttpConnection::new(stream);
-        match entry {
-            Entry::Admitted(id) => self.start(id, http, backlogged_since),
-            Entry::RetrySoon | Entry::Full => self.reject(listener, http).await,
+        match admission {
+            Admission::Admitted(id) => self.start(id, http, backlogged_since),
+            Admission::RetrySoon | Admission::Full => self.reject(listener, http).await,
         }
     }
 
--- a/platform-ingress/src/registry.rs
+++ b/platform-ingress/src/registry.rs
@@ -5,7 +5,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use petrelshore::interface::Nanos;
-use petrelshore_gateway_core::client_connections::{Accepted, ConnectionId, ConnectionTable, Entry};
+use petrelshore_gateway_core::client_connections::{Accepted, Admission, ConnectionId, ConnectionTable};
 use petrelshore_gateway_core::ingress_limits::IngressLimits;
 use petrelshore_http1::connection::Peer;
 use petrelshore_ingress::listener::BodyReservation;
@@ -97,12 +97,12 @@
     }
 
     /// Asks for a place in the table, and evicts the connection that it is taken from.
-    pub(crate) fn admit(&self) -> Entry {
+    pub(crate) fn admit(&self) -> Admission {
         let now = self.gateway.clock().now();
-        let Accepted { entry, evicted } =
+        let Accepted { admission, evicted } =
             self.connection_table.borrow_mut().accept(now, |id| self.is_quiet(id));
         evicted.into_iter().for_each(|id| self.evict(id));
-        entry
+        admission
     }
 
     /// Keeps what is needed to end a connection that is served by `task`.
