--- a/http1/src/body.rs
+++ b/http1/src/body.rs
@@ -1,22 +1,22 @@
-//! Decoding of message bodies: where they end, and which of the bytes are data.
+//! Decoding of message bodies: finds the end of a body and separates its data from the chunk framing.
 
 use crate::ParseError;
 use bytes::{Buf, BytesMut};
 
-/// How the end of a body is found.
+/// The framing of a body, which determines where the body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// It has this many bytes (`Content-Length`).
+    /// The body has this number of bytes (`Content-Length`).
     Length(u64),
-    /// `Transfer-Encoding: chunked`.
+    /// The body is a series of chunks (`Transfer-Encoding: chunked`).
     Chunked,
-    /// It ends with its connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// Bound of a chunk's size line, with its extensions.
+/// The maximum length of a chunk's size line, including chunk extensions and the line end.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 128;
-/// Bound of the trailer section.
+/// The maximum length of the trailer section.
 const MAX_TRAILER_BYTES: usize = 4 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,11 +26,14 @@
     ChunkSize,
     ChunkData(u64),
     ChunkDataEnd,
-    Trailer { seen: usize },
+    Trailer {
+        /// The length of the trailer lines that were decoded so far.
+        seen: usize,
+    },
     Complete,
 }
 
-/// The decoder of one body.
+/// Decodes one body.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
@@ -38,8 +41,8 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body of this framing. A chunk whose announced size exceeds `max_chunk_bytes` is an error before
-    /// any of it is decoded.
+    /// Creates a decoder for a body with this framing. The decoder rejects a chunk whose announced size exceeds
+    /// `max_chunk_bytes` before it decodes any data of the chunk.
     pub fn new(framing: Framing, max_chunk_bytes: u64) -> Self {
         let state = match framing {
             Framing::Length(0) => State::Complete,
@@ -50,8 +53,8 @@
         BodyDecoder { state, max_chunk_bytes }
     }
 
-    /// Moves the received part of the body from `buffer` to `data`. Returns true once the body is complete: what
-    /// `buffer` then holds does not belong to it.
+    /// Moves the received data of the body from `buffer` to `data`. Returns true once the body is complete; the bytes
+    /// that `buffer` then holds do not belong to the body.
     pub fn decode(&mut self, buffer: &mut BytesMut, data: &mut BytesMut) -> Result<bool, ParseError> {
         loop {
             self.state = match self.state {
@@ -61,13 +64,13 @@
                     data.unsplit(buffer.split());
                     State::UntilClose
                 }
-                State::Length(left) => match move_data(buffer, data, left) {
+                State::Length(remaining) => match move_data(buffer, data, remaining) {
                     0 => State::Complete,
-                    left => State::Length(left),
+                    remaining => State::Length(remaining),
                 },
-                State::ChunkData(left) => match move_data(buffer, data, left) {
+                State::ChunkData(remaining) => match move_data(buffer, data, remaining) {
                     0 => State::ChunkDataEnd,
-                    left => State::ChunkData(left),
+                    remaining => State::ChunkData(remaining),
                 },
                 State::ChunkDataEnd => match &buffer[..] {
                     [b'\r', b'\n', ..] => {
@@ -93,20 +96,21 @@
         }
     }
 
-    /// Whether the body is complete if its connection closes now.
+    /// Returns true if a close of the connection at this point leaves the body complete.
     pub fn may_end_at_close(&self) -> bool {
         matches!(self.state, State::Complete | State::UntilClose)
     }
 }
 
-/// Moves up to `left` bytes, and returns how many are still missing.
-fn move_data(buffer: &mut BytesMut, data: &mut BytesMut, left: u64) -> u64 {
-    let available = usize::try_from(left).map_or(buffer.len(), |left| left.min(buffer.len()));
+/// Moves up to `remaining` bytes from `buffer` to `data`, and returns the number of bytes that are still missing.
+fn move_data(buffer: &mut BytesMut, data: &mut BytesMut, remaining: u64) -> u64 {
+    let available = usize::try_from(remaining).map_or(buffer.len(), |remaining| remaining.min(buffer.len()));
     data.unsplit(buffer.split_to(available));
-    left - available as u64
+    remaining - available as u64
 }
 
-/// Splits off the next line with its CRLF, which must come within `max_bytes`.
+/// Splits the next line off `buffer`, including its CRLF. Returns `None` while the line is incomplete, and an error if
+/// it is longer than `max_bytes` or ends without a carriage return.
 fn split_line(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<BytesMut>, ParseError> {
     match buffer.iter().take(max_bytes).position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && buffer[end - 1] == b'\r' => Ok(Some(buffer.split_to(end + 1))),
@@ -116,7 +120,7 @@
     }
 }
 
-/// The size at the start of a chunk's size line.
+/// Returns the size at the start of a chunk's size line, or `None` if the line is malformed.
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let rest = line[digits..].trim_ascii();
--- a/http1/src/body/tests.rs
+++ b/http1/src/body/tests.rs
@@ -1,7 +1,12 @@
 use super::*;
 
-/// Feeds a text in parts of `part_bytes`; the data, whether the body is complete, and what is left behind it.
-fn decoded(framing: Framing, text: &[u8], part_bytes: usize) -> Result<(Vec<u8>, bool, Vec<u8>), ParseError> {
+/// Decodes `text` in parts of `part_bytes`. Returns the data, true if the body is complete, and the bytes behind the
+/// body.
+fn decode_in_parts(
+    framing: Framing,
+    text: &[u8],
+    part_bytes: usize,
+) -> Result<(Vec<u8>, bool, Vec<u8>), ParseError> {
     let (mut body, mut buffer, mut data) = (BodyDecoder::new(framing, 100), BytesMut::new(), BytesMut::new());
     let mut complete = body.decode(&mut buffer, &mut data)?;
     for part in text.chunks(part_bytes) {
@@ -15,15 +20,15 @@
 fn parts_of_any_size_decode_to_the_same_body() {
     let text = b"5\r\nhello\r\n0B ; x=y\r\n, and there\r\n0\r\nTrailer: z\r\n\r\nnext";
     for part_bytes in 1..text.len() {
-        let (data, complete, left) = decoded(Framing::Chunked, text, part_bytes).unwrap();
+        let (data, complete, rest) = decode_in_parts(Framing::Chunked, text, part_bytes).unwrap();
         assert_eq!(
-            (&data[..], complete, &left[..]),
+            (&data[..], complete, &rest[..]),
             (&b"hello, and there"[..], true, &b"next"[..]),
             "{part_bytes}"
         );
     }
-    let (data, complete, left) = decoded(Framing::Length(3), b"abcd", 2).unwrap();
-    assert_eq!((&data[..], complete, &left[..]), (&b"abc"[..], true, &b"d"[..]));
+    let (data, complete, rest) = decode_in_parts(Framing::Length(3), b"abcd", 2).unwrap();
+    assert_eq!((&data[..], complete, &rest[..]), (&b"abc"[..], true, &b"d"[..]));
 }
 
 #[test]
@@ -39,9 +44,13 @@
         b"5 hello\r\n",
     ];
     for text in malformed {
-        assert_eq!(decoded(Framing::Chunked, text, 1).err(), Some(ParseError::InvalidChunk), "{text:?}");
+        assert_eq!(
+            decode_in_parts(Framing::Chunked, text, 1).err(),
+            Some(ParseError::InvalidChunk),
+            "{text:?}"
+        );
     }
-    assert!(decoded(Framing::Chunked, &[b'0'; MAX_CHUNK_SIZE_LINE_BYTES + 1], 1).is_err());
+    assert!(decode_in_parts(Framing::Chunked, &[b'0'; MAX_CHUNK_SIZE_LINE_BYTES + 1], 1).is_err());
 }
 
 #[test]
--- a/http1/src/connection.rs
+++ b/http1/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its socket, and the received bytes that are not parsed yet.
+//! An HTTP/1.1 connection: its socket, and the received bytes that are not parsed yet.
 
 use crate::ParseError;
 use crate::connect::{ConnectError, connect};
@@ -14,24 +14,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes read from a socket at a time.
+/// The maximum number of bytes to read from a socket in one call.
 const READ_BYTES: usize = 8 << 10;
 
-/// How often a peer that has sent more than may be buffered is checked for its close.
+/// The interval at which a connection whose buffer is full checks whether the peer has closed.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// How long a lingering close reads and discards what the peer still sends.
+/// The maximum time for which a lingering close reads and discards bytes that the peer still sends.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How much a lingering close discards at the most.
+/// The maximum number of bytes that a lingering close discards.
 const MAX_LINGER_BYTES: usize = 1 << 20;
-/// Interim (1xx) responses accepted before the final one.
+/// The maximum number of interim (1xx) responses before the final response.
 const MAX_INTERIM_RESPONSES: usize = 1000;
 
-/// Why nothing more can be read from a peer.
+/// The reason why nothing more can be read from a peer.
 #[derive(Debug)]
 pub enum ConnectionError {
-    /// What it sent is not HTTP/1.1, or exceeds a bound.
+    /// The peer sent bytes that are not valid HTTP/1.1 or exceed a limit.
     Malformed(ParseError),
-    /// It closed the connection, or the connection failed.
+    /// The peer closed the connection, or the connection failed.
     Closed,
 }
 
@@ -39,7 +39,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ConnectionError::Malformed(error) => error.fmt(f),
-            ConnectionError::Closed => f.write_str("the connection broke"),
+            ConnectionError::Closed => f.write_str("the connection was closed or failed"),
         }
     }
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// One HTTP/1.1 connection, from either end.
+/// An HTTP/1.1 connection, used by a client or by a server.
 pub struct HttpConnection {
     stream: Arc<Async<TcpStream>>,
     /// Bytes that were received and are not parsed yet.
@@ -67,20 +67,21 @@
 }
 
 impl HttpConnection {
-    /// Wraps a connected socket, with `TCP_NODELAY` set.
+    /// Wraps a connected socket and sets `TCP_NODELAY` on it.
     pub fn new(stream: impl Into<Arc<Async<TcpStream>>>) -> Self {
         let stream = stream.into();
-        // Tokens are small and must not wait for each other.
+        // Nagle's algorithm would hold back a token until the previous token is acknowledged.
         let _ = stream.get_ref().set_nodelay(true);
         HttpConnection { stream, buffer: BytesMut::new(), receive_times: ReceiveTimes::default() }
     }
 
-    /// Opens a connection to `address`, within `timeout`.
+    /// Opens a connection to `address` within `timeout`.
     pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, ConnectError> {
         connect(address, timeout).await.map(HttpConnection::new)
     }
 
-    /// Reads the bytes that come next into the buffer, and returns their count: zero once the peer has closed.
+    /// Waits for bytes from the peer and reads them into the buffer. Returns the number of bytes, which is zero once
+    /// the peer has closed the connection.
     pub async fn fill_buffer(&mut self) -> io::Result<usize> {
         let count = loop {
             match self.read_available().await {
@@ -89,7 +90,7 @@
             }
         };
         if count == READ_BYTES {
-            // Guards against a peer that sends without end: others get their turn.
+            // A peer that sends without pause must not keep the other tasks of this thread from running.
             future::yield_now().await;
         }
         Ok(count)
@@ -107,12 +108,13 @@
         read.await
     }
 
-    /// When the first byte in the buffer was received, also that of a request pipelined behind another one.
+    /// Returns the time at which the first byte in the buffer was received, or `None` if the buffer is empty. The time
+    /// is also correct for a request that was pipelined behind another request.
     pub fn first_byte_received_at(&mut self) -> Option<Instant> {
         self.receive_times.first_unread(self.buffer.len())
     }
 
-    /// Writes all the bytes. After an error the last one has not been written.
+    /// Writes all of `bytes`. On an error, at least the last byte has not been written to the socket.
     pub async fn write_all(&self, bytes: &[u8]) -> io::Result<()> {
         let mut unwritten = bytes;
         while !unwritten.is_empty() {
@@ -136,28 +138,30 @@
         }
     }
 
-    /// Reads the head of the next final response. Interim responses before it are skipped, in a bounded number.
+    /// Reads the head of the next final response and skips the 1xx responses before it, at most `MAX_INTERIM_RESPONSES`
+    /// of them.
     pub async fn read_response_head(&mut self) -> Result<ResponseHead, ConnectionError> {
-        let mut interim = 0;
+        let mut interim_responses = 0;
         loop {
             match head::parse_response(&mut self.buffer)? {
                 Some(head) if !(100..200).contains(&head.status) => return Ok(head),
-                Some(head) if head.status == 101 || interim == MAX_INTERIM_RESPONSES => {
+                Some(head) if head.status == 101 || interim_responses == MAX_INTERIM_RESPONSES => {
                     return Err(ConnectionError::Malformed(ParseError::InvalidHead));
                 }
-                Some(_) => interim += 1,
+                Some(_) => interim_responses += 1,
                 None => self.read_more().await?,
             }
         }
     }
 
-    /// Reads at least one more byte into the buffer.
+    /// Reads at least one more byte into the buffer. A close by the peer is an error.
     pub async fn read_more(&mut self) -> Result<(), ConnectionError> {
         if self.fill_buffer().await? == 0 { Err(ConnectionError::Closed) } else { Ok(()) }
     }
 
-    /// Returns once the peer has closed. What it sends meanwhile is buffered up to `max_buffered` bytes; beyond that it
-    /// stays in the socket, and the peer is checked at intervals.
+    /// Returns once the peer has closed the connection. Bytes that the peer sends meanwhile are buffered until the
+    /// buffer holds `max_buffered` bytes. Further bytes stay in the socket, and the peer is checked every
+    /// `CLOSE_POLL_INTERVAL`.
     pub async fn wait_closed(&mut self, max_buffered: usize) {
         while self.buffer.len() < max_buffered {
             if !self.fill_buffer().await.is_ok_and(|count| count > 0) {
@@ -169,13 +173,14 @@
         }
     }
 
-    /// A handle on the other end, which can be checked while this connection is in use.
+    /// Returns a handle on the peer, which can be checked while this connection is in use.
     pub fn peer(&self) -> Peer {
         Peer(self.stream.clone())
     }
 
-    /// Closes the connection so that the last bytes written arrive: ends sending, then reads and discards what still
-    /// comes, for a bounded time. A socket closed with unread bytes is reset, and what the peer has not read yet is lost.
+    /// Closes the connection so that the last written bytes reach the peer: shuts down the sending side, then reads and
+    /// discards further input, limited in time and size. If a socket is closed while it has unread bytes, the
+    /// connection is reset and the peer loses the bytes that it has not read yet.
     pub async fn lingering_close(&mut self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -196,33 +201,35 @@
         future::or(discard_input, timeout).await;
     }
 
-    /// Whether the connection is open and the peer has sent nothing unsolicited: another exchange may use it.
+    /// Returns true if another exchange may use the connection: the connection is open, and the peer has sent no
+    /// unsolicited bytes.
     pub fn is_reusable(&self) -> bool {
         self.buffer.is_empty() && self.peer().peek().is_none()
     }
 }
 
-/// A handle on the other end of a connection.
+/// A handle on the peer of a connection.
 #[derive(Clone)]
 pub struct Peer(Arc<Async<TcpStream>>);
 
 impl Peer {
-    /// Whether it has closed or shut down its sending side, also behind bytes that are not read yet. Asks the operating
-    /// system at once, since a busy event loop may not have seen the event yet.
+    /// Returns true if the peer has closed the connection or shut down its sending side, also while earlier bytes are
+    /// unread. Queries the operating system directly, since a busy event loop may not have processed the event yet.
     pub fn has_closed(&self) -> bool {
         let mut sockets = [PollFd::new(&self.0, PollFlags::RDHUP)];
         let polled = retry_interrupted(|| Ok(poll(&mut sockets, Some(&Timespec::default()))?));
-        let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let hung_up = polled.is_ok() && sockets[0].revents().intersects(ended);
+        let closed_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        let hung_up = polled.is_ok() && sockets[0].revents().intersects(closed_flags);
         hung_up || self.peek().is_some_and(|count| count == 0)
     }
 
-    /// Whether bytes were received that are not read yet.
+    /// Returns true if received bytes are waiting in the socket.
     pub fn has_unread_bytes(&self) -> bool {
         self.peek().is_some_and(|count| count > 0)
     }
 
-    /// The count of unread bytes, at most one, and zero at the end of the stream; none while nothing was received.
+    /// Checks the socket for unread bytes without reading them. Returns 1 if there are any, 0 at the end of the stream
+    /// or after a permanent error, and `None` if the socket has no input.
     fn peek(&self) -> Option<usize> {
         match retry_interrupted(|| self.0.get_ref().peek(&mut [0])) {
             Ok(count) => Some(count),
--- a/http1/src/head.rs
+++ b/http1/src/head.rs
@@ -4,12 +4,12 @@
 use crate::body::Framing;
 use bytes::{Bytes, BytesMut};
 
-/// Bound of a head.
+/// The maximum length of a head.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bound of the fields in a head.
+/// The maximum number of header fields in a head.
 const MAX_HEADER_FIELDS: usize = 64;
 
-/// Fields that concern one connection, or the framing of a message on it. They are not forwarded.
+/// Header fields that apply to a single connection or to the framing of a message. They are not forwarded.
 const CONNECTION_FIELDS: [&str; 10] = [
     "connection",
     "content-length",
@@ -33,31 +33,32 @@
         HeaderFields(parsed.iter().map(field).collect())
     }
 
-    fn all<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a [u8]> {
+    fn values<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a [u8]> {
         let named = self.0.iter().filter(move |(field, _)| field.eq_ignore_ascii_case(name.as_bytes()));
         named.map(|(_, value)| value.as_ref())
     }
 
-    /// The value of a field that occurs once; none if it occurs twice, so that no two recipients differ on it.
+    /// Returns the value of a field, or `None` if the field occurs more than once, is absent or is not UTF-8.
+    /// Recipients could disagree on the value of a field that occurs more than once.
     pub fn single(&self, name: &str) -> Option<&str> {
-        let mut all = self.all(name);
-        let value = all.next().and_then(|value| std::str::from_utf8(value).ok());
-        value.filter(|_| all.next().is_none()).map(str::trim)
+        let mut values = self.values(name);
+        let value = values.next().and_then(|value| std::str::from_utf8(value).ok());
+        value.filter(|_| values.next().is_none()).map(str::trim)
     }
 
-    /// Whether a comma-separated field contains a token, in any case.
+    /// Returns true if a comma-separated field contains a token. Upper and lower case are not distinguished.
     pub fn contains_token(&self, name: &str, token: &str) -> bool {
-        let values = self.all(name).filter_map(|value| std::str::from_utf8(value).ok());
+        let values = self.values(name).filter_map(|value| std::str::from_utf8(value).ok());
         values.flat_map(|value| value.split(',')).any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// The lines of the fields that are forwarded with a request, unchanged: without those that concern its connection,
-    /// and without those that the forwarding client sets itself (`overridden`).
+    /// Returns the header lines to forward with a request, unchanged. Fields that apply only to the incoming connection
+    /// are left out, and so are the fields that the forwarding client sets itself (`overridden`).
     pub fn forwarded(&self, overridden: &[&str]) -> Bytes {
         let mut lines = BytesMut::new();
         for (name, value) in &self.0 {
             let text = std::str::from_utf8(name).unwrap_or_default();
-            let named = |names: &[&str]| names.iter().any(|own| own.eq_ignore_ascii_case(text));
+            let named = |names: &[&str]| names.iter().any(|excluded| excluded.eq_ignore_ascii_case(text));
             if !named(&CONNECTION_FIELDS) && !named(overridden) && !self.contains_token("connection", text) {
                 [&name[..], b": ", &value[..], b"\r\n"]
                     .into_iter()
@@ -67,9 +68,10 @@
         lines.freeze()
     }
 
-    /// The framing that the fields declare, if they do.
+    /// Returns the framing that `Content-Length` or `Transfer-Encoding` declares, or `None` if both fields are absent.
     fn framing(&self) -> Result<Option<Framing>, ParseError> {
-        let (lengths, codings) = (self.all("content-length").count(), self.all("transfer-encoding").count());
+        let (lengths, codings) =
+            (self.values("content-length").count(), self.values("transfer-encoding").count());
         match (lengths, codings) {
             (0, 0) => Ok(None),
             (1, 0) => {
@@ -97,9 +99,9 @@
     pub target: Bytes,
     /// The header fields.
     pub fields: HeaderFields,
-    /// How the end of the body is found.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the client keeps the connection open for another request.
+    /// True if the client keeps the connection open for another request.
     pub keep_alive: bool,
 }
 
@@ -110,19 +112,19 @@
     pub status: u16,
     /// The header fields.
     pub fields: HeaderFields,
-    /// How the end of the body is found.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the server keeps the connection open for another request.
+    /// True if the server keeps the connection open for another request.
     pub keep_alive: bool,
 }
 
-/// Splits the head of the next request off a buffer; none while it is incomplete.
+/// Splits the head of the next request off `buffer`. Returns `None` while the head is incomplete.
 pub fn parse_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, ParseError> {
     let Some(head) = split_head(buffer, |bytes, fields| httparse::Request::new(fields).parse(bytes))? else {
         return Ok(None);
     };
-    let mut space = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
-    let mut parsed = httparse::Request::new(&mut space);
+    let mut header_storage = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let mut parsed = httparse::Request::new(&mut header_storage);
     parsed.parse(&head).map_err(|_| ParseError::InvalidHead)?;
     let (Some(method), Some(target)) = (parsed.method, parsed.path) else {
         return Err(ParseError::InvalidHead);
@@ -134,13 +136,13 @@
     Ok(Some(RequestHead { method, target, fields, framing, keep_alive }))
 }
 
-/// Splits the head of the next response off a buffer; none while it is incomplete.
+/// Splits the head of the next response off `buffer`. Returns `None` while the head is incomplete.
 pub fn parse_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, ParseError> {
     let Some(head) = split_head(buffer, |bytes, fields| httparse::Response::new(fields).parse(bytes))? else {
         return Ok(None);
     };
-    let mut space = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
-    let mut parsed = httparse::Response::new(&mut space);
+    let mut header_storage = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let mut parsed = httparse::Response::new(&mut header_storage);
     parsed.parse(&head).map_err(|_| ParseError::InvalidHead)?;
     let status = parsed.code.ok_or(ParseError::InvalidHead)?;
     let fields = HeaderFields::from_parsed(&head, parsed.headers);
@@ -152,18 +154,18 @@
     Ok(Some(ResponseHead { status, fields, framing, keep_alive }))
 }
 
-/// Whether a connection persists after a message of this version with these fields.
+/// Returns true if the connection persists after a message with this HTTP minor version and these fields.
 fn persists(version: Option<u8>, fields: &HeaderFields) -> bool {
     version == Some(1) && !fields.contains_token("connection", "close")
 }
 
-/// Splits a complete head off a buffer, if one is there.
+/// Splits a head off `buffer` without keeping the parsed fields. Returns `None` while the head is incomplete.
 fn split_head<'b>(
     buffer: &'b mut BytesMut,
     parse: impl for<'a> Fn(&'a [u8], &mut [httparse::Header<'a>]) -> httparse::Result<usize>,
 ) -> Result<Option<Bytes>, ParseError> {
-    let mut space = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
-    let end = match parse(&buffer[..buffer.len().min(MAX_HEAD_BYTES)], &mut space) {
+    let mut header_storage = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let end = match parse(&buffer[..buffer.len().min(MAX_HEAD_BYTES)], &mut header_storage) {
         Ok(httparse::Status::Complete(end)) => end,
         Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) => return Err(ParseError::HeadTooLong),
--- a/http1/src/io_retry.rs
+++ b/http1/src/io_retry.rs
@@ -1,4 +1,4 @@
-//! Which failures of system calls are transient, and how the calls are retried.
+//! Classifies failures of system calls as transient or permanent, and retries the calls that failed transiently.
 
 use async_io::Timer;
 use futures_lite::future::FutureExt;
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The delay before a call that failed for want of memory, descriptors or ports is retried.
+/// The delay before the retry of a call that failed for want of memory, file descriptors or ports.
 pub const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Waits for [`RESOURCE_RETRY_DELAY`].
@@ -17,16 +17,17 @@
     Timer::after(RESOURCE_RETRY_DELAY).await;
 }
 
-/// Whether and when a failed call is worth retrying.
+/// Determines when a failed call is retried, if at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureClass {
-    /// The call was interrupted, or the error belongs to a connection that is gone already: retry it at once.
+    /// The call was interrupted, or its error belongs to a connection that no longer exists: retry the call at once.
     Immediate,
-    /// This machine is short of memory, buffers, descriptors or ports: retry it after [`RESOURCE_RETRY_DELAY`].
+    /// This machine is short of memory, buffers, file descriptors or ports: retry the call after
+    /// [`RESOURCE_RETRY_DELAY`].
     ResourceShortage,
-    /// There is no route to the peer: it may come back shortly, or the peer may be unreachable for good.
+    /// There is no route to the peer. The route may come back shortly, or the peer may be unreachable for good.
     NoRoute,
-    /// Retrying the call won't help.
+    /// A retry of the call would fail again.
     Permanent,
 }
 
@@ -47,7 +48,8 @@
     }
 }
 
-/// Classifies an error of `bind` or `listen`: an address that is taken, or not of this machine, stays so.
+/// Classifies an error of `bind` or `listen`. An address that is in use, or that does not belong to this machine, is a
+/// permanent failure.
 pub fn classify_listen(error: &io::Error) -> FailureClass {
     match Errno::from_io_error(error) {
         Some(Errno::ADDRINUSE | Errno::ADDRNOTAVAIL) => FailureClass::Permanent,
@@ -55,8 +57,8 @@
     }
 }
 
-/// Classifies an error of `accept`. Linux passes on pending errors of the connection that would have been accepted;
-/// they do not concern the next one.
+/// Classifies an error of `accept`. Linux reports pending errors of the connection that would have been accepted; these
+/// errors do not affect the next connection.
 pub fn classify_accept(error: &io::Error) -> FailureClass {
     match Errno::from_io_error(error) {
         Some(
@@ -77,7 +79,7 @@
     }
 }
 
-/// Retries a call for as long as it is interrupted (`EINTR`).
+/// Repeats a call until it is no longer interrupted by a signal (`EINTR`).
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -87,15 +89,15 @@
     }
 }
 
-/// A stream for users that treat any error as its end: interrupted calls are retried at once, and calls that failed
-/// for want of resources after [`RESOURCE_RETRY_DELAY`].
+/// Wraps a stream for callers that treat any error as the end of the stream, such as hyper. Interrupted calls are
+/// retried at once, and calls that failed for want of resources are retried after [`RESOURCE_RETRY_DELAY`].
 pub struct RetryingStream<T> {
     stream: T,
     retry_delay: Option<Timer>,
 }
 
 impl<T> RetryingStream<T> {
-    /// Wraps a stream.
+    /// Wraps `stream`.
     pub fn new(stream: T) -> Self {
         RetryingStream { stream, retry_delay: None }
     }
--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -1,10 +1,13 @@
-//! HTTP/1.1 as the platform's protocol bounds it, in both directions.
+//! HTTP/1.1 for clients and servers of the platform's protocol, with the limits that the protocol sets.
 //!
-//! hyper hides what that protocol asks about: a `Content-Length` beside `Transfer-Encoding` is dropped before a service
-//! sees it (`tests/hyper.rs` shows that), and neither the sizes of chunks, nor whether the last byte of a request was
-//! written, nor unsolicited bytes of a peer are exposed. So [`head`] parses heads with httparse and [`body`] decodes
-//! bodies, both without I/O; [`connection`] combines them with a socket. [`receive_times`] records when buffered bytes
-//! were received, [`io_retry`] classifies failures of system calls, and [`connect`] opens connections with retries.
+//! This package does not use hyper, because hyper hides details that the protocol depends on. hyper removes a
+//! `Content-Length` header that comes with `Transfer-Encoding` before a service sees it (`tests/hyper.rs` shows this).
+//! It exposes neither the sizes of chunks, nor whether the last byte of a request was written, nor unsolicited bytes
+//! from a peer.
+//!
+//! [`head`] parses heads with httparse and [`body`] decodes bodies, both without I/O. [`connection`] combines them with
+//! a socket. [`receive_times`] records when buffered bytes were received, [`io_retry`] classifies failures of system
+//! calls, and [`connect`] opens connections with retries.
 
 pub mod body;
 pub mod connect;
@@ -13,20 +16,22 @@
 pub mod io_retry;
 pub mod receive_times;
 
-/// Why a message is not valid HTTP/1.1, or exceeds a bound.
+/// The reason why a message was rejected: it is not valid HTTP/1.1 or exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParseError {
     /// The head is malformed or has too many fields.
     InvalidHead,
     /// The head exceeds [`head::MAX_HEAD_BYTES`].
     HeadTooLong,
-    /// A `Content-Length` that is not a number, negative, or given twice.
+    /// `Content-Length` is not an unsigned decimal number, does not fit into 64 bits, or occurs more than once.
     InvalidContentLength,
-    /// `Content-Length` beside `Transfer-Encoding`: another request may be smuggled in the body.
+    /// The head has both `Content-Length` and `Transfer-Encoding`. Recipients may disagree on where such a message
+    /// ends, which allows a second request to be smuggled in its body.
     ConflictingFraming,
-    /// A transfer coding other than `chunked`.
+    /// The transfer coding is not `chunked`, or `Transfer-Encoding` occurs more than once.
     UnsupportedTransferCoding,
-    /// A chunk whose size is malformed or exceeds the bound, or whose data does not match its size.
+    /// A chunk's size is malformed or exceeds the limit, its data does not match its size, or the trailer section is
+    /// malformed or too long.
     InvalidChunk,
 }
 
@@ -35,12 +40,12 @@
 impl std::fmt::Display for ParseError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            ParseError::InvalidHead => "the head can't be read",
-            ParseError::HeadTooLong => "the head is too long",
-            ParseError::InvalidContentLength => "Content-Length is malformed",
-            ParseError::ConflictingFraming => "Content-Length beside Transfer-Encoding",
+            ParseError::InvalidHead => "the message head is malformed or has too many fields",
+            ParseError::HeadTooLong => "the message head is too long",
+            ParseError::InvalidContentLength => "Content-Length is not a single valid decimal number",
+            ParseError::ConflictingFraming => "both Content-Length and Transfer-Encoding are present",
             ParseError::UnsupportedTransferCoding => "Transfer-Encoding is not chunked",
-            ParseError::InvalidChunk => "a chunk can't be read",
+            ParseError::InvalidChunk => "a chunk or the trailer section is malformed or too long",
         })
     }
 }
--- a/http1/src/receive_times.rs
+++ b/http1/src/receive_times.rs
@@ -1,19 +1,19 @@
-//! When the bytes in a connection's buffer were received.
+//! Records when the bytes in a connection's buffer were received.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bytes received within this time of each other form one segment, with the time of its first byte. Bounds the number
-/// of segments for a peer that sends byte by byte.
+/// Bytes that are received less than this time after the first byte of a segment belong to that segment and share the
+/// receive time of its first byte. This limits the number of segments for a peer that sends single bytes.
 const COALESCE_WINDOW: Duration = Duration::from_millis(20);
 
 struct Segment {
-    /// Bytes received on the connection up to the end of this segment.
+    /// The number of bytes that the connection had received at the end of this segment.
     end: u64,
     received_at: Instant,
 }
 
-/// The receive times of the bytes that are not consumed yet.
+/// The receive times of the bytes that are not consumed yet, in segments.
 #[derive(Default)]
 pub struct ReceiveTimes {
     total_bytes: u64,
@@ -21,8 +21,8 @@
 }
 
 impl ReceiveTimes {
-    /// Records that `count` bytes were received behind `unread` ones. Times of consumed bytes are dropped here, so that
-    /// a connection whose times are never queried keeps none of them.
+    /// Records that `count` bytes were received at `now`, behind `unread` bytes that are not consumed yet. Drops the
+    /// times of consumed bytes, so that they do not accumulate on a connection whose times are never queried.
     pub fn record(&mut self, now: Instant, count: usize, unread: usize) {
         self.first_unread(unread);
         self.total_bytes += count as u64;
@@ -34,12 +34,12 @@
         }
     }
 
-    /// The number of segments that are kept.
+    /// Returns the number of segments in memory.
     pub fn segments(&self) -> usize {
         self.segments.len()
     }
 
-    /// When the first of the last `unread` bytes was received; none if `unread` is zero.
+    /// Returns the time at which the first of the last `unread` bytes was received, or `None` if `unread` is zero.
     pub fn first_unread(&mut self, unread: usize) -> Option<Instant> {
         let consumed = self.total_bytes.saturating_sub(unread as u64);
         while self.segments.front().is_some_and(|segment| segment.end <= consumed) {
--- a/http1/tests/hyper.rs
+++ b/http1/tests/hyper.rs
@@ -1,4 +1,4 @@
-//! Shows what hyper hides from a service, which is why this package exists.
+//! Shows that hyper hides conflicting framing from a service, which is a reason for this package's own HTTP/1.1 parser.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
--- a/http1/tests/receive_times.rs
+++ b/http1/tests/receive_times.rs
@@ -1,4 +1,4 @@
-//! When buffered bytes were received.
+//! Receive times of the bytes in a connection's buffer.
 
 use petrelshore_http1::receive_times::ReceiveTimes;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
     assert_eq!(times.first_unread(0), None);
     times.record(at(0), 100, 0);
     times.record(at(1_000), 50, 100);
-    // The first 80 bytes are consumed: the next one was received with them.
+    // The first 80 bytes are consumed. The next byte was received together with them.
     assert_eq!(times.first_unread(70), Some(at(0)));
     assert_eq!(times.first_unread(50), Some(at(1_000)));
     assert_eq!(times.first_unread(0), None);
@@ -24,7 +24,7 @@
     for microseconds in (0..1_000_000).step_by(100) {
         times.record(start + Duration::from_micros(microseconds), 1, (microseconds / 100) as usize);
     }
-    // Consumed one by one, in order.
+    // Consumes the bytes one by one, in order.
     for unread in (1..=10_000).rev() {
         let received = start + Duration::from_micros((10_000 - unread as u64) * 100);
         let recorded = times.first_unread(unread).unwrap();
