--- a/runtime/src/event_loop.rs
+++ b/runtime/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! Applies events to a request table and executes the commands that it returns.
+//! Applies events to a request table and executes the commands that the table returns.
 
 use crate::clock::Clock;
 use crate::request_table::RequestTable;
@@ -8,62 +8,63 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-/// The request table of a gateway, with the clock and the timer that drive it.
+/// The request table of a gateway, with the clock and the timer that drive the table.
 pub struct EventLoop<R> {
-    /// Changed by whichever task of the gateway has an event, never across an await.
+    /// Every task of the gateway that has an event borrows the table mutably, but never across an await.
     requests: RefCell<R>,
     clock: Clock,
     timers: TimerDriver,
 }
 
 impl<R: RequestTable> EventLoop<R> {
-    /// An event loop for this request table.
+    /// Creates an event loop for `requests`.
     pub fn new(clock: Clock, requests: R) -> Self {
         EventLoop { requests: RefCell::new(requests), clock, timers: TimerDriver::default() }
     }
 
-    /// The clock that the request table goes by.
+    /// Returns the clock that supplies the times for the request table.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Nanos {
         self.clock.now()
     }
 
-    /// The request table, to look something up. Not to be held across an await or an event.
+    /// Borrows the request table for reading. The borrow must end before the next await or event.
     pub fn requests(&self) -> Ref<'_, R> {
         self.requests.borrow()
     }
 
-    /// The request table, for events that return no commands. Not to be held across an await or an event.
+    /// Borrows the request table for events that return no commands. The borrow must end before the next await or
+    /// event.
     pub fn requests_mut(&self) -> RefMut<'_, R> {
         self.requests.borrow_mut()
     }
 }
 
-/// Whether the ingress still takes what is sent to a client.
+/// The result of forwarding a part of an answer to the ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It is in the channel to the ingress.
+    /// The part is in the channel to the ingress.
     Delivered,
-    /// The ingress reads no more: the client has left or has its final answer.
+    /// The ingress no longer reads from the channel: the client has left or has received its final answer.
     Closed,
 }
 
-/// A gateway on sockets that is driven by events of its request table.
+/// A gateway that applies the events of its sockets to a request table and executes the commands of the table.
 pub trait EventDriven: Sized + 'static {
-    /// Its request table.
+    /// The type of the request table.
     type Requests: RequestTable;
 
-    /// The event loop that it runs on.
+    /// Returns the event loop of the gateway.
     fn event_loop(&self) -> &EventLoop<Self::Requests>;
 
     /// Executes one command of the request table.
     fn execute(self: &Rc<Self>, command: <Self::Requests as RequestTable>::Command);
 
-    /// Applies an event to the request table, and executes the commands that it returns.
+    /// Applies an event to the request table, and executes the commands that the event returns.
     fn apply(
         self: &Rc<Self>,
         event: impl FnOnce(&mut Self::Requests, Nanos, &mut Vec<<Self::Requests as RequestTable>::Command>),
@@ -73,27 +74,29 @@
         self.execute_all(commands);
     }
 
-    /// Executes commands in their order, and sets the timer for what they changed.
+    /// Executes commands in order, then updates the timer, since the event and the commands may have changed the next
+    /// timeout.
     fn execute_all(self: &Rc<Self>, commands: Vec<<Self::Requests as RequestTable>::Command>) {
         for command in commands {
             self.execute(command);
         }
-        let events = self.event_loop();
-        events.timers.update(events.requests().next_timeout());
+        let event_loop = self.event_loop();
+        event_loop.timers.update(event_loop.requests().next_timeout());
     }
 
-    /// The timeout task: applies each timeout of the request table when it is reached. Runs as long as it is polled.
+    /// Returns the timeout task, which applies each timeout of the request table when the timeout is reached. The task
+    /// never completes.
     fn run_timeouts(self: Rc<Self>) -> impl Future<Output = ()> + 'static {
         async move {
-            let events = self.event_loop();
-            let next_timeout = || events.requests().next_timeout();
+            let event_loop = self.event_loop();
+            let next_timeout = || event_loop.requests().next_timeout();
             let on_timeout = || self.apply(|requests, now, commands| requests.on_timeout(now, commands));
-            events.timers.run(events.clock, next_timeout, on_timeout).await;
+            event_loop.timers.run(event_loop.clock, next_timeout, on_timeout).await;
         }
     }
 
-    /// Sends a part of an answer to the ingress. While the channel is full the attempt waits, and the request table
-    /// knows that the client is stalled.
+    /// Sends a part of an answer to the ingress. While the channel is full, the attempt waits and the request table
+    /// treats the client as stalled.
     fn forward<T>(
         self: &Rc<Self>,
         id: SequenceId,
--- a/runtime/src/first_success.rs
+++ b/runtime/src/first_success.rs
@@ -4,11 +4,11 @@
 use std::pin::Pin;
 use std::task::Poll;
 
-/// A call that returns nothing where it has failed.
+/// A concurrent call. Its output is `None` if the call failed.
 pub type Call<'a, T> = Pin<Box<dyn Future<Output = Option<T>> + 'a>>;
 
-/// What the first successful call returns; nothing once all have failed. Calls that have ended are removed, the others
-/// stay and may be waited for again.
+/// Returns the result of the first successful call, or `None` once all calls have failed. Completed calls are removed
+/// from `calls`. Pending calls stay in `calls`, and the caller may wait for them again.
 pub async fn first_success<T>(calls: &mut Vec<Call<'_, T>>) -> Option<T> {
     future::poll_fn(|context| {
         let mut success = None;
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,9 +1,10 @@
-//! What every gateway process runs on, whatever API it serves.
+//! The runtime of every gateway process, independent of the API that the gateway serves.
 //!
-//! A gateway is one thread: tasks on sockets report events to a request table, and the [`EventDriven`] gateway executes
-//! the commands that the table returns. This package has what both gateways need for that: a monotonic [`Clock`], one
-//! [`TimerDriver`], a [`Spawner`], the [`EventLoop`], the [`AttemptSlot`] of a request, and helpers to wait for a
-//! condition ([`wait_until`]) or for the first of several calls ([`first_success()`]). It makes no routing decisions.
+//! A gateway runs on one thread. Tasks on its sockets report events to a request table, and the [`EventDriven`] gateway
+//! executes the commands that the table returns. This package provides the parts that both gateways share: a monotonic
+//! [`Clock`], the [`TimerDriver`], the [`Spawner`], the [`EventLoop`], the [`AttemptSlot`] of a request, and helpers to
+//! wait for a condition ([`wait_until`]) or for the first successful call of several ([`first_success()`]). The package
+//! makes no routing decisions.
 
 mod attempt_slot;
 mod clock;
--- a/runtime/src/request_table.rs
+++ b/runtime/src/request_table.rs
@@ -1,24 +1,24 @@
-//! What the event loop needs of a request table.
+//! The interface of a request table that the event loop uses.
 
 use petrelshore::interface::{Nanos, SequenceId};
 use petrelshore_gateway_core::buffered::{self, BufferedRequests};
 use petrelshore_gateway_core::passthrough::{self, PassthroughRequests};
 
-/// A state machine of requests without I/O: it takes events with their time and returns commands.
+/// A state machine of requests that does no I/O: it receives events with their times and returns commands.
 pub trait RequestTable {
-    /// What the gateway is to execute on its sockets.
+    /// An operation that the gateway executes on its sockets.
     type Command;
 
-    /// When [`RequestTable::on_timeout`] is to be called next.
+    /// Returns the time at which [`RequestTable::on_timeout`] must be called next, or `None` if no timeout is pending.
     fn next_timeout(&self) -> Option<Nanos>;
 
-    /// Acts on all timeouts that have passed.
+    /// Handles all timeouts that have been reached at `now`.
     fn on_timeout(&mut self, now: Nanos, commands: &mut Vec<Self::Command>);
 
-    /// The client has stopped reading its answer.
+    /// Records that the client has stopped reading its answer.
     fn client_stalled(&mut self, now: Nanos, id: SequenceId);
 
-    /// The client reads its answer again.
+    /// Records that the client reads its answer again.
     fn client_stall_ended(&mut self, now: Nanos, id: SequenceId);
 }
 
--- a/runtime/src/timer.rs
+++ b/runtime/src/timer.rs
@@ -1,4 +1,4 @@
-//! The one timer of a gateway: it sleeps until the next timeout, or until an earlier one is set.
+//! The single timer of a gateway, which sleeps until the next timeout or until an earlier timeout is set.
 
 use crate::clock::Clock;
 use async_io::Timer;
@@ -9,30 +9,32 @@
 
 /// Wakes a gateway for its next timeout.
 pub struct TimerDriver {
-    /// Notified by [`TimerDriver::update`] when a timeout was set that comes before the one waited for.
-    earlier: Event,
-    /// The timeout waited for. Set only by the timeout task, in [`TimerDriver::run`].
+    /// Notified by [`TimerDriver::update`] when the next timeout is earlier than `armed_for`.
+    earlier_timeout: Event,
+    /// The time until which the timeout task sleeps, or `Nanos::MAX` without a timeout. Only [`TimerDriver::run`] sets
+    /// this time.
     armed_for: Cell<Nanos>,
 }
 
 impl Default for TimerDriver {
     fn default() -> Self {
-        TimerDriver { earlier: Event::new(), armed_for: Cell::new(Nanos::MAX) }
+        TimerDriver { earlier_timeout: Event::new(), armed_for: Cell::new(Nanos::MAX) }
     }
 }
 
 impl TimerDriver {
-    /// The next timeout may have changed.
+    /// Wakes the timeout task if `next_timeout` is earlier than the timeout for which the task sleeps. Must be called
+    /// whenever the next timeout may have changed.
     pub fn update(&self, next_timeout: Option<Nanos>) {
         if next_timeout.is_some_and(|at| at < self.armed_for.get()) {
-            self.earlier.notify(usize::MAX);
+            self.earlier_timeout.notify(usize::MAX);
         }
     }
 
-    /// Calls `on_timeout` whenever a timeout is reached, for as long as it is polled.
+    /// Calls `on_timeout` whenever the time that `next_timeout` returns is reached. Never completes.
     pub async fn run(&self, clock: Clock, next_timeout: impl Fn() -> Option<Nanos>, on_timeout: impl Fn()) {
         loop {
-            let earlier = self.earlier.listen();
+            let earlier_timeout = self.earlier_timeout.listen();
             let timeout = next_timeout();
             self.armed_for.set(timeout.unwrap_or(Nanos::MAX));
             match timeout {
@@ -44,9 +46,9 @@
                     let timeout_reached = async {
                         Timer::at(clock.instant(at)).await;
                     };
-                    future::or(earlier, timeout_reached).await;
+                    future::or(earlier_timeout, timeout_reached).await;
                 }
-                None => earlier.await,
+                None => earlier_timeout.await,
             }
         }
     }
--- a/runtime/tests/event_loop.rs
+++ b/runtime/tests/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop on a request table that records what it is told.
+//! Tests the event loop with a request table and a gateway that record the calls they receive.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -11,7 +11,7 @@
 
 const REQUEST: SequenceId = SequenceId(7);
 
-/// What happened to a gateway, in its order.
+/// A call that the request table or the gateway received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Recorded {
     Timeout,
@@ -19,6 +19,7 @@
     Stalled(bool),
 }
 
+/// The received calls in order, shared by the request table and its gateway.
 type Record = Rc<RefCell<Vec<Recorded>>>;
 
 struct RecordingTable {
@@ -64,7 +65,7 @@
     }
 
     fn execute(self: &Rc<Self>, command: &'static str) {
-        // The table is not borrowed while its commands are executed.
+        // Panics if the request table is still borrowed while its commands are executed.
         drop(self.event_loop.requests_mut());
         self.record.borrow_mut().push(Recorded::Executed(command));
         self.executed.notify(usize::MAX);
@@ -84,7 +85,7 @@
     let gateway = gateway();
     Spawner::new(&executor).run(gateway.clone().run_timeouts());
     async_io::block_on(executor.run(async {
-        // The timeout task waits with no timeout set before the event sets one.
+        // Lets the timeout task start to wait without a timeout before the event sets one.
         future::yield_now().await;
         gateway.apply(|requests, now, _| requests.next_timeout = Some(now + 1_000_000));
         wait_until(&gateway.executed, || gateway.record.borrow().len() == 3).await;
