--- a/platform-engine-client/src/client.rs
+++ b/platform-engine-client/src/client.rs
@@ -1,7 +1,7 @@
-//! The client: prefill, decode and release requests to model servers.
+//! The client, which sends prefill, decode and release requests to model servers.
 
 use crate::connections::{ConnectionCounts, Connections};
-use crate::exchange::{Outgoing, Route};
+use crate::exchange::{OutgoingRequest, Route};
 use crate::liveness::encode_release;
 use crate::request::{AttemptRequest, Reply, SendPermission};
 use crate::response::Response;
@@ -17,23 +17,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const MILLISECOND: Nanos = 1_000_000;
-/// A release request on a pooled connection may take this part of its time; the rest is for a new one.
-const POOLED_RELEASE_DIVISOR: u32 = 2;
+const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
+/// The release timeout is divided by this number to get the time limit for an attempt on a pooled connection. The rest
+/// of the timeout is left for an attempt on a new connection.
+const POOLED_RELEASE_TIMEOUT_DIVISOR: u32 = 2;
 
-/// A client of all model servers of one gateway. Clones share their connections.
+/// The client through which one gateway reaches all its model servers. Clones share their connections.
 #[derive(Clone)]
 pub struct Client(Rc<Connections>);
 
 impl Client {
-    /// A client with at most `max_connections` open connections. Servers close idle ones after `idle_timeout`.
-    /// `load_fields` are the names in load reports.
+    /// Creates a client with at most `max_connections` open connections. `idle_timeout` is the time after which servers
+    /// close idle connections, in nanoseconds. `load_fields` describes the fields in load reports.
     pub fn new(clock: Clock, max_connections: usize, idle_timeout: Nanos, load_fields: Vec<Field>) -> Self {
         Client(Rc::new(Connections::new(clock, max_connections, idle_timeout, load_fields)))
     }
 
-    /// Sends a prefill request. Returns how many tokens of its prompt were cached; `on_delivered` is called once the
-    /// server provably has the request.
+    /// Sends a prefill request. Returns the number of prompt tokens that the server had in its cache. `on_delivered` is
+    /// called as soon as it is proved that the server has the request.
     pub async fn prefill(&self, request: &AttemptRequest, on_delivered: &dyn Fn()) -> Reply<f64> {
         let mut response = match self.send(request, on_delivered).await {
             Ok(response) => response,
@@ -52,7 +53,7 @@
         Reply { result: result.await, load }
     }
 
-    /// Sends a decode request. `on_delivered` is called once the server provably has it.
+    /// Sends a decode request. `on_delivered` is called as soon as it is proved that the server has the request.
     pub async fn decode(&self, request: &AttemptRequest, on_delivered: &dyn Fn()) -> Reply<Stream> {
         let mut response = match self.send(request, on_delivered).await {
             Ok(response) => response,
@@ -70,8 +71,9 @@
         Reply { result: Err(end), load }
     }
 
-    /// Sends one release request: the server frees everything that it holds for a request ID. It is not sent once
-    /// nothing is pending there any more (`send_check`): another attempt may have begun to use it.
+    /// Sends one release request, which makes the server free everything that it holds for the request ID. The request
+    /// is not sent if `send_check` reports that the release is no longer pending: another attempt may have begun to use
+    /// the KV cache.
     pub async fn release(
         &self,
         address: SocketAddr,
@@ -81,9 +83,9 @@
     ) -> Result<(), AttemptEnd> {
         let encode = || encode_release(address, id);
         let trace = ExchangeTrace::default();
-        let request = Outgoing { encode: &encode, on_delivered: &|| {}, trace: &trace };
-        let released = async {
-            send_check().require()?;
+        let request = OutgoingRequest { encode: &encode, on_delivered: &|| {}, trace: &trace };
+        let exchange = async {
+            send_check().into_result()?;
             let route = Route {
                 address,
                 connect_timeout: timeout,
@@ -105,22 +107,23 @@
                 status => Err(AttemptEnd::ErrorStatus { status }),
             }
         };
-        within(timeout, released).await
+        with_timeout(timeout, exchange).await
     }
 
-    /// Sends a release request on a pooled connection. Returns none if there is none, or if it broke or stayed silent: the
-    /// request is idempotent, and is sent again on a new one.
+    /// Sends a release request on a pooled connection. Returns `None` if the pool has no usable connection to the
+    /// server, or if the connection broke or the server did not answer in time. The caller then sends the request on a
+    /// new connection, which is safe because releases are idempotent.
     async fn release_on_pooled(
         &self,
         route: &Route<'_>,
-        request: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
     ) -> Option<Result<Response, AttemptEnd>> {
         let pooled = self.0.check_out(route.address)?;
         let exchange = async {
             let result = self.0.exchange_on_pooled(route, request, pooled).await;
             result.unwrap_or(Err(AttemptEnd::Reset))
         };
-        match within(route.connect_timeout / POOLED_RELEASE_DIVISOR, exchange).await {
+        match with_timeout(route.connect_timeout / POOLED_RELEASE_TIMEOUT_DIVISOR, exchange).await {
             Err(AttemptEnd::Reset | AttemptEnd::TimedOut) => {
                 self.0.close_idle(route.address);
                 None
@@ -129,19 +132,20 @@
         }
     }
 
-    /// Closes idle connections to servers that are no longer listed.
+    /// Closes the idle connections to servers that are not in the endpoint list.
     pub fn retain_endpoints(&self, listed: impl Fn(&SocketAddr) -> bool) {
         self.0.retain(listed);
     }
 
-    /// How many connections are open, and how many of them are idle.
+    /// Returns the number of open connections and the number of idle connections among them.
     pub fn connection_counts(&self) -> ConnectionCounts {
         self.0.counts()
     }
 
     async fn send(&self, request: &AttemptRequest, on_delivered: &dyn Fn()) -> Result<Response, AttemptEnd> {
         let target = std::str::from_utf8(&request.target).map_err(|_| AttemptEnd::NotConnected)?;
-        // Encoded as it is sent, so that the stated time is without what was spent on queueing and connecting.
+        // The request is encoded right before it is written, so that `Req-Deadline-Ms` excludes the time spent on
+        // queueing and connecting.
         let encode = || encode_request(request, target, self.0.now());
         let route = Route {
             address: request.address,
@@ -151,12 +155,14 @@
             new_connection: request.new_connection,
             send_check: &*request.send_check,
         };
-        self.0.exchange(&route, &Outgoing { encode: &encode, on_delivered, trace: &request.trace }).await
+        self.0
+            .exchange(&route, &OutgoingRequest { encode: &encode, on_delivered, trace: &request.trace })
+            .await
     }
 }
 
-/// The result of an exchange that ends in time.
-async fn within<T>(
+/// Returns the result of an exchange, or [`AttemptEnd::TimedOut`] if the exchange takes longer than the timeout.
+async fn with_timeout<T>(
     timeout: Duration,
     exchange: impl Future<Output = Result<T, AttemptEnd>>,
 ) -> Result<T, AttemptEnd> {
@@ -167,11 +173,11 @@
     future::or(exchange, timed_out).await
 }
 
-/// A request as it is sent at `now`, with the time that its client has left.
+/// Encodes a request that is sent at `now`. `Req-Deadline-Ms` states the time that remains of the request's timeout.
 fn encode_request(request: &AttemptRequest, target: &str, now: Nanos) -> Vec<u8> {
     let (address, id, length) = (request.address, &request.id, request.body.len());
     let elapsed = now.saturating_sub(request.decided_at);
-    let remaining_ms = request.timeout.saturating_sub(elapsed) / MILLISECOND;
+    let remaining_ms = request.timeout.saturating_sub(elapsed) / NANOS_PER_MILLISECOND;
     let head = format!(
         "POST {target} HTTP/1.1\r\nHost: {address}\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {remaining_ms}\r\n\
          Content-Type: application/json\r\nContent-Length: {length}\r\n"
@@ -179,9 +185,9 @@
     [head.as_bytes(), &request.fields, b"\r\n", &request.body].concat()
 }
 
-/// The cached tokens that the body of a prefill response reports; zero if it reports none.
+/// Returns the number of cached tokens that the body of a prefill response reports, or zero if the body reports none.
 fn cached_tokens(body: &[u8]) -> Result<f64, AttemptEnd> {
-    let answer: serde_json::Value = serde_json::from_slice(body).map_err(|_| AttemptEnd::Malformed)?;
-    let cached = answer["cached_tokens"].as_f64().filter(|cached| cached.is_finite());
+    let response: serde_json::Value = serde_json::from_slice(body).map_err(|_| AttemptEnd::Malformed)?;
+    let cached = response["cached_tokens"].as_f64().filter(|cached| cached.is_finite());
     Ok(cached.unwrap_or(0.0).max(0.0))
 }
--- a/platform-engine-client/src/connections.rs
+++ b/platform-engine-client/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of a client: pooled, bounded in number, and reused.
+//! The connections of a client: they are pooled and reused, and their number is limited.
 
 use petrelshore::interface::{LoadReport, Nanos};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
@@ -13,33 +13,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How many connections a client has.
+/// Connection counts of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Open ones, in use or idle.
+    /// Number of open connections, in use or idle.
     pub open: usize,
-    /// Those of them that are idle.
+    /// Number of open connections that are idle.
     pub idle: usize,
 }
 
-/// A connection, with its permit among all that this gateway may hold.
+/// A connection with its permit, which counts towards the client's maximum number of connections.
 pub(crate) struct PooledConnection {
     pub(crate) http: HttpConnection,
     _permit: Rc<()>,
 }
 
-/// A connection from the pool.
+/// A connection that was taken out of the pool.
 pub(crate) struct CheckedOut {
     pub(crate) connection: PooledConnection,
-    /// How long it was idle.
+    /// Time for which the connection was idle, in nanoseconds.
     pub(crate) idle_time: Nanos,
 }
 
-/// What all exchanges of a client share.
+/// The state that all exchanges of a client share: its connections, clock and settings.
 pub(crate) struct Connections {
     clock: Clock,
     pool: RefCell<ConnectionPool<SocketAddr, PooledConnection>>,
-    /// Cloned for each open connection.
+    /// Each open connection holds a clone, so the reference count is one more than the number of open connections.
     permits: Rc<()>,
     max_connections: usize,
     load_fields: Vec<Field>,
@@ -60,7 +60,8 @@
         self.clock.now()
     }
 
-    /// An idle connection that is open as far as can be told.
+    /// Takes an idle connection to the address out of the pool. The connection has not been closed by the server as far
+    /// as this machine knows, and has received no unsolicited bytes.
     pub(crate) fn check_out(&self, address: SocketAddr) -> Option<CheckedOut> {
         let open = |connection: &PooledConnection| connection.http.is_reusable();
         let pooled = self.pool.borrow_mut().check_out(self.now(), address, open)?;
@@ -68,8 +69,9 @@
         Some(CheckedOut { connection, idle_time })
     }
 
-    /// Opens a connection. If all permits are taken, the longest idle connection is closed for it; if none is idle, that
-    /// says nothing about the server.
+    /// Opens a connection. If the client has reached its maximum number of connections, the connection that has been
+    /// idle longest is closed first. If no connection is idle, the result is [`AttemptEnd::NotSent`], because the
+    /// shortage says nothing about the server.
     pub(crate) async fn connect(
         &self,
         address: SocketAddr,
@@ -87,29 +89,30 @@
         Ok(PooledConnection { http, _permit: permit })
     }
 
-    /// Returns a connection to the pool after a complete exchange, unless it closes or unsolicited bytes were received.
+    /// Returns a connection to the pool after a complete exchange, unless the server closes the connection or has sent
+    /// unsolicited bytes on it.
     pub(crate) fn check_in(&self, address: SocketAddr, connection: PooledConnection, head: &ResponseHead) {
         if head.keep_alive && connection.http.buffer.is_empty() {
             self.pool.borrow_mut().check_in(self.now(), address, connection);
         }
     }
 
-    /// Returns a connection to the pool on which its server has answered a probe.
+    /// Returns a connection to the pool after the server has answered a probe on it.
     pub(crate) fn check_in_probed(&self, address: SocketAddr, connection: PooledConnection) {
         self.pool.borrow_mut().check_in(self.now(), address, connection);
     }
 
-    /// Puts a new connection into the pool that no exchange has used.
+    /// Puts a connection into the pool after the request intended for it was not sent.
     pub(crate) fn check_in_unused(&self, address: SocketAddr, connection: PooledConnection) {
         self.pool.borrow_mut().check_in_unused(self.now(), address, connection);
     }
 
-    /// Records that a pooled connection brought a response.
+    /// Records that a response arrived on a pooled connection.
     pub(crate) fn reuse_succeeded(&self) {
         self.pool.borrow_mut().reuse_succeeded(self.now());
     }
 
-    /// Records that a pooled connection broke under its request.
+    /// Records that a pooled connection failed while it was probed or carried a request.
     pub(crate) fn reuse_failed(&self, address: SocketAddr, idle_time: Nanos) {
         self.pool.borrow_mut().reuse_failed(self.now(), address, idle_time);
     }
@@ -119,7 +122,7 @@
         self.pool.borrow_mut().remove(|pooled| *pooled == address);
     }
 
-    /// Closes the idle connections to addresses that are not listed.
+    /// Closes the idle connections to addresses for which `listed` returns false.
     pub(crate) fn retain(&self, listed: impl Fn(&SocketAddr) -> bool) {
         self.pool.borrow_mut().remove(|address| !listed(address));
     }
@@ -128,7 +131,7 @@
         ConnectionCounts { open: Rc::strong_count(&self.permits) - 1, idle: self.pool.borrow().idle() }
     }
 
-    /// The load that the head of a response reports.
+    /// Returns the load report in the head of a response.
     pub(crate) fn load_in_head(&self, head: &ResponseHead) -> Option<LoadReport> {
         self.parse_load(head.fields.single("Srv-Load")?)
     }
--- a/platform-engine-client/src/exchange.rs
+++ b/platform-engine-client/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange: a request over a pooled or new connection, up to the head of its response.
+//! One exchange: sends a request over a pooled or new connection and reads the head of the response.
 
 use crate::connections::{CheckedOut, Connections, PooledConnection};
 use crate::liveness::{LivenessProbe, ProbedConnection};
@@ -13,62 +13,66 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// A request states how much time its client has left. If writing takes longer than this, that statement is stale: the
-/// request is aborted before its last byte.
+/// Time limit for writing a request. A request states how much time remains for it. If writing takes longer than this
+/// limit, the stated time is outdated, so the request is aborted before its last byte is written.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
-/// How a request gets to its server.
+/// Where and under which conditions a request is sent.
 #[derive(Clone, Copy)]
 pub(crate) struct Route<'a> {
+    /// The address of the model server.
     pub(crate) address: SocketAddr,
+    /// Time limit for establishing the connection and writing the request.
     pub(crate) connect_timeout: Duration,
-    /// A KV cache is held for the request meanwhile, so its server must prove that it runs.
+    /// True if a KV cache is reserved while the request is sent. The server must then prove that its process runs.
     pub(crate) holds_cache: bool,
-    /// How it proves that.
+    /// The request by which the server proves that its process runs, if one is available.
     pub(crate) probe: Option<&'a LivenessProbe>,
-    /// The request must not use a pooled connection.
+    /// True if the request must not use a pooled connection.
     pub(crate) new_connection: bool,
-    /// Asks whether the request may be sent now.
+    /// Checks whether the request may be sent now.
     pub(crate) send_check: &'a dyn Fn() -> SendPermission,
 }
 
 /// A request to be sent.
-pub(crate) struct Outgoing<'a> {
-    /// Encodes the request. It is called right before writing, since the request states the remaining time.
+pub(crate) struct OutgoingRequest<'a> {
+    /// Encodes the request. This function is called right before writing because the request states the remaining time.
     pub(crate) encode: &'a dyn Fn() -> Vec<u8>,
-    /// Called once the server provably has the request.
+    /// Called as soon as it is proved that the server has the request.
     pub(crate) on_delivered: &'a dyn Fn(),
-    /// Its progress.
+    /// The record of the exchange's progress.
     pub(crate) trace: &'a ExchangeTrace,
 }
 
-impl Outgoing<'_> {
-    /// A running server provably has the request.
-    fn delivered(&self) {
-        self.trace.delivered();
+impl OutgoingRequest<'_> {
+    /// Records that a running server is proved to have the request, and notifies the caller.
+    fn mark_delivered(&self) {
+        self.trace.record_delivered();
         (self.on_delivered)();
     }
 }
 
-/// How writing a request ended.
+/// The result of writing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteOutcome {
+    /// The whole request was written.
     Complete,
     /// The connection broke before the last byte was written.
     Broken,
-    /// The server read too little of it in time: its last byte was never written.
+    /// The server did not read enough of the request in time, so the last byte was never written.
     TimedOut,
 }
 
 impl Connections {
-    /// Sends one request. If a connection breaks before the last byte is written, nothing has run: a pooled one is then
-    /// replaced by a new one. Whether the request may be sent is asked right before its first byte.
+    /// Sends one request. If a connection breaks before the last byte is written, the server has run nothing, so a
+    /// broken pooled connection is replaced by a new one. The send check is repeated right before the first byte is
+    /// written.
     pub(crate) async fn exchange(
         &self,
         route: &Route<'_>,
-        request: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
     ) -> Result<Response, AttemptEnd> {
-        (route.send_check)().require()?;
+        (route.send_check)().into_result()?;
         let started = self.now();
         if let Some(pooled) = self.check_out_for(route)
             && let Some(result) = self.exchange_on_pooled(route, request, pooled).await
@@ -79,22 +83,23 @@
         self.exchange_on_new(route, request, route.connect_timeout.saturating_sub(elapsed)).await
     }
 
-    /// A pooled connection, if one may be used: while a cache is held, none that can't be probed.
+    /// Takes a connection from the pool if the request may use one. While a KV cache is reserved, a pooled connection
+    /// is used only if a probe is available.
     fn check_out_for(&self, route: &Route<'_>) -> Option<CheckedOut> {
         let usable = !route.new_connection && (route.probe.is_some() || !route.holds_cache);
         usable.then(|| self.check_out(route.address)).flatten()
     }
 
-    /// Sends a request over a pooled connection. Returns none if the connection broke, or did not prove that its server
-    /// runs, before the request was written.
+    /// Sends a request over a pooled connection. Returns `None` if, before the request was completely written, the
+    /// connection broke or the server failed to answer a probe on it or closed it after the probe.
     pub(crate) async fn exchange_on_pooled(
         &self,
         route: &Route<'_>,
-        request: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
         pooled: CheckedOut,
     ) -> Option<Result<Response, AttemptEnd>> {
         let CheckedOut { connection, idle_time } = pooled;
-        request.trace.connected(ConnectionSource::Pooled);
+        request.trace.record_connection(ConnectionSource::Pooled);
         let connection = match self.probe_pooled(route, connection).await {
             Ok(ProbedConnection::Usable(connection)) => connection,
             Ok(ProbedConnection::Closing) => return None,
@@ -107,12 +112,12 @@
                 return None;
             }
         };
-        if let Err(end) = (route.send_check)().require() {
+        if let Err(end) = (route.send_check)().into_result() {
             self.check_in_unused(route.address, connection);
             return Some(Err(end));
         }
         match write_within(&connection, &(request.encode)(), route.connect_timeout / 2).await {
-            WriteOutcome::Complete => request.trace.written(),
+            WriteOutcome::Complete => request.trace.record_written(),
             WriteOutcome::Broken => {
                 self.reuse_failed(route.address, idle_time);
                 return None;
@@ -134,8 +139,9 @@
         Some(result)
     }
 
-    /// While a cache is held, the request goes to no connection on which its server does not answer: what is written to
-    /// a stopped process, or to a connection that has fallen silent, is accepted like anything else.
+    /// Probes a pooled connection if a KV cache is reserved for the request. A connection accepts bytes even if the
+    /// server's process has stopped or the connection has gone silent, so the request is written only after the server
+    /// has answered on this connection.
     async fn probe_pooled(
         &self,
         route: &Route<'_>,
@@ -147,34 +153,36 @@
         }
     }
 
-    /// Sends a request over a new connection, which is established, and probed, within the timeout.
+    /// Sends a request over a new connection. The timeout covers establishing and probing the connection and writing
+    /// the request.
     pub(crate) async fn exchange_on_new(
         &self,
         route: &Route<'_>,
-        request: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
         timeout: Duration,
     ) -> Result<Response, AttemptEnd> {
         let started = self.now();
         let connection = self.connect(route.address, timeout).await?;
-        request.trace.connected(ConnectionSource::New);
+        request.trace.record_connection(ConnectionSource::New);
         let connect_time = self.now().saturating_sub(started);
         let remaining = || timeout.saturating_sub(Duration::from_nanos(self.now().saturating_sub(started)));
         let connection = self.probe_new(route, connection, remaining()).await?;
-        if let Err(end) = (route.send_check)().require() {
+        if let Err(end) = (route.send_check)().into_result() {
             self.check_in_unused(route.address, connection);
             return Err(end);
         }
         if write_within(&connection, &(request.encode)(), remaining()).await != WriteOutcome::Complete {
             return Err(AttemptEnd::NotConnected);
         }
-        request.trace.written();
+        request.trace.record_written();
         if route.holds_cache {
             return self.await_with_liveness_proof(route, request, connection).await;
         }
         await_past_round_trip(request, Response::read(connection), connect_time).await
     }
 
-    /// The same for a new connection. One that its server closes after the probe is replaced.
+    /// Probes a new connection if a KV cache is reserved for the request. A connection that the server closes after the
+    /// probe is replaced.
     async fn probe_new(
         &self,
         route: &Route<'_>,
@@ -189,14 +197,15 @@
         }
     }
 
-    /// Waits for a response while a KV cache is held. The server may have stopped right after its probe: then its machine
-    /// still accepts what is written, and no error shows. So if no response comes soon, the server has to answer once
-    /// more, on another connection; if it does not, nothing proves that it has the request. A slow server pays one
-    /// handshake for it, and the connection serves the next exchange.
+    /// Waits for a response while a KV cache is reserved. The server's process may have stopped right after it answered
+    /// the probe. The server's machine then still accepts the written bytes, and no error occurs. So if no response
+    /// arrives within half the connect timeout, the server has to answer a probe on another connection. If the server
+    /// does not answer, nothing proves that it has the request. For a slow server this costs one additional handshake,
+    /// and the additional connection serves the next exchange.
     async fn await_with_liveness_proof(
         &self,
         route: &Route<'_>,
-        request: &Outgoing<'_>,
+        request: &OutgoingRequest<'_>,
         connection: PooledConnection,
     ) -> Result<Response, AttemptEnd> {
         let mut response = pin!(Response::read_after_probe(connection));
@@ -207,7 +216,7 @@
         match future::or(async { Ok(response.as_mut().await) }, proof).await {
             Ok(result) => result,
             Err(Ok(())) => {
-                request.delivered();
+                request.mark_delivered();
                 response.await
             }
             Err(Err(_)) => {
@@ -217,7 +226,8 @@
         }
     }
 
-    /// Has the server answer on another connection. What can't be probed is awaited for as long.
+    /// Probes the server on another connection. If no probe or no connection is available, this function fails only
+    /// after the time that such a probe may take, so that the server's response has as much time to arrive.
     async fn prove_liveness(&self, route: &Route<'_>) -> Result<(), AttemptEnd> {
         let timeout = route.connect_timeout;
         let Some(probe) = route.probe else {
@@ -227,7 +237,7 @@
         match self.connect_and_probe(route.address, probe, timeout).await {
             Ok(ProbedConnection::Usable(connection)) => self.check_in_probed(route.address, connection),
             Ok(ProbedConnection::Closing) => {}
-            // No connection was available, which says nothing about the server.
+            // No connection was available on the gateway's side, which says nothing about the server.
             Err(AttemptEnd::NotSent) => {
                 Timer::after(timeout).await;
                 return Err(AttemptEnd::NotSent);
@@ -238,27 +248,27 @@
     }
 }
 
-/// Waits for a response on a new connection. If a server is killed after its machine accepted the connection, the machine
-/// resets it within one round trip, which establishing the connection took too: until then nothing proves that the
-/// server had the request.
+/// Waits for a response on a new connection. If the server's process is killed after its machine accepted the
+/// connection, the machine resets the connection within one round trip. Until a round trip has passed, nothing proves
+/// that the server has the request. `round_trip` is the time that establishing the connection took, in nanoseconds.
 async fn await_past_round_trip(
-    request: &Outgoing<'_>,
+    request: &OutgoingRequest<'_>,
     response: impl Future<Output = Result<Response, AttemptEnd>>,
     round_trip: Nanos,
 ) -> Result<Response, AttemptEnd> {
     let mut response = pin!(response);
-    let survived = async {
+    let round_trip_over = async {
         Timer::after(Duration::from_nanos(round_trip)).await;
         None
     };
-    match future::or(async { Some(response.as_mut().await) }, survived).await {
+    match future::or(async { Some(response.as_mut().await) }, round_trip_over).await {
         Some(Err(AttemptEnd::Reset)) => Err(AttemptEnd::Reset),
         Some(result) => {
-            request.delivered();
+            request.mark_delivered();
             result
         }
         None => {
-            request.delivered();
+            request.mark_delivered();
             response.await
         }
     }
--- a/platform-engine-client/src/lib.rs
+++ b/platform-engine-client/src/lib.rs
@@ -1,8 +1,8 @@
 //! A client for model servers that speak the platform's protocol.
 //!
-//! [`Client::prefill`], [`Client::decode`] and [`Client::release`] make one exchange each and report how it ended; what an
-//! end proves is decided in the request manager. Dropping a future of theirs, or a [`Stream`], aborts the attempt by closing
-//! its connection.
+//! [`Client::prefill`], [`Client::decode`] and [`Client::release`] each make one exchange and report how the exchange
+//! ended. The request manager decides what such an end proves. Dropping the future of one of these calls, or a
+//! [`Stream`], closes the connection and thereby aborts the attempt.
 
 mod client;
 mod connections;
--- a/platform-engine-client/src/liveness.rs
+++ b/platform-engine-client/src/liveness.rs
@@ -1,8 +1,8 @@
-//! Whether the process of a server runs.
+//! Liveness probes, which show that the process of a model server runs.
 //!
-//! That a connection is established, or that bytes are accepted, is the work of a server's machine: it goes on where the
-//! server's process has stopped, and where a connection has fallen silent. Only an answer shows that the process runs. So
-//! a server is asked for what it answers at once and what has no effect.
+//! The operating system of the server's machine establishes connections and accepts bytes even after the server's
+//! process has stopped, and an open connection may have gone silent. Only an answer shows that the process runs. A
+//! probe is therefore a request that the server answers immediately and that has no effect.
 
 use crate::connections::{Connections, PooledConnection};
 use crate::response::Response;
@@ -15,15 +15,15 @@
 
 const HEALTH_PATH: &str = "/healthz";
 
-/// What a server is asked for.
+/// The request that serves as a probe.
 #[derive(Clone, Debug)]
 pub enum LivenessProbe {
-    /// To release a request that is finished: every server answers that, and it has no effect.
+    /// A release request for a request that is finished. Every server answers it, and it has no effect.
     ReleaseFinished {
-        /// The id of that request.
+        /// The ID of the finished request.
         request_id: Rc<str>,
     },
-    /// Its health, where settings allow to ask for it and no request is finished yet.
+    /// A health check, for use while no request is finished yet and if the settings allow health checks.
     HealthCheck,
 }
 
@@ -40,19 +40,19 @@
 
 /// A connection on which a server has answered a probe.
 pub(crate) enum ProbedConnection {
-    /// It may carry a request.
+    /// The connection may carry a request.
     Usable(PooledConnection),
-    /// Its server closes it, or sent more than the answer.
+    /// The connection must not carry a request: the server closes it, or sent more than the answer.
     Closing,
 }
 
-/// The bytes of a release request.
+/// Encodes a release request.
 pub(crate) fn encode_release(address: SocketAddr, request_id: &str) -> Vec<u8> {
     format!("DELETE /kv/leases/{request_id} HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes()
 }
 
 impl Connections {
-    /// Has the server at the other end of a connection answer a probe in time.
+    /// Sends a probe on a connection and waits for the server's answer for at most the timeout.
     pub(crate) async fn probe(
         &self,
         connection: PooledConnection,
@@ -60,7 +60,7 @@
         probe: &LivenessProbe,
         timeout: Duration,
     ) -> Result<ProbedConnection, AttemptEnd> {
-        let answered = async {
+        let exchange = async {
             connection.http.write_all(&probe.encode(address)).await.map_err(|_| AttemptEnd::Reset)?;
             let mut response = Response::read(connection).await?;
             response.read_body().await?;
@@ -72,10 +72,10 @@
             Timer::after(timeout).await;
             Err(AttemptEnd::TimedOut)
         };
-        future::or(answered, timed_out).await
+        future::or(exchange, timed_out).await
     }
 
-    /// Opens a connection whose server has answered a probe.
+    /// Opens a connection and probes the server on it. The timeout covers both.
     pub(crate) async fn connect_and_probe(
         &self,
         address: SocketAddr,
--- a/platform-engine-client/src/response.rs
+++ b/platform-engine-client/src/response.rs
@@ -1,4 +1,4 @@
-//! The response of a model server: its head, its body, and what they prove.
+//! The response of a model server: reads its head and body and derives how the attempt ended.
 
 use crate::connections::PooledConnection;
 use bytes::BytesMut;
@@ -7,13 +7,13 @@
 use petrelshore_http1::connection::ConnectionError;
 use petrelshore_http1::head::ResponseHead;
 
-/// Bound of a buffered body, and of a chunk of a stream.
+/// The maximum size of a buffered body, and of one chunk of a stream.
 const MAX_BODY_BYTES: usize = 256 << 10;
 
-/// The status of an answer to a release request.
-const PROBE_ANSWERED: u16 = 204;
+/// The status of the response to a release request.
+const RELEASE_RESPONSE_STATUS: u16 = 204;
 
-/// A response whose head was received.
+/// A response whose head has been received.
 pub(crate) struct Response {
     pub(crate) head: ResponseHead,
     pub(crate) body: BodyDecoder,
@@ -28,17 +28,18 @@
         Ok(Response { head, body, connection })
     }
 
-    /// Reads the head of the response to a request that followed a probe. Servers may answer once more some milliseconds
-    /// later: a second answer to the probe is none to the request, which is never answered so.
+    /// Reads the head of the response to a request that followed a probe on the same connection. Some servers send the
+    /// answer to a release request a second time some milliseconds later. A prefill or decode request is never answered
+    /// with that status, so one such response is skipped.
     pub(crate) async fn read_after_probe(connection: PooledConnection) -> Result<Self, AttemptEnd> {
         let response = Response::read(connection).await?;
         match response.head.status {
-            PROBE_ANSWERED => Response::read(response.connection).await,
+            RELEASE_RESPONSE_STATUS => Response::read(response.connection).await,
             _ => Ok(response),
         }
     }
 
-    /// Reads the complete body, within its bound.
+    /// Reads the complete body, up to [`MAX_BODY_BYTES`].
     pub(crate) async fn read_body(&mut self) -> Result<BytesMut, AttemptEnd> {
         let mut data = BytesMut::new();
         let Response { body, connection: PooledConnection { http, .. }, .. } = self;
@@ -55,8 +56,8 @@
         Ok(data)
     }
 
-    /// How an attempt ended whose response is not the expected one. Only the `Srv-Declined` field, together with its
-    /// status, proves that nothing ran.
+    /// Returns how an attempt ended if its response is not the expected one. Only the `Srv-Declined` field together
+    /// with a matching status proves that the server ran nothing.
     pub(crate) fn failure(&self) -> AttemptEnd {
         match (self.head.status, self.head.fields.single("Srv-Declined")) {
             (503 | 504, Some("1")) => AttemptEnd::AtCapacity,
@@ -66,7 +67,7 @@
     }
 }
 
-/// How an attempt ended whose connection failed after the request was written.
+/// Returns how an attempt ended if its connection failed after the request was written.
 pub(crate) fn attempt_end(error: ConnectionError) -> AttemptEnd {
     match error {
         ConnectionError::Malformed(_) => AttemptEnd::Malformed,
--- a/platform-engine-client/src/stream.rs
+++ b/platform-engine-client/src/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of events that is forwarded as it is received.
+//! The event stream of a decode response, whose events are forwarded as they are received.
 
 use crate::connections::{Connections, PooledConnection};
 use crate::response::{Response, attempt_end};
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Bound of one event.
+/// The maximum size of one event.
 const MAX_EVENT_BYTES: usize = 64 << 10;
-/// The comment by which a stream reports its server's load.
+/// The prefix of the comment in which the server reports its load.
 const LOAD_COMMENT: &str = ": Srv-Load:";
-/// How the lines of an event start.
+/// The prefixes that the lines of an event may have.
 const LINE_PREFIXES: [&[u8]; 5] = [b"data:", b":", b"event:", b"id:", b"retry:"];
 
-/// The events of a decode response. Dropping it closes its connection, unless the stream is complete.
+/// The events of a decode response. Dropping the stream closes its connection, unless the stream is complete.
 pub struct Stream {
     connections: Rc<Connections>,
     address: SocketAddr,
@@ -25,7 +25,7 @@
     body: BodyDecoder,
     connection: Option<PooledConnection>,
     data: BytesMut,
-    /// The last load report in the stream.
+    /// The latest load report that was received in the stream.
     pub load: Option<LoadReport>,
 }
 
@@ -36,8 +36,8 @@
         Stream { connections, address, head, body, connection, data, load: None }
     }
 
-    /// The complete events that were received since, unchanged; none once the stream is complete. Its connection is then
-    /// reused, unless further bytes were received on it.
+    /// Returns the complete events that were received since the last call, unchanged, or `None` once the stream is
+    /// complete. The connection of a complete stream is reused, unless further bytes were received on it.
     pub async fn next(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
         if self.head.framing != Framing::Chunked {
             return Err(AttemptEnd::Malformed);
@@ -48,7 +48,7 @@
                 .body
                 .decode(&mut connection.http.buffer, &mut self.data)
                 .map_err(|_| AttemptEnd::Malformed)?;
-            let ready = if complete { self.data.len() } else { complete_events(&self.data) };
+            let ready = if complete { self.data.len() } else { complete_events_len(&self.data) };
             if ready > 0 {
                 let events = self.data.split_to(ready).freeze();
                 self.inspect(&events)?;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Checks that only lines of events are forwarded, and takes the load reports from comments.
+    /// Checks that `events` has only valid event lines, and stores the last load report that its comments contain.
     fn inspect(&mut self, events: &[u8]) -> Result<(), AttemptEnd> {
         for line in events.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -82,11 +82,11 @@
     }
 }
 
-/// The length of the complete events at the start of `data`.
-fn complete_events(data: &[u8]) -> usize {
+/// Returns the length of the complete events at the start of `data`, in bytes.
+fn complete_events_len(data: &[u8]) -> usize {
     let ends_event =
-        |at: &usize| data[*at] == b'\n' && matches!(data[..*at], [.., b'\n'] | [.., b'\n', b'\r']);
-    (0..data.len()).rev().find(ends_event).map_or(0, |at| at + 1)
+        |index: &usize| data[*index] == b'\n' && matches!(data[..*index], [.., b'\n'] | [.., b'\n', b'\r']);
+    (0..data.len()).rev().find(ends_event).map_or(0, |index| index + 1)
 }
 
 #[cfg(test)]
--- a/platform-engine-client/src/trace.rs
+++ b/platform-engine-client/src/trace.rs
@@ -1,26 +1,27 @@
-//! What an exchange shows of itself while it is in progress: it may be cancelled before it can report an end.
+//! The progress of an exchange. An exchange may be cancelled before it can report its end, so its progress can be read
+//! while it is running.
 
 use std::cell::Cell;
 
-/// Which connection carries a request.
+/// The kind of connection that carries a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionSource {
-    /// None was established yet.
+    /// No connection has been established yet.
     NotConnected,
-    /// An idle one that had served another request.
+    /// An idle connection from the pool.
     Pooled,
-    /// One that was established for it.
+    /// A connection that was established for the request.
     New,
 }
 
-/// What is known of whether a request reached a running server.
+/// The delivery of a request to a running server, as far as the client can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Its last byte was not written.
+    /// The last byte of the request has not been written.
     NotWritten,
-    /// It is written; nothing proves that a running server has it.
+    /// The request has been written, but nothing proves that a running server has it.
     Unproven,
-    /// A running server has it.
+    /// It is proved that a running server has the request.
     Proven,
 }
 
@@ -41,25 +42,25 @@
 }
 
 impl ExchangeTrace {
-    /// Which connection carries the request.
+    /// Returns the kind of connection that carries the request.
     pub fn connection(&self) -> ConnectionSource {
         self.connection.get()
     }
 
-    /// What is known of its delivery.
+    /// Returns the delivery state of the request.
     pub fn delivery(&self) -> Delivery {
         self.delivery.get()
     }
 
-    pub(crate) fn connected(&self, connection: ConnectionSource) {
+    pub(crate) fn record_connection(&self, connection: ConnectionSource) {
         self.connection.set(connection);
     }
 
-    pub(crate) fn written(&self) {
+    pub(crate) fn record_written(&self) {
         self.delivery.set(Delivery::Unproven);
     }
 
-    pub(crate) fn delivered(&self) {
+    pub(crate) fn record_delivered(&self) {
         self.delivery.set(Delivery::Proven);
     }
 }
--- a/platform-engine-client/tests/server_behaviour/liveness.rs
+++ b/platform-engine-client/tests/server_behaviour/liveness.rs
@@ -1,6 +1,7 @@
-//! While a KV cache is held, a server has to prove that its process runs: an accepted connection or byte proves nothing.
+//! Tests of liveness proofs. While a KV cache is reserved, a server has to prove that its process runs: an accepted
+//! connection or accepted bytes do not prove this.
 
-use crate::support::{client, held, let_it_idle, prefill_within, request};
+use crate::support::{client, prefill_within, request, request_holding_cache, wait_until_reusable};
 use petrelshore::interface::Outcome;
 use petrelshore_emulator::platform::{ModelServer, ServerBehavior};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
@@ -10,10 +11,11 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-const PREFILLED: &[u8] = b"HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\": 4}";
-const RELEASED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+const PREFILL_RESPONSE: &[u8] = b"HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\": 4}";
+const RELEASE_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// The next request on a connection, up to its end; empty where the connection ends first.
+/// Reads the next request on a connection, up to the end of its head. Returns what was received if the connection ends
+/// first.
 fn read_request(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut buffer = [0; 1024];
@@ -26,6 +28,7 @@
     text
 }
 
+/// Reads a request, checks its method and sends the response.
 fn answer(stream: &mut TcpStream, method: &str, response: &[u8]) {
     let request = read_request(stream);
     assert!(request.starts_with(method), "{request}");
@@ -36,34 +39,34 @@
 fn liveness_proof_tells_a_stopped_server_from_a_slow_one() {
     for alive in [true, false] {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let to = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let (delivered, delivery) = async_channel::bounded::<()>(1);
         let server = std::thread::spawn(move || {
             let (mut first, _) = listener.accept().unwrap();
-            answer(&mut first, "POST", PREFILLED);
-            // Right before the request that waits for its proof.
-            answer(&mut first, "DELETE", RELEASED);
+            answer(&mut first, "POST", PREFILL_RESPONSE);
+            // The probe that is sent right before the second prefill request.
+            answer(&mut first, "DELETE", RELEASE_RESPONSE);
             assert!(read_request(&mut first).starts_with("POST"));
-            // The connection for the proof is accepted in both cases; only a running server answers on it.
+            // The connection for the liveness proof is accepted in both cases, but only a running server answers on it.
             let (mut proof, _) = listener.accept().unwrap();
             if alive {
-                answer(&mut proof, "DELETE", RELEASED);
+                answer(&mut proof, "DELETE", RELEASE_RESPONSE);
                 delivery.recv_blocking().unwrap();
-                first.write_all(PREFILLED).unwrap();
+                first.write_all(PREFILL_RESPONSE).unwrap();
             }
-            // Open until the client has closed.
+            // Keeps the first connection open until the client closes it.
             let _ = read_request(&mut first);
         });
         let client = client(4);
         async_io::block_on(async {
-            assert_eq!(client.prefill(&request(to), &|| {}).await.result, Ok(4.0));
-            let_it_idle().await;
+            assert_eq!(client.prefill(&request(address), &|| {}).await.result, Ok(4.0));
+            wait_until_reusable().await;
             let deliveries = Cell::new(0);
             let on_delivered = || {
                 deliveries.set(deliveries.get() + 1);
                 let _ = delivered.try_send(());
             };
-            let reply = client.prefill(&held(to), &on_delivered).await;
+            let reply = client.prefill(&request_holding_cache(address), &on_delivered).await;
             let expected = if alive { Ok(4.0) } else { Err(AttemptEnd::Unproven) };
             assert_eq!(reply.result, expected);
             assert_eq!(deliveries.get(), usize::from(alive));
@@ -71,8 +74,8 @@
         drop(client);
         server.join().unwrap();
     }
-    assert!(AttemptEnd::Unresponsive.proves_not_run(), "nothing was written");
-    assert!(!AttemptEnd::Unproven.proves_not_run(), "it may have run, or may yet");
+    assert!(AttemptEnd::Unresponsive.proves_not_run(), "no request is written to an unresponsive server");
+    assert!(!AttemptEnd::Unproven.proves_not_run(), "the request may have run, or may still run");
     assert_eq!(AttemptEnd::Unproven.outcome(false), Outcome::Reset);
 }
 
@@ -82,11 +85,11 @@
     let client = client(1);
     async_io::block_on(async {
         assert!(client.prefill(&request(server.address), &|| {}).await.result.is_ok());
-        let_it_idle().await;
+        wait_until_reusable().await;
     });
     server.set(ServerBehavior::Silent);
-    // Its own connection holds the only permit, so none can be established as a proof.
-    let ended = prefill_within(&client, &held(server.address), Duration::from_secs(2));
+    // The request's own connection takes the only permit, so no connection can be established for the liveness proof.
+    let ended = prefill_within(&client, &request_holding_cache(server.address), Duration::from_secs(2));
     assert_eq!(ended, (Some(AttemptEnd::Unproven), false));
 }
 
@@ -98,12 +101,12 @@
         if pooled {
             async_io::block_on(async {
                 assert!(client.prefill(&request(server.address), &|| {}).await.result.is_ok());
-                let_it_idle().await;
+                wait_until_reusable().await;
             });
         }
         server.set(ServerBehavior::Unresponsive);
         let before = server.requests().len();
-        let ended = prefill_within(&client, &held(server.address), Duration::from_secs(2));
+        let ended = prefill_within(&client, &request_holding_cache(server.address), Duration::from_secs(2));
         assert_eq!(ended, (Some(AttemptEnd::Unresponsive), false), "pooled: {pooled}");
         let requests = server.requests();
         let probed = |request: &String| request.starts_with("DELETE /kv/leases/00000000000000ff");
@@ -114,11 +117,11 @@
 #[test]
 fn new_connection_that_falls_silent_proves_nothing() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    // One connection is established and never accepted; no other is.
+    // With this backlog, one connection is established but never accepted, and no other connection is established.
     rustix::net::listen(&listener, 0).unwrap();
-    let to = listener.local_addr().unwrap();
-    // What can't be probed, since no request is finished yet, is written.
-    let unprobed = AttemptRequest { probe: None, ..held(to) };
+    let address = listener.local_addr().unwrap();
+    // No probe is available while no request is finished. The request is then written without a previous proof.
+    let unprobed = AttemptRequest { probe: None, ..request_holding_cache(address) };
     let ended = prefill_within(&client(4), &unprobed, Duration::from_secs(2));
     assert_eq!(ended, (Some(AttemptEnd::Unproven), false));
 }
@@ -126,16 +129,16 @@
 #[test]
 fn second_answer_to_a_probe_is_not_taken_for_the_response() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let to = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        answer(&mut stream, "DELETE", RELEASED);
+        answer(&mut stream, "DELETE", RELEASE_RESPONSE);
         assert!(read_request(&mut stream).starts_with("POST"));
-        stream.write_all(&[RELEASED, PREFILLED].concat()).unwrap();
+        stream.write_all(&[RELEASE_RESPONSE, PREFILL_RESPONSE].concat()).unwrap();
         let _ = read_request(&mut stream);
     });
     let client = client(4);
-    let reply = async_io::block_on(client.prefill(&held(to), &|| {}));
+    let reply = async_io::block_on(client.prefill(&request_holding_cache(address), &|| {}));
     assert_eq!(reply.result, Ok(4.0));
     drop(client);
     server.join().unwrap();
--- a/platform-engine-client/tests/server_behaviour/main.rs
+++ b/platform-engine-client/tests/server_behaviour/main.rs
@@ -1,4 +1,4 @@
-//! How exchanges with model servers that behave well or badly end, on loopback.
+//! Tests how exchanges end with model servers that behave correctly or faultily, over loopback connections.
 
 mod liveness;
 mod responses;
--- a/platform-engine-client/tests/server_behaviour/responses.rs
+++ b/platform-engine-client/tests/server_behaviour/responses.rs
@@ -1,6 +1,6 @@
-//! What responses of model servers, good and bad, are reported as.
+//! Tests how valid and invalid responses of model servers are reported.
 
-use crate::support::{client, let_it_idle, read_stream, request};
+use crate::support::{client, read_stream, request, wait_until_reusable};
 use petrelshore::interface::Outcome;
 use petrelshore_emulator::platform::{ModelServer, ServerBehavior, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
@@ -15,7 +15,7 @@
     async_io::block_on(async {
         for _ in 0..3 {
             assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
-            let_it_idle().await;
+            wait_until_reusable().await;
         }
     });
     assert_eq!(
@@ -30,7 +30,7 @@
     let server = ModelServer::start(true, ServerBehavior::Interim).unwrap();
     let client = client(4);
     let reply = async_io::block_on(client.prefill(&request(server.address), &|| {}));
-    assert_eq!((reply.result, reply.load.is_none()), (Ok(4.0), true), "a malformed load is none");
+    assert_eq!((reply.result, reply.load.is_none()), (Ok(4.0), true), "a malformed load report is ignored");
     server.set(ServerBehavior::Good);
     let reply = async_io::block_on(client.prefill(&request(server.address), &|| {}));
     assert_eq!((reply.result, reply.load.unwrap().memory_share), (Ok(4.0), Some(0.25)));
@@ -72,7 +72,7 @@
     }
 }
 
-/// Answers every request with these bytes, then closes.
+/// Starts a server that answers every request with the given bytes and then closes the connection. Returns its address.
 fn respond_with(bytes: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -102,22 +102,29 @@
     let declined = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nbusy";
     let client = client(4);
     for cut in 0..stream.len() {
-        let to = respond_with(stream.as_bytes()[..cut].to_vec());
-        let (forwarded, ended) = async_io::block_on(read_stream(&client, to));
-        let ended = ended.expect_err("incomplete");
-        assert!(!ended.proves_not_run() && ended.outcome(false) != Outcome::Completed, "{cut}: {ended:?}");
-        assert!("data: a\n\ndata: [DONE]\n\n".starts_with(&forwarded), "{cut}: {forwarded}");
+        let address = respond_with(stream.as_bytes()[..cut].to_vec());
+        let (forwarded, ended) = async_io::block_on(read_stream(&client, address));
+        let ended = ended.expect_err("the response is incomplete");
+        assert!(
+            !ended.proves_not_run() && ended.outcome(false) != Outcome::Completed,
+            "cut at byte {cut}: {ended:?}"
+        );
+        assert!("data: a\n\ndata: [DONE]\n\n".starts_with(&forwarded), "cut at byte {cut}: {forwarded}");
     }
     for cut in 0..prefill.len() {
-        let to = respond_with(prefill.as_bytes()[..cut].to_vec());
-        let ended = async_io::block_on(client.prefill(&request(to), &|| {})).result.expect_err("incomplete");
-        assert!(!ended.proves_not_run(), "{cut}: {ended:?}");
+        let address = respond_with(prefill.as_bytes()[..cut].to_vec());
+        let ended = async_io::block_on(client.prefill(&request(address), &|| {}))
+            .result
+            .expect_err("the response is incomplete");
+        assert!(!ended.proves_not_run(), "cut at byte {cut}: {ended:?}");
     }
-    // `Srv-Declined` counts once the head that holds it is complete.
+    // `Srv-Declined` proves that the request did not run only if the response's head is complete.
     let head_bytes = declined.find("\r\n\r\n").unwrap() + 4;
     for cut in 0..declined.len() {
-        let to = respond_with(declined.as_bytes()[..cut].to_vec());
-        let ended = async_io::block_on(client.prefill(&request(to), &|| {})).result.expect_err("declined");
-        assert_eq!(ended.proves_not_run(), cut >= head_bytes, "{cut}: {ended:?}");
+        let address = respond_with(declined.as_bytes()[..cut].to_vec());
+        let ended = async_io::block_on(client.prefill(&request(address), &|| {}))
+            .result
+            .expect_err("the response is incomplete or declines the request");
+        assert_eq!(ended.proves_not_run(), cut >= head_bytes, "cut at byte {cut}: {ended:?}");
     }
 }
--- a/platform-engine-client/tests/server_behaviour/reuse.rs
+++ b/platform-engine-client/tests/server_behaviour/reuse.rs
@@ -1,6 +1,6 @@
-//! Which connections are reused, and how many are open.
+//! Tests which connections are reused and how many are open.
 
-use crate::support::{TEST_TIMEOUT, client, let_it_idle, read_stream, request};
+use crate::support::{TEST_TIMEOUT, client, read_stream, request, wait_until_reusable};
 use futures_lite::future;
 use petrelshore_emulator::platform::{ModelServer, ServerBehavior, events};
 use petrelshore_gateway_core::attempt_outcome::AttemptEnd;
@@ -15,7 +15,7 @@
     let client = client(4);
     for _ in 0..2 {
         assert_eq!(async_io::block_on(read_stream(&client, server.address)), (events(), Ok(())));
-        // Late bytes would be seen before the next use, too.
+        // Bytes that arrive only after this wait would be found before the next use, too.
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(server.connections(), 2);
@@ -41,13 +41,17 @@
     let client = client(4);
     async_io::block_on(async {
         assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
-        assert_eq!(client.connection_counts(), ConnectionCounts { open: 1, idle: 1 }, "pooled for the next");
-        let_it_idle().await;
+        assert_eq!(
+            client.connection_counts(),
+            ConnectionCounts { open: 1, idle: 1 },
+            "the connection is pooled"
+        );
+        wait_until_reusable().await;
         let (forwarded, ended) = read_stream(&client, server.address).await;
         assert_eq!(
             (forwarded.as_str(), ended),
             ("", Err(AttemptEnd::Reset)),
-            "it was received completely, and may have run"
+            "the server received the complete request and may have run it"
         );
         assert_eq!(read_stream(&client, server.address).await, (events(), Ok(())));
     });
@@ -57,12 +61,13 @@
 #[test]
 fn late_unsolicited_response_is_not_taken_for_the_next() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let to = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let response = |cached: u32| {
         format!("HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{{\"cached_tokens\":{cached}}}")
             .into_bytes()
     };
-    // On whichever connection the second request comes, the first one brings its late response before anything else.
+    // Whichever connection carries the second request, the server first sends a second response to the first request on
+    // the first connection.
     let server = std::thread::spawn(move || {
         let mut request = [0; 1024];
         let (mut first, _) = listener.accept().unwrap();
@@ -86,8 +91,12 @@
     });
     let client = client(4);
     async_io::block_on(async {
-        assert_eq!(client.prefill(&request(to), &|| {}).await.result, Ok(1.0));
-        assert_eq!(client.prefill(&request(to), &|| {}).await.result, Ok(2.0), "its own response");
+        assert_eq!(client.prefill(&request(address), &|| {}).await.result, Ok(1.0));
+        assert_eq!(
+            client.prefill(&request(address), &|| {}).await.result,
+            Ok(2.0),
+            "the second request gets its own response"
+        );
     });
     server.join().unwrap();
 }
@@ -100,7 +109,7 @@
     async_io::block_on(async {
         let unanswered = async {
             client.decode(&request(silent.address), &|| {}).await;
-            unreachable!("it never responds")
+            unreachable!("the silent server never responds")
         };
         let second = async {
             while silent.requests().is_empty() {
--- a/platform-engine-client/tests/server_behaviour/support.rs
+++ b/platform-engine-client/tests/server_behaviour/support.rs
@@ -1,4 +1,4 @@
-//! A client, its requests, and listeners that tests control.
+//! Clients, requests and listeners for the tests.
 
 use bytes::Bytes;
 use futures_lite::future;
@@ -37,13 +37,14 @@
     }
 }
 
-/// The same while a KV cache is held for it.
-pub fn held(address: SocketAddr) -> AttemptRequest {
+/// The request of [`request`], but with a KV cache reserved while it is sent, and with a connect timeout of 400 ms.
+pub fn request_holding_cache(address: SocketAddr) -> AttemptRequest {
     let connect_timeout = Duration::from_millis(400);
     AttemptRequest { holds_cache: true, connect_timeout, ..request(address) }
 }
 
-/// All events of a decode request, and how it ended. Panics after [`TEST_TIMEOUT`].
+/// Sends a decode request. Returns all events that were received and how the stream ended. Panics after
+/// [`TEST_TIMEOUT`].
 pub async fn read_stream(client: &Client, address: SocketAddr) -> (String, Result<(), AttemptEnd>) {
     let mut forwarded = String::new();
     let ended = async {
@@ -55,22 +56,24 @@
     };
     let timeout = async {
         async_io::Timer::after(TEST_TIMEOUT).await;
-        panic!("still no end")
+        panic!("the stream has not ended within the test timeout")
     };
     let ended = future::or(ended, timeout).await;
     (forwarded, ended)
 }
 
-/// Waits until a connection was idle for long enough: what comes late behind a response has been received.
-pub async fn let_it_idle() {
+/// Waits until the pool may reuse an idle connection. By then, bytes that arrive late after a response have been
+/// received.
+pub async fn wait_until_reusable() {
     async_io::Timer::after(Duration::from_millis(150)).await;
 }
 
-/// Accepts connections only once it is opened: until then its backlog is full, and further connections hang.
+/// A listener that accepts connections only after [`BlockedListener::open`]. Until then its backlog is full, and
+/// further connections hang.
 pub struct BlockedListener {
     listener: TcpListener,
     pub address: SocketAddr,
-    queue: Vec<TcpStream>,
+    backlog: Vec<TcpStream>,
 }
 
 impl BlockedListener {
@@ -79,43 +82,44 @@
         rustix::net::listen(&listener, 0).unwrap();
         let address = listener.local_addr().unwrap();
         let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        BlockedListener { queue: (0..4).map_while(connect).collect(), listener, address }
+        BlockedListener { backlog: (0..4).map_while(connect).collect(), listener, address }
     }
 
-    /// Accepts the backlog, and the connection that is established late behind it.
+    /// Accepts the connections in the backlog and the connection that hung behind them. Returns the latter.
     pub fn open(self) -> TcpStream {
-        for _ in &self.queue {
+        for _ in &self.backlog {
             self.listener.accept().unwrap();
         }
         self.listener.accept().unwrap().0
     }
 }
 
-/// All bytes of a connection until its end.
+/// Reads a connection until its end and returns all received bytes.
 pub fn read_to_end(mut stream: TcpStream) -> Vec<u8> {
     let mut received = Vec::new();
     let _ = stream.read_to_end(&mut received);
     received
 }
 
-/// Runs blocking work on a thread of its own.
+/// Runs blocking work on a separate thread and waits for its result.
 pub async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
     let (sender, receiver) = async_channel::bounded(1);
     std::thread::spawn(move || sender.send_blocking(work()));
     receiver.recv().await.unwrap()
 }
 
-/// How a prefill request ends within the time, and whether it was reported as delivered.
+/// Sends a prefill request. Returns how it ended, or `None` if it succeeded or did not end within the time limit, and
+/// whether the request was reported as delivered.
 pub fn prefill_within(
     client: &Client,
     attempt: &AttemptRequest,
-    within: Duration,
+    time_limit: Duration,
 ) -> (Option<AttemptEnd>, bool) {
     let delivered = Cell::new(false);
     let on_delivered = || delivered.set(true);
     let ended = async { client.prefill(attempt, &on_delivered).await.result.err() };
     let timeout = async {
-        async_io::Timer::after(within).await;
+        async_io::Timer::after(time_limit).await;
         None
     };
     let ended = async_io::block_on(future::or(ended, timeout));
