--- a/platform-gateway/src/answer.rs
+++ b/platform-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a request, as the ingress reads it.
+//! The answer to a request, which the ingress reads.
 
 use crate::event_log::RequestId;
 use crate::state::{GatewayState, RequestEntry};
@@ -12,28 +12,29 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// What an ingress reads of its answer.
+/// An item of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerItem {
-    /// Events of the model server, unchanged.
+    /// Events from the model server, unchanged.
     Events(Bytes),
-    /// The end: nothing follows.
+    /// The end of the answer. No item follows.
     FinalAnswer(FinalAnswer),
 }
 
-/// An answer on its way. Dropping it before its end reports to the gateway that the client has left.
+/// The answer to a request in flight. Dropping it before the final answer was read reports to the gateway that the
+/// client has left.
 pub struct Answer {
     pub(crate) id: SequenceId,
     pub(crate) state: Rc<GatewayState>,
     pub(crate) events: Receiver<Bytes>,
-    /// Shared with the entry of the request, which sets it before it closes `events`.
+    /// Shared with the entry of the request. The gateway sets the final answer before it closes `events`.
     pub(crate) final_answer: Rc<Cell<Option<FinalAnswer>>>,
-    /// Whether the final answer was read.
+    /// True once the final answer was read.
     pub(crate) completed: bool,
 }
 
 impl Answer {
-    /// The next events, or the final answer; events before it are read first.
+    /// Returns the next events, or the final answer once all events are read.
     pub async fn next(&mut self) -> AnswerItem {
         if let Ok(events) = self.events.recv().await {
             return AnswerItem::Events(events);
@@ -46,7 +47,7 @@
 
 impl Drop for Answer {
     fn drop(&mut self) {
-        // Once this request is completed, its id may have been used for another: that one is another client's.
+        // Once this request is completed, another client's request may have the same id, and must not be cancelled.
         let is_own = |entry: &RequestEntry| Rc::ptr_eq(&entry.final_answer, &self.final_answer);
         if !self.completed && self.state.entries.borrow().get(&self.id).is_some_and(is_own) {
             debug!(request_id = %RequestId(self.id), "client disconnected");
--- a/platform-gateway/src/attempts.rs
+++ b/platform-gateway/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at model servers: one attempt task each, from the command that sends it to its end.
+//! Attempts at model servers. Each attempt has one attempt task, which runs from the command that starts the attempt
+//! until the attempt ends.
 
 use crate::event_log::{AttemptLog, RequestId};
 use crate::forwarded_request::ForwardedRequest;
@@ -19,22 +20,23 @@
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// An attempt as it was decided on.
+/// An attempt with the state that was known when it was scheduled.
 #[derive(Clone, Copy)]
-struct DecidedAttempt {
+struct ScheduledAttempt {
     dispatch: Dispatch,
     address: SocketAddr,
     decided_at: Nanos,
-    /// When its server had last started, as known then.
+    /// Start time of the server in the endpoint list when the attempt was scheduled.
     server_started_at: Option<Nanos>,
 }
 
-/// How the stream of a decode attempt came to its end.
+/// The reason why the forwarding of a decode stream ended.
 enum StreamEnd {
-    /// The attempt has ended, which is to be reported.
+    /// The attempt ended, which must be reported to the request table.
     Ended(AttemptEnd),
-    /// The ingress reads no more: nothing is to be reported.
-    Unread,
+    /// The ingress no longer reads the answer: the client has left or has its final answer. Nothing is reported, since
+    /// the request table already knows.
+    AnswerClosed,
 }
 
 impl GatewayState {
@@ -60,8 +62,8 @@
             let (Some(address), Some(request)) = (address, request) else {
                 return state.attempt_ended(log, AttemptEnd::NotConnected, None);
             };
-            let decided = DecidedAttempt { dispatch, address, decided_at, server_started_at };
-            let exchange = state.attempt_request(decided, &request, log.trace.clone());
+            let scheduled = ScheduledAttempt { dispatch, address, decided_at, server_started_at };
+            let exchange = state.attempt_request(scheduled, &request, log.trace.clone());
             drop(request);
             match step {
                 Step::Prefill => state.prefill(log, exchange).await,
@@ -73,29 +75,30 @@
 
     fn attempt_request(
         self: &Rc<Self>,
-        decided: DecidedAttempt,
+        scheduled: ScheduledAttempt,
         request: &ForwardedRequest,
         trace: Rc<ExchangeTrace>,
     ) -> AttemptRequest {
-        let dispatch = &decided.dispatch;
+        let dispatch = &scheduled.dispatch;
         AttemptRequest {
-            address: decided.address,
+            address: scheduled.address,
             target: request.target.clone(),
             id: request.id.clone(),
             fields: request.fields.clone(),
             body: request.body.clone(),
             timeout: dispatch.timeout,
-            decided_at: decided.decided_at,
+            decided_at: scheduled.decided_at,
             connect_timeout: Duration::from_nanos(dispatch.connect_timeout),
             holds_cache: dispatch.holds_cache,
             probe: self.liveness_probe(),
             new_connection: dispatch.new_connection,
-            send_check: self.send_check(decided, request),
+            send_check: self.send_check(scheduled, request),
             trace,
         }
     }
 
-    /// What shows that a server's process runs; none before anything has finished, where health checks are not allowed.
+    /// The probe whose answer proves that a server's process is running: a release request for a finished request. If
+    /// no request has finished yet, the probe is a health check, or `None` if the settings forbid health checks.
     fn liveness_probe(&self) -> Option<LivenessProbe> {
         if let Some(request_id) = self.event_loop.requests().finished_request_id() {
             return Some(LivenessProbe::ReleaseFinished { request_id: request_id.into() });
@@ -103,11 +106,11 @@
         self.health_checks_allowed.then_some(LivenessProbe::HealthCheck)
     }
 
-    /// Decides in the last instant whether an attempt may still be sent.
-    fn send_check(self: &Rc<Self>, decided: DecidedAttempt, request: &ForwardedRequest) -> SendCheck {
+    /// Returns the check that decides, immediately before the first byte is written, whether the attempt may be sent.
+    fn send_check(self: &Rc<Self>, scheduled: ScheduledAttempt, request: &ForwardedRequest) -> SendCheck {
         let (state, has_client_left) = (self.clone(), request.has_client_left.clone());
         Rc::new(move || {
-            let DecidedAttempt { dispatch, address, decided_at, server_started_at } = &decided;
+            let ScheduledAttempt { dispatch, address, decided_at, server_started_at } = &scheduled;
             let pending = PendingSend {
                 dispatch,
                 decided_at: *decided_at,
@@ -125,7 +128,7 @@
         })
     }
 
-    /// The server provably has the request of an attempt.
+    /// Records the proof that a running server has received the request of an attempt.
     fn attempt_delivered(&self, dispatch: &Dispatch) {
         debug!(request_id = %RequestId(dispatch.id), attempt = dispatch.attempt, "attempt delivered");
         self.event_loop.requests_mut().attempt_delivered(dispatch.id, dispatch.attempt);
@@ -135,15 +138,15 @@
     async fn prefill(self: Rc<Self>, log: AttemptLog, request: AttemptRequest) {
         let dispatch = log.dispatch;
         let reply = self.client.prefill(&request, &|| self.attempt_delivered(&dispatch)).await;
-        let ending = match reply.result {
+        let end = match reply.result {
             Ok(cached_tokens) => AttemptEnd::PrefillDone { cached_tokens },
             Err(AttemptEnd::ReturnedUnsent) => return self.client_left_before_send(dispatch.id),
-            Err(ending) => ending,
+            Err(end) => end,
         };
-        self.attempt_ended(log, ending, reply.load);
+        self.attempt_ended(log, end, reply.load);
     }
 
-    /// The attempt task of any step that decodes.
+    /// The attempt task of all steps that decode.
     async fn decode(self: Rc<Self>, log: AttemptLog, request: AttemptRequest) {
         let dispatch = log.dispatch;
         let reply = self.client.decode(&request, &|| self.attempt_delivered(&dispatch)).await;
@@ -151,32 +154,32 @@
         let mut stream = match reply.result {
             Ok(stream) => stream,
             Err(AttemptEnd::ReturnedUnsent) => return self.client_left_before_send(dispatch.id),
-            Err(ending) => return self.attempt_ended(log, ending, reply.load),
+            Err(end) => return self.attempt_ended(log, end, reply.load),
         };
         self.load_reported(dispatch.server, reply.load);
-        if let StreamEnd::Ended(ending) = self.forward_stream(dispatch, &mut stream).await {
-            self.attempt_ended(log, ending, stream.load);
+        if let StreamEnd::Ended(end) = self.forward_stream(dispatch, &mut stream).await {
+            self.attempt_ended(log, end, stream.load);
         }
     }
 
     async fn forward_stream(self: &Rc<Self>, dispatch: Dispatch, stream: &mut Stream) -> StreamEnd {
-        let mut began = false;
+        let mut stream_started = false;
         loop {
             let events = match stream.next().await {
                 Ok(Some(events)) => events,
-                Ok(None) if began => return StreamEnd::Ended(AttemptEnd::Completed),
+                Ok(None) if stream_started => return StreamEnd::Ended(AttemptEnd::Completed),
                 Ok(None) => return StreamEnd::Ended(AttemptEnd::Malformed),
-                Err(ending) => return StreamEnd::Ended(ending),
+                Err(end) => return StreamEnd::Ended(end),
             };
-            if began {
+            if stream_started {
                 let now = self.event_loop.now();
                 self.event_loop.requests_mut().token_received(now, dispatch.id);
             } else {
-                began = true;
+                stream_started = true;
                 self.apply(|requests, now, commands| requests.first_token(now, &dispatch, commands));
             }
             if self.forward_events(dispatch.id, events).await == Delivery::Closed {
-                return StreamEnd::Unread;
+                return StreamEnd::AnswerClosed;
             }
         }
     }
@@ -189,25 +192,25 @@
         }
     }
 
-    /// A client left before its attempt was sent: nothing is sent for it any more.
+    /// Handles a client that left before its attempt was sent. No attempt is sent for the request any more.
     fn client_left_before_send(self: &Rc<Self>, id: SequenceId) {
         debug!(request_id = %RequestId(id), "client disconnected before its attempt was sent");
         self.apply(|requests, now, commands| requests.client_cancelled(now, id, commands));
     }
 
-    fn attempt_ended(self: &Rc<Self>, log: AttemptLog, ending: AttemptEnd, load: Option<LoadReport>) {
-        self.log_attempt_end(&log, ending);
+    fn attempt_ended(self: &Rc<Self>, log: AttemptLog, end: AttemptEnd, load: Option<LoadReport>) {
+        self.log_attempt_end(&log, end);
         let dispatch = log.dispatch;
         let Dispatch { id, attempt, server, .. } = dispatch;
         self.load_reported(server, load);
         let mut entries = self.entries.borrow_mut();
         let own_task = entries.get_mut(&id).and_then(|entry| entry.attempt.take(attempt));
         drop(entries);
-        // This runs in that task, which must get to its own end.
+        // This code runs in the attempt task itself. Dropping the task here would cancel it before its end.
         if let Some(task) = own_task {
             task.detach();
         }
-        self.apply(|requests, now, commands| requests.attempt_ended(now, &dispatch, ending, commands));
+        self.apply(|requests, now, commands| requests.attempt_ended(now, &dispatch, end, commands));
     }
 
     fn load_reported(&self, server: ServerId, load: Option<LoadReport>) {
--- a/platform-gateway/src/commands.rs
+++ b/platform-gateway/src/commands.rs
@@ -36,11 +36,11 @@
         if let Some(log) = log.filter(|log| log.dispatch.attempt == attempt) {
             self.log_attempt_cancelled(&log, reason);
         }
-        // Dropping its task closes its connection.
+        // Dropping the attempt task closes the connection of the attempt.
         drop(task);
     }
 
-    /// The one final answer: the ingress reads it once it has read all events before it.
+    /// Gives a request its only final answer. The ingress reads the final answer after all queued events.
     fn finish_answer(&self, id: SequenceId, outcome: FinalAnswer) {
         if let Some(entry) = self.entries.borrow().get(&id) {
             self.log_final_answer(id, entry.accepted_at, outcome);
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list of the platform's discovery, through the agent on the gateway's own machine.
+//! Watches the endpoint list of the platform's discovery service through the discovery agent on the gateway's machine.
 
 mod list_request;
 
@@ -15,35 +15,41 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info, warn};
 
-// A change counts as known 6 s after discovery has it and can be reached, however the requests before ended. At the most
-// there pass the rest of a watch that is out (`MAX_WATCH_TIMEOUT` + the poll interval, 2.5 s), a connection and the full
-// list (`REQUEST_TIMEOUT` each): 3.5 s.
+// A change counts as known to the gateway 6 s after the discovery service has the change and can be reached, however
+// earlier requests ended. The gateway needs at most 3.5 s: the rest of a watch in progress (`MAX_WATCH_TIMEOUT` plus
+// the poll interval, 2.5 s), then `REQUEST_TIMEOUT` to connect and `REQUEST_TIMEOUT` to fetch the full list.
 //
-// What an agent that was silent has at its return counts at once, and it does not answer earlier requests. So requests
-// begin a poll interval apart, whatever became of the ones before, and the list is there a part of the drain grace after
-// the return. The requests before stay out for their time: an agent that is only slow answers them. One that takes up to
-// `PATIENT_REQUEST_TIMEOUT` is followed: its list is there 3.5 s after the watch before it has ended at the latest.
+// When an agent answers again after a silence, its list counts as known to the gateway at once, and the agent does not
+// answer requests from before its return. So the gateway starts a request for the full list every poll interval,
+// whatever became of earlier requests, and has the list a fraction of the drain grace after the return. Earlier
+// requests stay in progress until their timeouts, because an agent that is only slow will still answer them. The
+// gateway can follow an agent that takes up to `LONG_REQUEST_TIMEOUT` to answer: its list arrives at most 3.5 s after
+// the end of the previous watch.
 
-/// What a watch asks the agent to wait for changes at the most. Short, since a change that got lost on its way, and an
-/// agent that is silent, show only at its end: no more than `WATCH_TIMEOUT_DRAIN_GRACES` times the drain grace.
+/// The maximum time that a watch request asks the agent to wait for changes. The time is short because a lost change or
+/// a silent agent is noticed only when the request ends. It is also limited to `WATCH_TIMEOUT_DRAIN_GRACES` times the
+/// drain grace.
 const MAX_WATCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 const WATCH_TIMEOUT_DRAIN_GRACES: u32 = 2;
-/// The agent answers at once what has no wait in it.
+/// Timeout of a request that does not ask the agent to wait. The agent answers such a request at once.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// But discovery may be slow. So one of the requests that begin in this time stays out for longer than the others.
-const PATIENT_REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
-const PATIENT_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Between the beginnings of two requests for the full list: a part of the drain grace, within these bounds.
+/// Minimum time between the starts of two requests with `LONG_REQUEST_TIMEOUT`. The discovery service may be slow, so
+/// one request per interval may take longer than the others.
+const LONG_REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
+const LONG_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Number of requests for the full list that start per drain grace. The time between two starts is clamped to
+/// `MIN_POLL_INTERVAL..=MAX_POLL_INTERVAL`.
 const POLLS_PER_DRAIN_GRACE: u32 = 2;
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long to wait, by the drain grace of the settings.
+/// Timeouts and intervals that depend on the drain grace in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct WatchTimings {
-    /// What a watch asks the agent to wait at the most.
+    /// The maximum time that a watch request asks the agent to wait for changes.
     watch_timeout: Duration,
-    /// Between two requests for the full list, and allowed to a watch beyond its wait.
+    /// The time between the starts of two requests for the full list. Also the time that a watch request may take
+    /// beyond `watch_timeout`.
     poll_interval: Duration,
 }
 
@@ -57,14 +63,14 @@
     }
 }
 
-/// A connection to the agent, with the list that came on it last.
+/// A connection to the agent, with the last list that arrived on this connection.
 struct ListConnection {
-    wire: HttpConnection,
+    http: HttpConnection,
     list: EndpointList,
 }
 
-/// The watch task: follows the endpoint list for as long as it is polled. A new address is taken up at once, from its
-/// full list on.
+/// The watch task. It follows the endpoint list and never ends. When the address of the discovery agent changes, the
+/// task immediately requests the full list from the new address.
 pub async fn watch(gateway: PlatformGateway) {
     let timings = WatchTimings::new(gateway.drain_grace());
     loop {
@@ -75,7 +81,7 @@
     }
 }
 
-/// Watches the list at one address.
+/// Watches the endpoint list of the agent at one address.
 #[derive(Clone, Copy)]
 struct Watcher<'a> {
     gateway: &'a PlatformGateway,
@@ -86,9 +92,9 @@
 impl<'a> Watcher<'a> {
     async fn run(self) {
         loop {
-            // Guards against an agent that ends each connection with its answer.
+            // Limits the rate of connections to an agent that closes each connection after its answer.
             let poll_interval = Timer::after(self.timings.poll_interval);
-            let connection = self.full_list().await;
+            let connection = self.fetch_full_list().await;
             let reason = self.follow_changes(connection).await;
             if self.gateway.may_log(EventKind::EndpointListChanged) {
                 info!(address = %self.address, %reason, "endpoint list watch ended");
@@ -97,22 +103,22 @@
         }
     }
 
-    /// The full list, by the first request that is answered with it.
-    async fn full_list(self) -> ListConnection {
+    /// Requests the full list repeatedly until one of the requests succeeds.
+    async fn fetch_full_list(self) -> ListConnection {
         let mut requests: Vec<Call<'a, ListConnection>> = Vec::new();
-        let mut last_patient = None;
+        let mut last_long_start = None;
         loop {
-            let is_patient =
-                last_patient.is_none_or(|last: Instant| last.elapsed() >= PATIENT_REQUEST_INTERVAL);
-            if is_patient {
-                last_patient = Some(Instant::now());
+            let is_long =
+                last_long_start.is_none_or(|start: Instant| start.elapsed() >= LONG_REQUEST_INTERVAL);
+            if is_long {
+                last_long_start = Some(Instant::now());
             }
-            let timeout = if is_patient { PATIENT_REQUEST_TIMEOUT } else { REQUEST_TIMEOUT };
-            requests.push(Box::pin(self.try_full_list(timeout)));
+            let timeout = if is_long { LONG_REQUEST_TIMEOUT } else { REQUEST_TIMEOUT };
+            requests.push(Box::pin(self.request_full_list(timeout)));
             let answer = async {
                 match first_success(&mut requests).await {
                     Some(connection) => Some(connection),
-                    // All have failed: the next one is made when its time has come.
+                    // All requests have failed. The next request starts after the poll interval.
                     None => future::pending().await,
                 }
             };
@@ -126,13 +132,13 @@
         }
     }
 
-    async fn try_full_list(self, timeout: Duration) -> Option<ListConnection> {
+    async fn request_full_list(self, timeout: Duration) -> Option<ListConnection> {
         let result = async {
-            let mut wire =
+            let mut http =
                 HttpConnection::connect(self.address, REQUEST_TIMEOUT).await.map_err(ListError::Connect)?;
             let request = ListRequest { address: self.address, query: "", timeout };
-            let list = request_list(&mut wire, request, self.gateway.names()).await?;
-            Ok::<_, ListError>(ListConnection { wire, list })
+            let list = request_list(&mut http, request, self.gateway.names()).await?;
+            Ok::<_, ListError>(ListConnection { http, list })
         };
         match result.await {
             Ok(connection) => Some(connection),
@@ -143,21 +149,22 @@
         }
     }
 
-    /// Takes a list and what changes after it. Returns why it can't be followed any further.
+    /// Applies a list and then its changes as they arrive. Returns the error that ends the watch.
     async fn follow_changes(self, connection: ListConnection) -> ListError {
-        let ListConnection { mut wire, mut list } = connection;
+        let ListConnection { mut http, mut list } = connection;
         loop {
             for error in &list.left_out {
                 warn!(%error, "endpoint list entry rejected");
             }
             let index = list.index;
             self.gateway.update_endpoints(list);
-            // An answer behind the one requested would be taken for the next one's, and each after it for the next.
-            if !wire.is_reusable() {
+            // If an unrequested answer follows, the next request would read it as its own answer, and every later
+            // request would read the answer to the request before it.
+            if !http.is_reusable() {
                 return ListError::UnexpectedData;
             }
-            list = match self.next_change(&mut wire, index).await {
-                // Nothing newer than the index known here would ever come.
+            list = match self.next_change(&mut http, index).await {
+                // An agent whose index went back would never send anything newer than the known index.
                 Ok(next) if next.index < index => {
                     return ListError::IndexWentBack { known: index, received: next.index };
                 }
@@ -167,11 +174,11 @@
         }
     }
 
-    async fn next_change(self, wire: &mut HttpConnection, index: u64) -> Result<EndpointList, ListError> {
+    async fn next_change(self, http: &mut HttpConnection, index: u64) -> Result<EndpointList, ListError> {
         let WatchTimings { watch_timeout, poll_interval } = self.timings;
         let query = format!("?since={index}&timeout_ms={}", watch_timeout.as_millis());
         let request =
             ListRequest { address: self.address, query: &query, timeout: watch_timeout + poll_interval };
-        request_list(wire, request, self.gateway.names()).await
+        request_list(http, request, self.gateway.names()).await
     }
 }
--- a/platform-gateway/src/discovery/list_request.rs
+++ b/platform-gateway/src/discovery/list_request.rs
@@ -1,4 +1,4 @@
-//! One request for the endpoint list, on a connection that is up.
+//! A single request for the endpoint list, on an established connection.
 
 use async_io::Timer;
 use bytes::BytesMut;
@@ -15,30 +15,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest list that is taken.
+/// The maximum size of an endpoint list.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 const STATUS_OK: u16 = 200;
 
-/// Why an endpoint list was not had, or can't be followed any further.
+/// The reason why an endpoint list could not be fetched, or why its watch ended.
 #[derive(Debug)]
 pub(super) enum ListError {
     Connect(ConnectError),
     Write(io::Error),
-    /// The answer is no HTTP.
+    /// The answer is not valid HTTP.
     Unreadable(ParseError),
-    /// The connection broke before the answer was complete.
+    /// The connection failed before the answer was complete.
     Disconnected,
-    /// The answer was not complete in time.
+    /// The answer was not complete within the timeout.
     Timeout,
     /// The list is larger than [`MAX_LIST_BYTES`].
     TooLarge,
     Status(u16),
     Json(serde_json::Error),
     Malformed(DecodeError),
-    /// Bytes, or the end of the connection, came behind an answer.
+    /// The agent sent further bytes after an answer, or closed the connection.
     UnexpectedData,
-    /// The list's index is lower than one that was known before.
+    /// The index of the list is lower than the index of the list before.
     IndexWentBack {
         known: u64,
         received: u64,
@@ -68,24 +68,24 @@
 impl std::error::Error for ListError {}
 
 impl From<ConnectionError> for ListError {
-    fn from(broken: ConnectionError) -> Self {
-        match broken {
+    fn from(error: ConnectionError) -> Self {
+        match error {
             ConnectionError::Malformed(error) => ListError::Unreadable(error),
             ConnectionError::Closed => ListError::Disconnected,
         }
     }
 }
 
-/// What to request of the agent.
+/// The parameters of a request to the agent.
 #[derive(Clone, Copy)]
 pub(super) struct ListRequest<'a> {
     pub(super) address: SocketAddr,
-    /// With its question mark; empty for the full list at once.
+    /// The query with its question mark. Empty to request the full list without waiting.
     pub(super) query: &'a str,
     pub(super) timeout: Duration,
 }
 
-/// Requests the list and reads the answer.
+/// Requests the list and reads the answer, within the timeout of the request.
 pub(super) async fn request_list(
     connection: &mut HttpConnection,
     request: ListRequest<'_>,
@@ -124,7 +124,7 @@
         }
         match connection.read_more().await {
             Err(ConnectionError::Closed) if body.may_end_at_close() => break,
-            more => more?,
+            result => result?,
         }
     }
     Ok(data)
--- a/platform-gateway/src/endpoints.rs
+++ b/platform-gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and where it is watched.
+//! Updates of the endpoint list, and the address of the discovery agent that serves it.
 
 use crate::gateway::PlatformGateway;
 use crate::known_servers::ListChange;
@@ -9,7 +9,7 @@
 use tracing::{debug, info};
 
 impl PlatformGateway {
-    /// Takes an endpoint list, or what has changed in it.
+    /// Applies an endpoint list or a change to it.
     pub fn update_endpoints(&self, list: EndpointList) {
         let state = &self.0;
         let now = state.event_loop.now();
@@ -21,31 +21,31 @@
         state.client.retain_endpoints(|address| listed.contains(address));
         let (index, scope, entries) = (list.index, list.scope, entries.len());
         if change.count > 0 && state.may_log(EventKind::EndpointListChanged) {
-            let ListChange { count: changes, named } = change;
-            info!(index, ?scope, entries, changes, changed = ?named, "endpoint list updated");
+            let ListChange { count: changes, logged } = change;
+            info!(index, ?scope, entries, changes, changed = ?logged, "endpoint list updated");
         } else {
             debug!(index, ?scope, entries, "endpoint list updated");
         }
     }
 
-    /// The time between the notice that a server drains and the last send to it.
+    /// The maximum time between the notice that a server is draining and the last attempt that is sent to it.
     pub fn drain_grace(&self) -> Nanos {
         self.0.drain_grace
     }
 
-    /// Where the endpoint list is watched.
+    /// The address of the discovery agent whose endpoint list is watched.
     pub fn discovery_address(&self) -> SocketAddr {
         self.0.discovery_address.get()
     }
 
-    /// The endpoint list is watched at another address from now on.
+    /// Sets the address of the discovery agent whose endpoint list is watched from now on.
     pub fn set_discovery_address(&self, address: SocketAddr) {
         if self.0.discovery_address.replace(address) != address {
             self.0.discovery_address_changed.notify(usize::MAX);
         }
     }
 
-    /// Returns when the address of discovery has changed after this call.
+    /// Completes when the address of the discovery agent changes after this call.
     pub fn discovery_address_changed(&self) -> impl Future<Output = ()> + use<> {
         self.0.discovery_address_changed.listen()
     }
--- a/platform-gateway/src/event_log.rs
+++ b/platform-gateway/src/event_log.rs
@@ -1,4 +1,5 @@
-//! The events that are logged by default: what went wrong with which request, and why, within a budget.
+//! The log lines about single requests, attempts and releases. Failures are logged by default, within a budget per kind
+//! of event, so that the log tells which request failed and why.
 
 use crate::known_servers::ServerName;
 use crate::state::GatewayState;
@@ -16,7 +17,7 @@
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// Writes a request's id as clients and servers have it.
+/// Displays a request id in the format that clients and servers use.
 pub(crate) struct RequestId(pub(crate) SequenceId);
 
 impl fmt::Display for RequestId {
@@ -25,7 +26,7 @@
     }
 }
 
-/// What is logged of an attempt that does not succeed.
+/// The data that is logged at the end of an attempt.
 #[derive(Clone)]
 pub(crate) struct AttemptLog {
     pub(crate) dispatch: Dispatch,
@@ -33,7 +34,7 @@
     pub(crate) trace: Rc<ExchangeTrace>,
 }
 
-/// Why an attempt did not succeed.
+/// The reason why an attempt did not succeed.
 #[derive(Clone, Copy)]
 enum AttemptFailure {
     Ended(AttemptEnd),
@@ -50,7 +51,7 @@
 }
 
 impl GatewayState {
-    /// Counts an event; whether it is to be logged.
+    /// Counts an event and returns whether the event may be logged within the budget.
     pub(crate) fn may_log(&self, kind: EventKind) -> bool {
         self.event_budget.borrow_mut().admit(self.event_loop.now(), kind)
     }
@@ -60,7 +61,7 @@
         self.known_servers.borrow().name(server)
     }
 
-    /// Logs how an attempt ended.
+    /// Logs the end of an attempt.
     pub(crate) fn log_attempt_end(&self, log: &AttemptLog, end: AttemptEnd) {
         let succeeded = matches!(end, AttemptEnd::Completed | AttemptEnd::PrefillDone { .. });
         if !succeeded && self.may_log(EventKind::AttemptFailed) {
@@ -98,7 +99,7 @@
         );
     }
 
-    /// Logs that an attempt was denied right before its first byte.
+    /// Logs that an attempt was denied immediately before its first byte was written.
     pub(crate) fn log_denial(&self, dispatch: &Dispatch, reason: SendDenial) {
         if self.may_log(EventKind::AttemptDenied) {
             let Dispatch { id, attempt, server, .. } = *dispatch;
@@ -107,14 +108,15 @@
         }
     }
 
-    /// Logs how long a release request took, if it did not succeed at once.
+    /// Logs the end of a release request: within the budget as delayed if no server answered, or if the answer took the
+    /// relay interval or longer; as finished otherwise.
     pub(crate) fn log_release(&self, release: &CacheRelease, sent_at: Nanos, answered_by: Option<ServerId>) {
         let elapsed = self.event_loop.now().saturating_sub(sent_at);
-        let at_once = elapsed < self.event_loop.requests().relay_interval();
+        let within_relay_interval = elapsed < self.event_loop.requests().relay_interval();
         let (server, request_id) = (self.server_name(release.server), &release.request_id);
         let elapsed_ms = elapsed / NANOS_PER_MILLISECOND;
         let answered_by = answered_by.map(|server| self.server_name(server));
-        if (answered_by.is_none() || !at_once) && self.may_log(EventKind::ReleaseDelayed) {
+        if (answered_by.is_none() || !within_relay_interval) && self.may_log(EventKind::ReleaseDelayed) {
             info!(%request_id, %server, ?answered_by, elapsed_ms, "release delayed");
         } else {
             debug!(%request_id, %server, ?answered_by, elapsed_ms, "release finished");
--- a/platform-gateway/src/gateway.rs
+++ b/platform-gateway/src/gateway.rs
@@ -21,32 +21,33 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Parts of an answer that are queued for a client that does not read them, before its attempt has to wait.
+/// The maximum number of answer parts that are queued for a client that does not read them. The attempt waits while the
+/// queue is full.
 const MAX_QUEUED_EVENTS: usize = 4;
 
-/// A running gateway. Clones are the same gateway.
+/// A handle to a running gateway. Clones refer to the same gateway.
 #[derive(Clone)]
 pub struct PlatformGateway(pub(crate) Rc<GatewayState>);
 
-/// Connections to model servers, and releases.
+/// Numbers of connections to model servers and of pending releases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Connections to model servers that are open.
+    /// Number of open connections to model servers.
     pub open: usize,
-    /// Those of them that are idle.
+    /// Number of open connections that are idle.
     pub idle: usize,
-    /// Release requests that no server has answered yet.
+    /// Number of pending releases, which no server has answered yet.
     pub pending_releases: usize,
 }
 
 impl PlatformGateway {
-    /// Starts from a configuration and the endpoint list in it. At most `max_connections` to model servers are open at
-    /// once.
+    /// Starts a gateway with a configuration and the endpoint list that the configuration contains. At most
+    /// `max_connections` connections to model servers are open at once.
     pub fn start(config: Config, max_connections: usize, spawner: Spawner) -> PlatformGateway {
         let clock = Clock::start();
-        let fields = config.names.report.clone();
+        let load_fields = config.names.report.clone();
         let max_requests = max_connections.saturating_sub(RELEASE_CONNECTIONS).max(1);
-        let client = Client::new(clock, max_connections, config.idle_for, fields);
+        let client = Client::new(clock, max_connections, config.idle_for, load_fields);
         let requests = PassthroughRequests::new(clock.now(), config.deployment, config.seed, max_requests);
         let gateway = PlatformGateway(Rc::new(GatewayState {
             event_loop: EventLoop::new(clock, requests),
@@ -67,7 +68,7 @@
         gateway
     }
 
-    /// Accepts a request, or says why not. What is accepted gets exactly one final answer.
+    /// Accepts a request or returns the reason for its rejection. An accepted request gets exactly one final answer.
     pub fn accept(&self, new: NewSequence, request: ForwardedRequest) -> Result<Answer, Rejection> {
         let state = &self.0;
         let id = new.id;
@@ -90,32 +91,32 @@
         Ok(Answer { id, state: state.clone(), events, final_answer, completed: false })
     }
 
-    /// How many requests are tracked: in flight, or with something left to be done for them.
+    /// Number of requests in the request table, answered or not.
     pub fn tracked(&self) -> usize {
         self.0.event_loop.requests().tracked()
     }
 
-    /// What happened so far, as counters.
+    /// Counts of events since the start.
     pub fn counts(&self) -> Counts {
         self.0.event_loop.requests().counts()
     }
 
-    /// Invariants violated so far, as counted at run time: empty unless this program is at fault.
+    /// Number of violations of each invariant since the start. Any violation is a fault of this program.
     pub fn violations(&self) -> BTreeMap<Violation, u64> {
         self.0.event_loop.requests().violations().clone()
     }
 
-    /// Counts an event; whether it is to be logged.
+    /// Counts an event and returns whether the event may be logged within the budget.
     pub fn may_log(&self, kind: EventKind) -> bool {
         self.0.may_log(kind)
     }
 
-    /// The events of each kind so far, and how many of them were not logged.
+    /// Number of events of each kind since the start, and number of events that were not logged.
     pub fn events(&self) -> EventBudget {
         self.0.event_budget.borrow().clone()
     }
 
-    /// How many connections to model servers there are, and how many pending releases.
+    /// Numbers of connections to model servers and of pending releases.
     pub fn connection_counts(&self) -> ConnectionCounts {
         let petrelshore_platform_engine_client::ConnectionCounts { open, idle } =
             self.0.client.connection_counts();
@@ -123,17 +124,17 @@
         ConnectionCounts { open, idle, pending_releases }
     }
 
-    /// The platform's names for the identifiers of the decisions.
+    /// The platform's names for the numeric ids of the scheduler, such as zones and server kinds.
     pub fn names(&self) -> &Names {
         &self.0.names
     }
 
-    /// The clock that all times of this gateway go by.
+    /// The clock of this gateway, the source of all its times.
     pub fn clock(&self) -> Clock {
         self.0.event_loop.clock()
     }
 
-    /// What spawns the tasks of this gateway.
+    /// The spawner of this gateway's tasks.
     pub fn spawner(&self) -> &Spawner {
         &self.0.spawner
     }
--- a/platform-gateway/src/known_servers.rs
+++ b/platform-gateway/src/known_servers.rs
@@ -1,4 +1,4 @@
-//! The names of servers, for the log, and what a list changes.
+//! The names and states of the listed servers, for the log.
 
 use petrelshore::interface::{EndpointState, ServerId, SnapshotKind};
 use petrelshore_platform_protocol::endpoint_list::{EndpointList, ListedEndpoint};
@@ -6,15 +6,15 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Changes of one list that are named in the log.
-const MAX_NAMED_CHANGES: usize = 8;
+/// The maximum number of changes per list that are logged in detail.
+const MAX_LOGGED_CHANGES: usize = 8;
 
 /// A server's name in the log.
 #[derive(Clone)]
 pub(crate) enum ServerName {
-    /// As it is listed.
+    /// The name in the endpoint list.
     Listed(Rc<str>),
-    /// It is not listed any more.
+    /// The id of a server that is no longer listed.
     Unlisted(ServerId),
 }
 
@@ -38,26 +38,26 @@
     state: EndpointState,
 }
 
-/// The listed servers by name and state.
+/// The names and states of the listed servers.
 #[derive(Default)]
 pub(crate) struct KnownServers {
     servers: BTreeMap<ServerId, KnownServer>,
 }
 
-/// What a list changed.
+/// The changes that a list made to the known servers.
 #[derive(Debug, Default)]
 pub(crate) struct ListChange {
-    /// How many servers came, left or changed their state.
+    /// Number of servers that were added, were removed or changed their state.
     pub(crate) count: usize,
-    /// The first of them, each with its state.
-    pub(crate) named: Vec<String>,
+    /// The first [`MAX_LOGGED_CHANGES`] changes, each as the name and the new state of the server.
+    pub(crate) logged: Vec<String>,
 }
 
 impl ListChange {
     fn add(&mut self, name: &str, state: EndpointState) {
         self.count += 1;
-        if self.named.len() < MAX_NAMED_CHANGES {
-            self.named.push(format!("{name}={state:?}"));
+        if self.logged.len() < MAX_LOGGED_CHANGES {
+            self.logged.push(format!("{name}={state:?}"));
         }
     }
 }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes a list in, and returns what it changes.
+    /// Applies an endpoint list and returns the changes.
     pub(crate) fn update(&mut self, list: &EndpointList) -> ListChange {
         let mut change = ListChange::default();
         let mut previous = match list.scope {
@@ -88,7 +88,7 @@
                 self.servers.insert(server, KnownServer { name, state });
             }
         }
-        previous.values().for_each(|left| change.add(&left.name, EndpointState::Gone));
+        previous.values().for_each(|removed| change.add(&removed.name, EndpointState::Gone));
         change
     }
 }
--- a/platform-gateway/src/lib.rs
+++ b/platform-gateway/src/lib.rs
@@ -1,13 +1,16 @@
-//! The gateway on the operators' platform: executes on sockets what the request table of
-//! [`petrelshore_gateway_core::passthrough`] commands. The gateway of the chat APIs is in `chat-gateway/`.
+//! The gateway on the operators' platform. It executes the commands of the request table
+//! ([`petrelshore_gateway_core::passthrough`]) on sockets. The gateway of the chat APIs is in `chat-gateway/`.
 //!
-//! An ingress hands a request to [`PlatformGateway::accept`] and reads its [`Answer`]. [`discovery`] watches the
-//! endpoint list. No routing decision is made here.
+//! An ingress submits a request through [`PlatformGateway::accept`] and reads the [`Answer`]. [`discovery`] watches the
+//! endpoint list. This package makes no routing decisions.
 //!
-//! All of it runs on one thread, in these tasks: the *timeout task* applies timeouts, an *attempt task* for each attempt
-//! in flight speaks to its model server, a *release task* for each release request gets it answered, and the *watch
-//! task* ([`discovery::watch`]) follows the endpoint list. The tasks of the ingress call [`PlatformGateway`] and
-//! [`Answer`].
+//! All code runs on one thread, in these tasks:
+//!
+//! - The *timeout task* applies the timeouts of the request table.
+//! - An *attempt task* per attempt in flight exchanges messages with the model server.
+//! - A *release task* per release request sends the request to the prefill server and, if needed, to relays.
+//! - The *watch task* ([`discovery::watch`]) follows the endpoint list.
+//! - The tasks of the ingress call [`PlatformGateway`] and [`Answer`].
 
 mod answer;
 mod attempts;
--- a/platform-gateway/src/releases.rs
+++ b/platform-gateway/src/releases.rs
@@ -1,5 +1,5 @@
-//! Release requests: a prefill server that holds a KV cache which nobody will fetch is asked to release it, by way of
-//! other servers where it can't be reached.
+//! Release requests. The gateway asks a prefill server to release a KV cache that no attempt will fetch. If the prefill
+//! server does not answer, the gateway sends the request through other servers, which relay it.
 
 use crate::state::GatewayState;
 use async_io::Timer;
@@ -15,8 +15,8 @@
 use tracing::debug;
 
 impl GatewayState {
-    /// Starts the release task of a release: it asks the prefill server and, where that has not answered soon, other
-    /// servers, which forward such a request.
+    /// Starts the release task of a release. The task sends the request to the prefill server and, if that server does
+    /// not answer within the relay interval, also to other servers, which relay the request.
     pub(crate) fn send_release(self: &Rc<Self>, release: CacheRelease) {
         let state = self.clone();
         let pending_since = self.event_loop.requests().release_pending_since(&release);
@@ -30,19 +30,20 @@
         });
     }
 
-    /// Which server has answered a release, of the prefill server and those by way of which it is asked: each next one
-    /// is asked after an interval, and those before are awaited all the same.
+    /// Returns the first server that answers a release request: the prefill server or a relay. Returns `None` if all
+    /// calls fail. The first relay is sent the request once the call to the prefill server has failed or the relay
+    /// interval is over, and each further relay one interval after the relay before. Earlier calls stay in progress.
     async fn release(&self, release: &CacheRelease, pending_since: Option<Nanos>) -> Option<ServerId> {
         let interval = Duration::from_nanos(self.event_loop.requests().relay_interval());
         let address = self.event_loop.requests().server_address(release.server);
         let mut direct: Call<'_, ServerId> =
-            Box::pin(self.release_by_way_of(release.server, address, release, pending_since));
+            Box::pin(self.release_via(release.server, address, release, pending_since));
         let answer = async { Some(direct.as_mut().await) };
-        let interval_over = async {
+        let interval_elapsed = async {
             Timer::after(interval).await;
             None
         };
-        let mut calls = match future::or(answer, interval_over).await {
+        let mut calls = match future::or(answer, interval_elapsed).await {
             Some(Some(answered_by)) => return Some(answered_by),
             Some(None) => Vec::new(),
             None => vec![direct],
@@ -51,14 +52,14 @@
         for (number, (relay, address)) in (0..).zip(relays) {
             calls.push(Box::pin(async move {
                 Timer::after(interval * number).await;
-                self.release_by_way_of(relay, Some(address), release, pending_since).await
+                self.release_via(relay, Some(address), release, pending_since).await
             }));
         }
         first_success(&mut calls).await
     }
 
-    /// Asks one server; returns that server if it has answered.
-    async fn release_by_way_of(
+    /// Sends the release request to one server. Returns that server if it answered.
+    async fn release_via(
         &self,
         server: ServerId,
         address: Option<SocketAddr>,
@@ -66,7 +67,7 @@
         pending_since: Option<Nanos>,
     ) -> Option<ServerId> {
         let timeout = Duration::from_nanos(self.event_loop.requests().release_timeout());
-        // The release may have been revoked meanwhile, since another attempt uses that cache.
+        // The release may have been revoked meanwhile, because another attempt uses the KV cache.
         let send_check = || match self.event_loop.requests().release_pending_since(release) == pending_since {
             true => SendPermission::Granted,
             false => SendPermission::Denied,
--- a/platform-gateway/src/state.rs
+++ b/platform-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway share.
+//! State shared by the tasks of a gateway.
 
 use crate::event_log::AttemptLog;
 use crate::forwarded_request::ForwardedRequest;
@@ -17,40 +17,44 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The request table, which keeps each request until its first event.
+/// The request table, which keeps each client's request until the first event of its answer.
 pub(crate) type Requests = PassthroughRequests<Rc<ForwardedRequest>>;
 
-/// A request in flight, as far as its sockets go. Made by the ingress's task that has it accepted.
+/// The I/O state of a request in flight. Created by the ingress task that submits the request.
 pub(crate) struct RequestEntry {
-    /// To the [`Answer`](crate::Answer). Filled by the attempt task; closed by the final answer or with the entry.
+    /// Sends events to the [`Answer`](crate::Answer). Filled by the attempt task; closed when the final answer is given
+    /// or the entry is removed.
     pub(crate) events: Sender<Bytes>,
-    /// Set once, before `events` is closed; read by the [`Answer`](crate::Answer). It also tells apart two requests with
-    /// the same id.
+    /// The final answer. Set once, before `events` is closed; read by the [`Answer`](crate::Answer). Comparing
+    /// the pointers also distinguishes two successive requests with the same id.
     pub(crate) final_answer: Rc<Cell<Option<FinalAnswer>>>,
-    /// Filled when an attempt is sent; emptied by its attempt task at its end, or by whoever cancels it.
+    /// The task of the attempt in flight. Set when the attempt is started; taken by the attempt task at its end, or
+    /// when the attempt is cancelled.
     pub(crate) attempt: AttemptSlot,
-    /// Of the attempt that was sent last.
+    /// Log data of the last attempt that was started.
     pub(crate) attempt_log: Option<AttemptLog>,
     pub(crate) accepted_at: Nanos,
 }
 
-/// State shared by the tasks of one gateway and by the ingress, all on one thread. No borrow is held across an await.
+/// State shared by the tasks of one gateway and by the ingress, all on one thread. No task may hold a borrow across an
+/// await.
 pub(crate) struct GatewayState {
-    /// The request table and what drives it. Every task applies its events.
+    /// The request table with its clock and timer. Every task applies its events to it.
     pub(crate) event_loop: EventLoop<Requests>,
     pub(crate) spawner: Spawner,
     pub(crate) client: Client,
     pub(crate) names: Names,
-    /// Set by the watch task; read where a server is logged.
+    /// The names of the listed servers, for the log. Updated with the endpoint list; read wherever a server is logged.
     pub(crate) known_servers: RefCell<KnownServers>,
     pub(crate) event_budget: RefCell<EventBudget>,
-    /// Added to by the ingress's tasks on acceptance; changed and removed by whichever task executes commands.
+    /// The requests in flight. The ingress tasks add entries on acceptance; the task that executes a command changes or
+    /// removes them.
     pub(crate) entries: RefCell<HashMap<SequenceId, RequestEntry>>,
-    /// Notified when a request is removed, and by a release task at its end.
+    /// Notified when a request is removed and when a release task ends.
     pub(crate) request_or_release_finished: Event,
     pub(crate) drain_grace: Nanos,
     pub(crate) health_checks_allowed: bool,
-    /// Set when the configuration is reloaded; read by the watch task.
+    /// The address of the discovery agent. Set when the configuration is reloaded; read by the watch task.
     pub(crate) discovery_address: Cell<SocketAddr>,
     /// Notified when `discovery_address` has changed.
     pub(crate) discovery_address_changed: Event,
--- a/platform-gateway/tests/gateway.rs
+++ b/platform-gateway/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway on loopback, without an ingress.
+//! Tests of the gateway with emulated model servers on loopback, without an ingress.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -46,6 +46,8 @@
     gateway.accept(new, request).map_err(|rejection| format!("{rejection:?}")).unwrap()
 }
 
+/// A client drops its completed answer unread after another request with the same id was accepted. The drop must not
+/// cancel the other request.
 #[test]
 fn dropped_completed_answer_leaves_new_request_with_same_id_running() {
     let prefill_server = ModelServer::start(true, ServerBehavior::Good).unwrap();
@@ -54,22 +56,22 @@
         entry("r", prefill_server.address, "reader", "active"),
         entry("w", decode_server.address, "writer", "active"),
     ];
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let config = config::decode(&config_text(nowhere, nowhere, &entries.join(","))).unwrap();
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 0));
+    let config = config::decode(&config_text(unused_address, unused_address, &entries.join(","))).unwrap();
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(async {
         let gateway = PlatformGateway::start(config, 20, Spawner::new(&executor));
-        // Completed, though its client has read nothing of it yet.
-        let unread = accept(&gateway, SequenceId(7));
+        // This request completes although its client has not read any of the answer.
+        let unread_answer = accept(&gateway, SequenceId(7));
         while gateway.tracked() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
         prefill_server.set(ServerBehavior::Slow);
-        let mut next = accept(&gateway, SequenceId(7));
-        drop(unread);
+        let mut next_answer = accept(&gateway, SequenceId(7));
+        drop(unread_answer);
         let mut received = String::new();
         let final_answer = loop {
-            match next.next().await {
+            match next_answer.next().await {
                 AnswerItem::Events(events) => received.push_str(std::str::from_utf8(&events).unwrap()),
                 AnswerItem::FinalAnswer(final_answer) => break final_answer,
             }
