--- a/platform-gateway/src/discovery/list_request.rs
+++ b/platform-gateway/src/discovery/list_request.rs
@@ -48,18 +48,18 @@
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ListError::Connect(error) => write!(f, "no connection: {error:?}"),
+            ListError::Connect(error) => write!(f, "cannot connect to the discovery agent: {error:?}"),
             ListError::Write(error) => error.fmt(f),
             ListError::Unreadable(error) => error.fmt(f),
-            ListError::Disconnected => f.write_str("the connection broke"),
-            ListError::Timeout => f.write_str("silent"),
-            ListError::TooLarge => f.write_str("the list is too large"),
-            ListError::Status(status) => write!(f, "status {status}"),
+            ListError::Disconnected => f.write_str("the connection failed before the answer was complete"),
+            ListError::Timeout => f.write_str("the answer was not complete within the timeout"),
+            ListError::TooLarge => f.write_str("the endpoint list exceeds the maximum size"),
+            ListError::Status(status) => write!(f, "the agent answered with HTTP status {status}"),
             ListError::Json(error) => error.fmt(f),
             ListError::Malformed(error) => error.fmt(f),
-            ListError::UnexpectedData => f.write_str("more than was asked for, or the end"),
+            ListError::UnexpectedData => f.write_str("the agent sent extra data or closed the connection"),
             ListError::IndexWentBack { known, received } => {
-                write!(f, "the index went back from {known} to {received}")
+                write!(f, "the index of the endpoint list went back from {known} to {received}")
             }
         }
     }
