--- a/chat-gateway/src/attempts.rs
+++ b/chat-gateway/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at model servers: one attempt task each, from the command that sends it to its end.
+//! Attempts at model servers. Each attempt has its own attempt task, which runs from the command that sends the attempt
+//! to the end of the attempt.
 
 use crate::state::GatewayState;
 use async_executor::Task;
@@ -14,18 +15,18 @@
 
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// How the stream of a decode attempt came to its end.
+/// The way in which the stream of a decode attempt ended.
 enum StreamEnd {
-    /// All of it has come.
+    /// The complete stream was received.
     Completed,
-    /// It failed.
+    /// The stream failed.
     Failed(AttemptEnd),
-    /// Nobody reads any more: nothing is to be reported.
+    /// The ingress no longer reads the answer, so the end of the attempt is not reported.
     Unread,
 }
 
 impl GatewayState {
-    /// Starts the attempt task of an attempt.
+    /// Starts the task of an attempt.
     pub(crate) fn send_attempt(self: &Rc<Self>, outgoing: OutgoingAttempt<Rc<RawValue>>) {
         let dispatch = outgoing.dispatch;
         let Some(address) = self.addresses.borrow().get(&dispatch.server).copied() else {
@@ -57,17 +58,17 @@
         entry.attempt.start(dispatch.attempt, task);
     }
 
-    /// A running server provably has the request of an attempt.
+    /// Reports the proof that a running server has received the request of an attempt.
     fn attempt_delivered(&self, dispatch: &Dispatch) {
         self.event_loop.requests_mut().attempt_delivered(dispatch.id, dispatch.attempt);
     }
 
-    /// The attempt task of a prefill.
+    /// Runs a prefill attempt, in its attempt task.
     async fn prefill(self: Rc<Self>, dispatch: Dispatch, request: CompletionRequest) {
         let reply = self.client.prefill(&request, &|| self.attempt_delivered(&dispatch)).await;
         let result = match reply.result {
             Ok(result) => result,
-            Err(ending) => return self.attempt_ended(dispatch, ending, reply.load),
+            Err(end) => return self.attempt_ended(dispatch, end, reply.load),
         };
         let cached_tokens = result.cached_tokens;
         self.log_attempt_end(&dispatch, AttemptEnd::PrefillDone { cached_tokens });
@@ -78,12 +79,12 @@
         });
     }
 
-    /// The attempt task of any step that decodes.
+    /// Runs an attempt of any step that decodes, in its attempt task.
     async fn decode(self: Rc<Self>, dispatch: Dispatch, request: CompletionRequest) {
         let reply = self.client.decode(&request, &|| self.attempt_delivered(&dispatch)).await;
         let mut stream = match reply.result {
             Ok(stream) => stream,
-            Err(ending) => return self.attempt_ended(dispatch, ending, reply.load),
+            Err(end) => return self.attempt_ended(dispatch, end, reply.load),
         };
         self.load_reported(dispatch.server, reply.load);
         match self.forward_stream(dispatch, &mut stream).await {
@@ -91,24 +92,25 @@
                 stream.return_connection();
                 self.attempt_ended(dispatch, AttemptEnd::Completed, None);
             }
-            StreamEnd::Failed(ending) => self.attempt_ended(dispatch, ending, None),
+            StreamEnd::Failed(end) => self.attempt_ended(dispatch, end, None),
             StreamEnd::Unread => {}
         }
     }
 
+    /// Forwards the pieces of a decode stream to the ingress until the stream ends.
     async fn forward_stream(self: &Rc<Self>, dispatch: Dispatch, stream: &mut DecodeStream) -> StreamEnd {
-        let mut began = false;
+        let mut stream_started = false;
         loop {
             let piece = match stream.next().await {
                 Ok(Some(piece)) => piece,
                 Ok(None) => return StreamEnd::Completed,
-                Err(ending) => return StreamEnd::Failed(ending),
+                Err(end) => return StreamEnd::Failed(end),
             };
-            if began {
+            if stream_started {
                 let now = self.event_loop.now();
                 self.event_loop.requests_mut().token_received(now, dispatch.id);
             } else {
-                began = true;
+                stream_started = true;
                 self.apply(|requests, now, commands| requests.first_token(now, &dispatch, commands));
             }
             if self.forward_piece(dispatch.id, piece).await == Delivery::Closed {
@@ -130,37 +132,38 @@
         }
     }
 
-    fn attempt_ended(self: &Rc<Self>, dispatch: Dispatch, ending: AttemptEnd, load: Option<Load>) {
-        self.log_attempt_end(&dispatch, ending);
+    fn attempt_ended(self: &Rc<Self>, dispatch: Dispatch, end: AttemptEnd, load: Option<Load>) {
+        self.log_attempt_end(&dispatch, end);
         self.load_reported(dispatch.server, load);
         self.detach_attempt_task(dispatch.id, dispatch.attempt);
-        if ending == AttemptEnd::NotConnected {
+        if end == AttemptEnd::NotConnected {
             let change = self.membership.borrow_mut().unreachable(self.event_loop.now(), dispatch.server);
             if let Some(change) = change {
                 self.apply_endpoint_change(change);
             }
         }
-        self.apply(|requests, now, commands| requests.attempt_ended(now, &dispatch, ending, commands));
+        self.apply(|requests, now, commands| requests.attempt_ended(now, &dispatch, end, commands));
     }
 
-    /// Takes the task of an attempt out of its entry, if that attempt is the one in flight.
+    /// Takes the task of an attempt out of its request's entry, if this attempt is the one in flight.
     pub(crate) fn take_attempt_task(&self, id: SequenceId, attempt: usize) -> Option<Task<()>> {
         let mut entries = self.entries.borrow_mut();
         entries.get_mut(&id).and_then(|entry| entry.attempt.take(attempt))
     }
 
-    /// An attempt task that reports its own end must get to its own end.
+    /// Detaches the task of an attempt that reports its own end, so that the task can finish. A task that stayed in its
+    /// entry would be cancelled as soon as the next attempt replaces it or the entry is removed.
     fn detach_attempt_task(&self, id: SequenceId, attempt: usize) {
         if let Some(task) = self.take_attempt_task(id, attempt) {
             task.detach();
         }
     }
 
-    /// A server reported its load, and perhaps when it started.
+    /// Handles a load report, which may also contain the start time of the server's process.
     fn load_reported(&self, server: ServerId, load: Option<Load>) {
         let Some(load) = load else { return };
         let now = self.event_loop.now();
-        if let Some(seconds) = load.started_seconds {
+        if let Some(seconds) = load.process_start_time_seconds {
             let started_at = (seconds * NANOS_PER_SECOND) as Nanos;
             let change = self.membership.borrow_mut().start_reported(now, server, started_at);
             if let Some(change) = change {
--- a/engine-client/src/client.rs
+++ b/engine-client/src/client.rs
@@ -20,61 +20,63 @@
 
 const COMPLETIONS_PATH: &str = "/v1/completions";
 const RELEASE_PATH: &str = "/v1/kv/release";
-/// Bound of the body of a prefill or error response: both hold a few fields.
+/// The maximum size of the body of a prefill, release or error response. Such a body holds only a few fields.
 const MAX_BODY_BYTES: usize = 256 << 10;
-/// A release request on a pooled connection may take this part of its time; the rest is for a new one.
+/// The timeout of a release request divided by this is the timeout of its exchange on a pooled connection. The rest is
+/// left for an exchange on a new connection.
 const POOLED_RELEASE_DIVISOR: u32 = 2;
-/// Behind a request's id: what no server holds anything for.
+/// Suffix that makes a request id into the id of a probe. No server holds a KV cache for such an id.
 const PROBE_SUFFIX: &str = "-probe";
 
-/// A client of all model servers of one gateway.
+/// The client of one gateway for all its model servers.
 pub struct Client {
     pool: Rc<Pool>,
-    /// The `user-agent` field, which names this gateway.
+    /// The `user-agent` header, which names this gateway.
     user_agent: String,
 }
 
 type Message = Request<Full<Bytes>>;
 
-/// A response whose head was received.
-struct Exchanged {
+/// A response whose head was received and whose body has not been read yet.
+struct PendingResponse {
     response: Response<Incoming>,
-    /// The connection that it came on.
+    /// The connection that carries the response.
     sender: Sender,
 }
 
-/// Why a request got no response.
+/// The reason why a request got no response.
 enum SendError {
-    /// Provably nothing of it was written: it can be sent on another connection.
+    /// No byte of the request was written, so the request can be sent on another connection.
     Unsent(Box<Message>),
-    /// Its connection broke.
+    /// The connection broke.
     Broken,
-    /// Nothing proved in time that a running server has it.
+    /// Nothing proved in time that a running server received the request.
     Unproven,
 }
 
-/// A body that was read completely.
+/// A response whose body was read completely.
 struct CompleteResponse {
     status: StatusCode,
     body: Bytes,
 }
 
 impl Client {
-    /// A client of the gateway of this name.
+    /// Creates the client of the gateway with this name.
     pub fn new(spawner: Spawner, gateway_name: &str) -> Self {
         Client { pool: Rc::new(Pool::new(spawner)), user_agent: format!("petrelshore/{gateway_name}") }
     }
 
-    /// Sends a prefill request; the KV cache then waits at its server. `on_delivered` is called once that provably has the
-    /// request, if it does not answer soon.
+    /// Sends a prefill request. After a successful prefill, the prefill server holds the KV cache until the cache is
+    /// fetched or released. If a KV cache is already held for the request and the server does not answer soon, a probe
+    /// on another connection checks that the server runs; `on_delivered` is called when the server answers the probe.
     pub async fn prefill(
         &self,
         request: &CompletionRequest,
         on_delivered: &dyn Fn(),
     ) -> Reply<PrefillResult> {
-        let Exchanged { response, sender } =
-            match self.complete(request, wire_format::prefill_body(request), on_delivered).await {
-                Ok(exchanged) => exchanged,
+        let PendingResponse { response, sender } =
+            match self.send_completion(request, wire_format::prefill_body(request), on_delivered).await {
+                Ok(pending) => pending,
                 Err(end) => return Reply::failed(end),
             };
         let load = load_in_head(&response);
@@ -92,12 +94,12 @@
         Reply { result: result.await, load }
     }
 
-    /// Sends a decode request, for a KV cache that waits at a prefill server or for the prompt itself; `on_delivered` as
-    /// for a prefill request.
+    /// Sends a decode request, for a KV cache that a prefill server holds or for the prompt itself. `on_delivered` is
+    /// called in the same case as for [`Client::prefill`].
     pub async fn decode(&self, request: &CompletionRequest, on_delivered: &dyn Fn()) -> Reply<DecodeStream> {
-        let Exchanged { response, sender } =
-            match self.complete(request, wire_format::decode_body(request), on_delivered).await {
-                Ok(exchanged) => exchanged,
+        let PendingResponse { response, sender } =
+            match self.send_completion(request, wire_format::decode_body(request), on_delivered).await {
+                Ok(pending) => pending,
                 Err(end) => return Reply::failed(end),
             };
         let load = load_in_head(&response);
@@ -109,7 +111,7 @@
         Reply { result: Ok(stream), load }
     }
 
-    /// Sends one release request: the prefill server frees what it holds for a request ID.
+    /// Sends one release request, which asks the prefill server to free the KV caches that it holds for a request id.
     pub async fn release(
         &self,
         address: SocketAddr,
@@ -119,9 +121,10 @@
         let released = async {
             let pooled = self.pool.check_out(address);
             if let Some(pooled) = pooled {
-                // It may have broken, or fallen silent. The request is idempotent.
+                // A pooled connection may have broken or gone silent. A release request is idempotent, so it can be
+                // sent again on a new connection.
                 let release = self.release_on(pooled.sender, address, request_id);
-                match within(timeout / POOLED_RELEASE_DIVISOR, release).await {
+                match with_timeout(timeout / POOLED_RELEASE_DIVISOR, release).await {
                     Err(AttemptEnd::Reset | AttemptEnd::TimedOut) => {
                         self.pool.reuse_failed(address, pooled.idle_time);
                     }
@@ -131,7 +134,7 @@
             let sender = self.pool.connect(address, timeout).await?;
             self.release_on(sender, address, request_id).await
         };
-        within(timeout, released).await
+        with_timeout(timeout, released).await
     }
 
     async fn release_on(
@@ -141,8 +144,9 @@
         request_id: &str,
     ) -> Result<(), AttemptEnd> {
         let body = Bytes::from(wire_format::release_body(request_id));
-        let message = self.message(address, RELEASE_PATH, request_id, None, body)?;
-        let Exchanged { response, sender } = send(sender, message).await.map_err(|_| AttemptEnd::Reset)?;
+        let message = self.build_message(address, RELEASE_PATH, request_id, None, body)?;
+        let PendingResponse { response, sender } =
+            send(sender, message).await.map_err(|_| AttemptEnd::Reset)?;
         let CompleteResponse { status, .. } = read_body(response).await?;
         self.pool.check_in(address, sender);
         match status.is_success() {
@@ -151,8 +155,9 @@
         }
     }
 
-    /// A connection on which its server has answered in time, if a cache is held: the machine of a stopped process accepts
-    /// connections and bytes like any other. The server is asked to release what nobody holds.
+    /// Probes a connection if a KV cache is held for the request, and returns the connection if the server answers in
+    /// time. An established connection does not prove that the server runs, because the machine of a stopped process
+    /// still accepts connections and bytes. The probe is a release request for an id for which no KV cache is held.
     async fn probe(
         &self,
         request: &CompletionRequest,
@@ -164,26 +169,27 @@
         }
         let request_id = format!("{}{PROBE_SUFFIX}", request.request_id);
         let body = Bytes::from(wire_format::release_body(&request_id));
-        let message = self.message(request.address, RELEASE_PATH, &request_id, None, body)?;
+        let message = self.build_message(request.address, RELEASE_PATH, &request_id, None, body)?;
         let answered = async {
-            let exchanged = send(sender, message).await.map_err(|_| AttemptEnd::Reset)?;
-            read_body(exchanged.response).await?;
-            sender = exchanged.sender;
+            let pending = send(sender, message).await.map_err(|_| AttemptEnd::Reset)?;
+            read_body(pending.response).await?;
+            sender = pending.sender;
             sender.ready().await.map_err(|_| AttemptEnd::Reset)?;
             Ok(sender)
         };
-        within(timeout, answered).await
+        with_timeout(timeout, answered).await
     }
 
-    /// Sends a request. While a cache is held, a server that does not answer soon has to answer a probe on another
-    /// connection: it may have stopped since the first one.
-    async fn send_proven(
+    /// Sends a request on this connection. If a KV cache is held for the request and the server does not answer soon,
+    /// the server has to answer a probe on another connection, because it may have stopped since it answered the probe
+    /// on this connection.
+    async fn send_with_probe(
         &self,
         request: &CompletionRequest,
         sender: Sender,
         message: Message,
         on_delivered: &dyn Fn(),
-    ) -> Result<Exchanged, SendError> {
+    ) -> Result<PendingResponse, SendError> {
         let mut response = pin!(send(sender, message));
         if !request.holds_cache {
             return response.await;
@@ -196,7 +202,7 @@
             Ok::<(), AttemptEnd>(())
         };
         let result = async { Ok(response.as_mut().await) };
-        let proof = async { Err(within(request.connect_timeout * 3 / 2, proof).await) };
+        let proof = async { Err(with_timeout(request.connect_timeout * 3 / 2, proof).await) };
         match future::or(result, proof).await {
             Ok(result) => result,
             Err(Ok(())) => {
@@ -212,26 +218,28 @@
         self.pool.retain(listed);
     }
 
-    /// Sends one completion request. If a pooled connection returns it unwritten, a new one carries it.
-    async fn complete(
+    /// Sends one completion request. If a pooled connection fails its probe or returns the request unwritten, the
+    /// request is sent on a new connection.
+    async fn send_completion(
         &self,
         request: &CompletionRequest,
         body: serde_json::Result<Vec<u8>>,
         on_delivered: &dyn Fn(),
-    ) -> Result<Exchanged, AttemptEnd> {
+    ) -> Result<PendingResponse, AttemptEnd> {
         let body = Bytes::from(body.map_err(|_| AttemptEnd::ReturnedUnsent)?);
         let key = request.idempotency_key.as_deref();
-        let mut message = self.message(request.address, COMPLETIONS_PATH, &request.request_id, key, body)?;
+        let mut message =
+            self.build_message(request.address, COMPLETIONS_PATH, &request.request_id, key, body)?;
         let pooled = if request.new_connection { None } else { self.pool.check_out(request.address) };
         if let Some(pooled) = pooled {
             let sent = match self.probe(request, pooled.sender, request.connect_timeout / 2).await {
-                Ok(sender) => self.send_proven(request, sender, message, on_delivered).await,
+                Ok(sender) => self.send_with_probe(request, sender, message, on_delivered).await,
                 Err(_) => Err(SendError::Unsent(Box::new(message))),
             };
             match sent {
-                Ok(exchanged) => {
+                Ok(pending) => {
                     self.pool.reuse_succeeded();
-                    return Ok(exchanged);
+                    return Ok(pending);
                 }
                 Err(SendError::Unsent(unsent)) => message = *unsent,
                 Err(SendError::Broken) => {
@@ -244,14 +252,14 @@
         let sender = self.pool.connect(request.address, request.connect_timeout).await?;
         let sender = self.probe(request, sender, request.connect_timeout / 2).await;
         let sender = sender.map_err(|_| AttemptEnd::Unresponsive)?;
-        self.send_proven(request, sender, message, on_delivered).await.map_err(|error| match error {
+        self.send_with_probe(request, sender, message, on_delivered).await.map_err(|error| match error {
             SendError::Unsent(_) => AttemptEnd::ReturnedUnsent,
             SendError::Broken => AttemptEnd::Reset,
             SendError::Unproven => AttemptEnd::Unproven,
         })
     }
 
-    fn message(
+    fn build_message(
         &self,
         address: SocketAddr,
         path: &str,
@@ -274,9 +282,9 @@
     }
 }
 
-async fn send(mut sender: Sender, message: Message) -> Result<Exchanged, SendError> {
+async fn send(mut sender: Sender, message: Message) -> Result<PendingResponse, SendError> {
     match sender.try_send_request(message).await {
-        Ok(response) => Ok(Exchanged { response, sender }),
+        Ok(response) => Ok(PendingResponse { response, sender }),
         Err(mut error) => Err(match error.take_message() {
             Some(unsent) => SendError::Unsent(Box::new(unsent)),
             None => SendError::Broken,
@@ -284,8 +292,8 @@
     }
 }
 
-/// The result of an exchange that ends in time.
-async fn within<T>(
+/// Returns the result of an exchange, or [`AttemptEnd::TimedOut`] after the timeout.
+async fn with_timeout<T>(
     timeout: Duration,
     exchange: impl Future<Output = Result<T, AttemptEnd>>,
 ) -> Result<T, AttemptEnd> {
@@ -296,13 +304,13 @@
     future::or(exchange, timed_out).await
 }
 
-/// The load that the head of a response reports.
+/// Returns the load report in the head of a response.
 fn load_in_head(response: &Response<Incoming>) -> Option<Load> {
     let header = response.headers().get("endpoint-load-metrics")?;
     Some(orca::parse(header.to_str().ok()?))
 }
 
-/// Reads the complete body of a response, within its bound.
+/// Reads the complete body of a response, up to [`MAX_BODY_BYTES`]. A longer body counts as malformed.
 async fn read_body(response: Response<Incoming>) -> Result<CompleteResponse, AttemptEnd> {
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
@@ -314,8 +322,8 @@
 }
 
 impl CompleteResponse {
-    /// How an attempt ended whose response is not the expected one. A rejection proves something only by both its status
-    /// and its code, so that a proxy's bare 503 proves nothing.
+    /// Returns the end of an attempt that this error response proves. Status and error code must both match, because a
+    /// proxy may answer with a bare 503 without knowing whether the server ran the attempt.
     fn failure(&self) -> AttemptEnd {
         match (self.status, wire_format::error_code(&self.body).as_deref()) {
             (StatusCode::SERVICE_UNAVAILABLE, Some("full")) => AttemptEnd::AtCapacity,
--- a/engine-client/src/decode_stream.rs
+++ b/engine-client/src/decode_stream.rs
@@ -1,7 +1,7 @@
 //! The stream of a decode response.
 
 use crate::pool::{Pool, Sender};
-use crate::sse::Events;
+use crate::sse::EventParser;
 use crate::wire_format::Chunk;
 use async_io::Timer;
 use futures_lite::future;
@@ -16,35 +16,44 @@
 
 /// The event that ends a stream.
 const DONE_EVENT: &str = "[DONE]";
-/// After that event the body must end within this time for its connection to be reused.
+/// The time after [`DONE_EVENT`] within which the body must end. Otherwise its connection is not reused.
 const BODY_END_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An answer that is being generated. Dropping it closes its connection.
+/// The stream of an answer that a decode server is generating. Dropping the stream closes its connection.
 pub struct DecodeStream {
     address: SocketAddr,
     pool: Rc<Pool>,
     sender: Sender,
     body: Incoming,
-    events: Events,
-    ready: VecDeque<Piece>,
-    finished: bool,
+    event_parser: EventParser,
+    /// Pieces of received events that [`DecodeStream::next`] has not returned yet.
+    pending_pieces: VecDeque<Piece>,
+    finish_reason_received: bool,
 }
 
 impl DecodeStream {
     pub(crate) fn new(address: SocketAddr, pool: Rc<Pool>, sender: Sender, body: Incoming) -> Self {
-        let (events, ready) = (Events::default(), VecDeque::new());
-        DecodeStream { address, pool, sender, body, events, ready, finished: false }
+        let (event_parser, pending_pieces) = (EventParser::default(), VecDeque::new());
+        DecodeStream {
+            address,
+            pool,
+            sender,
+            body,
+            event_parser,
+            pending_pieces,
+            finish_reason_received: false,
+        }
     }
 
-    /// The next piece; none once the answer is complete.
+    /// Waits for the next piece of the answer. Returns `None` once the answer is complete.
     pub async fn next(&mut self) -> Result<Option<Piece>, AttemptEnd> {
         loop {
-            if let Some(piece) = self.ready.pop_front() {
+            if let Some(piece) = self.pending_pieces.pop_front() {
                 return Ok(Some(piece));
             }
-            match self.events.next_event().map_err(|_| AttemptEnd::Malformed)? {
+            match self.event_parser.next_event().map_err(|_| AttemptEnd::Malformed)? {
                 Some(data) if data == DONE_EVENT => {
-                    return if self.finished { Ok(None) } else { Err(AttemptEnd::Malformed) };
+                    return if self.finish_reason_received { Ok(None) } else { Err(AttemptEnd::Malformed) };
                 }
                 Some(data) => self.decode_event(&data)?,
                 None => self.read_frame().await?,
@@ -57,7 +66,7 @@
         match self.body.frame().await {
             Some(Ok(frame)) => {
                 let bytes = frame.into_data().unwrap_or_default();
-                self.events.feed(&bytes).map_err(|_| AttemptEnd::Malformed)
+                self.event_parser.feed(&bytes).map_err(|_| AttemptEnd::Malformed)
             }
             Some(Err(_)) => Err(AttemptEnd::Reset),
             None => Err(AttemptEnd::Malformed),
@@ -70,13 +79,13 @@
             return Err(AttemptEnd::ErrorStatus { status: 500 });
         }
         let pieces = chunk.into_pieces();
-        self.finished |= pieces.iter().any(|piece| matches!(piece, Piece::Finish(_)));
-        self.ready.extend(pieces);
+        self.finish_reason_received |= pieces.iter().any(|piece| matches!(piece, Piece::Finish(_)));
+        self.pending_pieces.extend(pieces);
         Ok(())
     }
 
-    /// Returns the connection of a complete answer to the pool. The end of its body may still be on its way; whoever
-    /// waits for the answer does not wait for that.
+    /// Returns the connection of a complete answer to the pool. The end of the body may arrive later than the last
+    /// event, so a separate task waits for it, and the answer is not delayed.
     pub fn return_connection(self) {
         let DecodeStream { address, pool, sender, mut body, .. } = self;
         let returning_pool = pool.clone();
--- a/engine-client/src/orca.rs
+++ b/engine-client/src/orca.rs
@@ -1,17 +1,18 @@
 //! Load reports of model servers in the `endpoint-load-metrics` header (ORCA), in its TEXT and JSON forms.
 
-/// A load report. Metrics that it does not contain are none; unknown metrics are skipped.
+/// A load report. Metrics that the report does not contain are `None`. Unknown metrics are skipped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// `kv_cache_usage_perc`: used share of the KV cache memory, from 0 to 1.
+    /// `kv_cache_usage_perc`: the used share of the KV cache memory, from 0 to 1.
     pub memory_share: Option<f64>,
-    /// `queued_prompt_tokens`: prompt tokens that wait for prefill. An addition: engines publish numbers of requests only.
+    /// `queued_prompt_tokens`: the number of prompt tokens that wait for prefill. This metric is an addition to the
+    /// published format, in which engines report only numbers of requests.
     pub queued_prompt_tokens: Option<f64>,
-    /// `process_start_time_seconds`: when the process started, in seconds of the Unix epoch.
-    pub started_seconds: Option<f64>,
+    /// `process_start_time_seconds`: the start time of the server process, in seconds since the Unix epoch.
+    pub process_start_time_seconds: Option<f64>,
 }
 
-/// Parses a header's value; malformed metrics count as absent.
+/// Parses the value of the header. Malformed metrics are treated as absent.
 pub fn parse(header: &str) -> Load {
     let mut load = Load::default();
     let text = header.trim();
@@ -36,7 +37,7 @@
         match name {
             "kv_cache_usage_perc" => self.memory_share = value,
             "queued_prompt_tokens" => self.queued_prompt_tokens = value,
-            "process_start_time_seconds" => self.started_seconds = value,
+            "process_start_time_seconds" => self.process_start_time_seconds = value,
             _ => {}
         }
     }
--- a/engine-client/src/orca/tests.rs
+++ b/engine-client/src/orca/tests.rs
@@ -2,8 +2,11 @@
 
 #[test]
 fn both_forms_are_parsed_and_malformed_metrics_skipped() {
-    let expected =
-        Load { memory_share: Some(0.25), queued_prompt_tokens: Some(12.0), started_seconds: Some(7.5) };
+    let expected = Load {
+        memory_share: Some(0.25),
+        queued_prompt_tokens: Some(12.0),
+        process_start_time_seconds: Some(7.5),
+    };
     assert_eq!(
         parse(
             "TEXT named_metrics.kv_cache_usage_perc=0.25, named_metrics.queued_prompt_tokens=12, \
--- a/engine-client/src/pool.rs
+++ b/engine-client/src/pool.rs
@@ -18,10 +18,10 @@
 /// The sending half of a connection.
 pub(crate) type Sender = SendRequest<Full<Bytes>>;
 
-/// Bound of a response's head.
+/// The maximum size of the head of a response.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
 
-/// The connections of one client.
+/// The connections of one client to its model servers.
 pub(crate) struct Pool {
     spawner: Spawner,
     started: Instant,
@@ -31,7 +31,7 @@
 /// A connection from the pool.
 pub(crate) struct CheckedOut {
     pub(crate) sender: Sender,
-    /// How long it was idle.
+    /// Time for which the connection was idle, in nanoseconds.
     pub(crate) idle_time: Nanos,
 }
 
@@ -44,19 +44,19 @@
         self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// An idle connection that is open as far as can be told.
+    /// Takes an idle connection out of the pool. The connection appears open, but its server may have closed it.
     pub(crate) fn check_out(&self, address: SocketAddr) -> Option<CheckedOut> {
         let pooled = self.idle.borrow_mut().check_out(self.now(), address, Sender::is_ready)?;
         let (sender, idle_time) = (pooled.connection, pooled.idle_for);
         Some(CheckedOut { sender, idle_time })
     }
 
-    /// Records that a pooled connection brought a response.
+    /// Records that a response has arrived on a pooled connection.
     pub(crate) fn reuse_succeeded(&self) {
         self.idle.borrow_mut().reuse_succeeded(self.now());
     }
 
-    /// Records that a pooled connection broke under its request.
+    /// Records that a pooled connection broke during its request.
     pub(crate) fn reuse_failed(&self, address: SocketAddr, idle_time: Nanos) {
         self.idle.borrow_mut().reuse_failed(self.now(), address, idle_time);
     }
@@ -68,7 +68,7 @@
             ConnectError::Unreachable => AttemptEnd::NotConnected,
         })?;
         let stream = TcpStream::from(stream);
-        // Tokens are small and must not wait for each other.
+        // Disables Nagle's algorithm, which would delay small messages.
         let _ = stream.set_nodelay(true);
         let mut builder = http1::Builder::new();
         let handshake = builder
@@ -77,14 +77,14 @@
             .await;
         let (sender, connection) = handshake.map_err(|_| AttemptEnd::NotConnected)?;
         let driver = async move {
-            // Its end shows in the exchange that uses it.
+            // An error on the connection is reported by the exchange that uses the connection.
             let _ = connection.await;
         };
         self.spawner.run(driver);
         Ok(sender)
     }
 
-    /// Runs a task of a connection beside its exchanges.
+    /// Spawns a background task of a connection.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.spawner.run(task);
     }
--- a/engine-client/src/sse.rs
+++ b/engine-client/src/sse.rs
@@ -1,35 +1,35 @@
 //! Parsing of server-sent events, in bounded memory.
 
-/// Bound of one event.
+/// The maximum size of the data of one event, and of one line. The parser buffers at most twice this size.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Splits a byte stream, fed in parts of any size, into the data of its events.
+/// An incremental parser that splits a byte stream, received in parts of any size, into the data of its events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventParser {
     buffer: Vec<u8>,
-    /// Where the next line starts in `buffer`.
+    /// Offset in `buffer` at which the next line starts.
     line_start: usize,
-    /// Up to where `buffer` was searched for a line end.
+    /// Offset in `buffer` up to which line ends were searched.
     searched: usize,
-    /// The data of the current event.
+    /// The data lines of the current event that were parsed so far.
     data: String,
-    /// Whether the current event has a data line.
+    /// True if the current event has a data line.
     has_data: bool,
 }
 
-/// An event that exceeds its bound, or is not UTF-8.
+/// The error of an event that exceeds the maximum size or is not valid UTF-8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidEvent;
 
 impl std::fmt::Display for InvalidEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("an event is too large or not UTF-8")
+        f.write_str("event is too large or not valid UTF-8")
     }
 }
 
 impl std::error::Error for InvalidEvent {}
 
-impl Events {
+impl EventParser {
     /// Adds the next bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(), InvalidEvent> {
         if self.line_start > 0 {
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// The data of the next complete event.
+    /// Returns the data of the next complete event, or `None` if further bytes are needed.
     pub fn next_event(&mut self) -> Result<Option<String>, InvalidEvent> {
         while let Some(length) = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n') {
             let end = self.searched + length;
--- a/engine-client/src/wire_format.rs
+++ b/engine-client/src/wire_format.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// The `kv_transfer_params` of a prefill request: its KV cache is to be fetched by another server.
+/// The `kv_transfer_params` of a prefill request. They tell the prefill server that another server will fetch the KV
+/// cache.
 const PREFILL_TRANSFER_PARAMS: &str = r#"{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}"#;
 
 /// The body of a completion request.
@@ -82,7 +83,8 @@
 }
 
 impl PrefillResponse {
-    /// How many tokens of the prompt were cached; zero if it is not reported.
+    /// Number of prompt tokens that the server had in its cache before the prefill, or zero if the server does not
+    /// report it.
     pub(crate) fn cached_tokens(&self) -> u64 {
         let details = self.usage.prompt_tokens_details.as_ref();
         details.and_then(|details| details.cached_tokens).unwrap_or(0)
@@ -111,12 +113,12 @@
 }
 
 impl Chunk {
-    /// Whether the server reports an error in its stream.
+    /// Returns whether this event reports an error of the server.
     pub(crate) fn is_error(&self) -> bool {
         self.error.is_some()
     }
 
-    /// Its texts, the reason of its end, and its usage, in this order.
+    /// Converts the event to pieces: for each choice its text and its finish reason, then the token counts.
     pub(crate) fn into_pieces(self) -> Vec<Piece> {
         let mut pieces = Vec::new();
         for choice in self.choices {
@@ -144,7 +146,7 @@
     code: Option<serde_json::Value>,
 }
 
-/// The code in the body of an error response, if it is a text.
+/// Returns the error code in the body of an error response, if the code is a string.
 pub(crate) fn error_code(body: &[u8]) -> Option<String> {
     let response: ErrorResponse = serde_json::from_slice(body).ok()?;
     response.error.code?.as_str().map(str::to_owned)
--- a/engine-client/tests/attempt_ends.rs
+++ b/engine-client/tests/attempt_ends.rs
@@ -1,4 +1,5 @@
-//! How attempts end against scripted servers, and what each end proves.
+//! Tests which end the client reports for each attempt at a scripted server, and whether this end proves that the
+//! attempt did not run.
 
 use async_executor::LocalExecutor;
 use async_net::{TcpListener, TcpStream};
@@ -27,11 +28,11 @@
     }
 }
 
-fn on_new_connection(address: SocketAddr) -> CompletionRequest {
+fn request_on_new_connection(address: SocketAddr) -> CompletionRequest {
     CompletionRequest { new_connection: true, ..request(address) }
 }
 
-/// Reads one request's head and body from a socket; false if it ends early.
+/// Reads the head and the body of one request from a socket. Returns false if the socket ends before the request does.
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let mut part = [0u8; 4096];
@@ -52,7 +53,8 @@
     }
 }
 
-/// A server that responses the requests on each connection with these texts, one after another, and then closes.
+/// Starts a server that accepts one connection for each element of `responses`, one after another. On each connection
+/// it answers one request with each text, and then closes the connection.
 async fn scripted_server(executor: &Rc<LocalExecutor<'static>>, responses: Vec<Vec<String>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -82,13 +84,13 @@
 const EVENTS: &str = "data: {\"choices\":[{\"text\":\"a\",\"finish_reason\":null}]}\n\n\
     data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
 
-fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>, Client) -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>, Client) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     let client = Client::new(Spawner::new(&executor), "test");
     future::block_on(executor.run(test(executor.clone(), client)));
 }
 
-/// Reads a decode stream to its end, and returns how it ended.
+/// Sends a decode request, and returns the text of its stream and how the attempt ended.
 async fn read_stream(client: &Client, request: &CompletionRequest) -> (String, Result<(), AttemptEnd>) {
     let mut text = String::new();
     let mut stream = match client.decode(request, &|| {}).await.result {
@@ -110,10 +112,10 @@
 
 #[test]
 fn each_error_is_classified_by_status_and_code_together() {
-    let rows = [
+    let cases = [
         (error("503 x", "full"), AttemptEnd::AtCapacity, true),
         (error("409 x", "state_missing"), AttemptEnd::KvCacheMissing, true),
-        // The status alone, or the code alone, proves nothing: a proxy may have made it up.
+        // The status alone or the code alone proves nothing, because a proxy may have generated it.
         (response("503 x", "busy"), AttemptEnd::ErrorStatus { status: 503 }, false),
         (error("500 x", "full"), AttemptEnd::ErrorStatus { status: 500 }, false),
         (error("409 x", "other"), AttemptEnd::ErrorStatus { status: 409 }, false),
@@ -136,13 +138,13 @@
             false,
         ),
     ];
-    for (text, end, proves_not_run) in rows {
-        run(|executor, client| async move {
-            let to = scripted_server(&executor, vec![vec![text.clone()]]).await;
-            let ends_well = text.contains("content-length: 9");
-            let (_, ended) = read_stream(&client, &on_new_connection(to)).await;
-            // A body that is longer than its events ends well at its `[DONE]` event.
-            assert_eq!(ended.err(), if ends_well { None } else { Some(end) }, "{text:.200}");
+    for (text, end, proves_not_run) in cases {
+        run_test(|executor, client| async move {
+            let server = scripted_server(&executor, vec![vec![text.clone()]]).await;
+            let succeeds = text.contains("content-length: 9");
+            let (_, result) = read_stream(&client, &request_on_new_connection(server)).await;
+            // A stream whose body is announced to be longer than its events still succeeds at its `[DONE]` event.
+            assert_eq!(result.err(), if succeeds { None } else { Some(end) }, "{text:.200}");
             assert_eq!(end.proves_not_run(), proves_not_run, "{text:.200}");
         });
     }
@@ -150,36 +152,36 @@
 
 #[test]
 fn refused_connection_proves_not_run() {
-    run(|_, client| async move {
+    run_test(|_, client| async move {
         let unused = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let to = unused.local_addr().unwrap();
+        let server = unused.local_addr().unwrap();
         drop(unused);
-        let (_, ended) = read_stream(&client, &request(to)).await;
-        assert_eq!(ended, Err(AttemptEnd::NotConnected));
+        let (_, result) = read_stream(&client, &request(server)).await;
+        assert_eq!(result, Err(AttemptEnd::NotConnected));
         assert!(AttemptEnd::NotConnected.proves_not_run());
     });
 }
 
 #[test]
 fn pooled_connection_closed_under_request_proves_nothing() {
-    run(|executor, client| async move {
-        let to = scripted_server(&executor, vec![vec![response("200 OK", EVENTS), String::new()]]).await;
-        assert_eq!(read_stream(&client, &request(to)).await, ("a".to_owned(), Ok(())));
+    run_test(|executor, client| async move {
+        let server = scripted_server(&executor, vec![vec![response("200 OK", EVENTS), String::new()]]).await;
+        assert_eq!(read_stream(&client, &request(server)).await, ("a".to_owned(), Ok(())));
         async_io::Timer::after(Duration::from_millis(30)).await;
-        // The server reads the second request completely, and closes: it may have run.
-        let (_, ended) = read_stream(&client, &request(to)).await;
-        assert_eq!(ended, Err(AttemptEnd::Reset));
+        // The server reads the second request completely and closes the connection, so the request may have run.
+        let (_, result) = read_stream(&client, &request(server)).await;
+        assert_eq!(result, Err(AttemptEnd::Reset));
         assert!(!AttemptEnd::Reset.proves_not_run());
     });
 }
 
 #[test]
 fn closed_pooled_connection_is_not_reused() {
-    run(|executor, client| async move {
+    run_test(|executor, client| async move {
         let once = || vec![response("200 OK", EVENTS)];
-        let to = scripted_server(&executor, vec![once(), once(), once()]).await;
+        let server = scripted_server(&executor, vec![once(), once(), once()]).await;
         for _ in 0..3 {
-            assert_eq!(read_stream(&client, &request(to)).await, ("a".to_owned(), Ok(())));
+            assert_eq!(read_stream(&client, &request(server)).await, ("a".to_owned(), Ok(())));
             async_io::Timer::after(Duration::from_millis(30)).await;
         }
     });
@@ -187,19 +189,20 @@
 
 #[test]
 fn request_for_a_new_connection_never_uses_a_pooled_one() {
-    run(|executor, client| async move {
+    run_test(|executor, client| async move {
         let twice = vec![response("200 OK", EVENTS), String::new()];
-        let to = scripted_server(&executor, vec![twice, vec![response("200 OK", EVENTS)]]).await;
-        assert_eq!(read_stream(&client, &request(to)).await.1, Ok(()));
+        let server = scripted_server(&executor, vec![twice, vec![response("200 OK", EVENTS)]]).await;
+        assert_eq!(read_stream(&client, &request(server)).await.1, Ok(()));
         async_io::Timer::after(Duration::from_millis(30)).await;
-        // The first connection would break under it; the server accepts the second one only once the first has closed.
-        let second = on_new_connection(to);
+        // The server would break the first connection during the second request, and accepts a second connection only
+        // once the first one has closed. So a request on a new connection times out instead of ending with a reset.
+        let second = request_on_new_connection(server);
         let timeout = async {
             async_io::Timer::after(Duration::from_millis(300)).await;
             (String::new(), Err(AttemptEnd::TimedOut))
         };
-        let (_, ended) = future::or(read_stream(&client, &second), timeout).await;
-        assert_eq!(ended, Err(AttemptEnd::TimedOut));
+        let (_, result) = future::or(read_stream(&client, &second), timeout).await;
+        assert_eq!(result, Err(AttemptEnd::TimedOut));
     });
 }
 
@@ -208,9 +211,9 @@
     let good =
         r#"{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens_details":{"cached_tokens":7}},"more":[]}"#;
     for (body, cached) in [(good, Some(7.0)), (r#"{"usage":{}}"#, None), ("[]", None)] {
-        run(|executor, client| async move {
-            let to = scripted_server(&executor, vec![vec![response("200 OK", body)]]).await;
-            let reply = client.prefill(&request(to), &|| {}).await;
+        run_test(|executor, client| async move {
+            let server = scripted_server(&executor, vec![vec![response("200 OK", body)]]).await;
+            let reply = client.prefill(&request(server), &|| {}).await;
             match cached {
                 Some(cached) => assert_eq!(reply.result.unwrap().cached_tokens, cached),
                 None => assert_eq!(reply.result.err(), Some(AttemptEnd::Malformed)),
