--- a/chat-gateway/src/answer.rs
+++ b/chat-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a request, as the ingress reads it.
+//! The answer to a request, as read by an ingress.
 
 use crate::state::GatewayState;
 use async_channel::{Receiver, TryRecvError};
@@ -8,25 +8,26 @@
 use petrelshore_runtime::{EventDriven, wait_for};
 use std::rc::Rc;
 
-/// What an ingress reads of its answer.
+/// An item that an ingress reads from an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerItem {
     /// The next part of the generated text.
     Text(String),
-    /// The end: nothing follows.
+    /// The final answer. No item follows.
     FinalAnswer(FinalAnswer),
 }
 
-/// An answer on its way. Dropping it before its end reports to the gateway that the client has left.
+/// The answer to a request, as a stream of texts and a final answer. Dropping an `Answer` before its final answer was
+/// read reports to the gateway that the client has left.
 pub struct Answer {
     pub(crate) id: SequenceId,
     pub(crate) state: Rc<GatewayState>,
     pub(crate) texts: Receiver<String>,
-    /// Notified when the final answer is there.
-    pub(crate) completed: Rc<Event>,
-    /// Whether the final answer was read.
+    /// Notified when the final answer is set.
+    pub(crate) final_answer_set: Rc<Event>,
+    /// True once the ingress has read the final answer.
     pub(crate) final_answer_read: bool,
-    /// The final answer of an earlier request with the same idempotency key, replayed.
+    /// The final answer of an earlier request with the same idempotency key, if this answer is a replay.
     pub(crate) replayed: Option<FinalAnswer>,
 }
 
@@ -36,19 +37,19 @@
         self.id
     }
 
-    /// The next text, or the final answer; none after that.
+    /// Waits for the next text or the final answer, and returns it. Returns `None` after the final answer.
     pub async fn next(&mut self) -> Option<AnswerItem> {
         if self.final_answer_read {
             return None;
         }
-        // The channel is closed when the final answer is there; texts before it are read first.
+        // The channel is closed once the final answer is set. Texts that were queued before are still received.
         if let Ok(text) = self.texts.recv().await {
             return Some(AnswerItem::Text(text));
         }
         self.take_final_answer()
     }
 
-    /// The next text or the final answer, if it is there by now.
+    /// Returns the next text or the final answer if either is available, without waiting.
     pub fn try_next(&mut self) -> Option<AnswerItem> {
         if self.final_answer_read {
             return None;
@@ -60,10 +61,10 @@
         }
     }
 
-    /// Returns once the request has failed, though texts before that may wait to be read: an ingress that cannot send
-    /// those on can report the failure at once.
+    /// Waits until the request has failed, and returns its final answer, even if unread texts are queued before the
+    /// final answer. So an ingress that can't send those texts to its client can still report the failure at once.
     pub async fn wait_for_failure(&mut self) -> FinalAnswer {
-        let failure = wait_for(&self.completed, || self.state.failure(self.id)).await;
+        let failure = wait_for(&self.final_answer_set, || self.state.failure(self.id)).await;
         self.final_answer_read = true;
         failure
     }
@@ -86,14 +87,15 @@
         self.entries.borrow_mut().get_mut(&id).and_then(|entry| entry.final_answer.take())
     }
 
-    /// The final answer, where it is there and the request was not completed.
+    /// Returns the final answer if it is set and is not [`FinalAnswer::Completed`].
     fn failure(&self, id: SequenceId) -> Option<FinalAnswer> {
         let entries = self.entries.borrow();
         let final_answer = entries.get(&id).and_then(|entry| entry.final_answer.clone());
         final_answer.filter(|answer| !matches!(answer, FinalAnswer::Completed { .. }))
     }
 
-    /// The ingress has dropped its answer, with its final answer read or not.
+    /// Handles an ingress that dropped its [`Answer`]. `final_answer_read` is false if the client left before the final
+    /// answer was read.
     fn answer_dropped(self: &Rc<Self>, id: SequenceId, final_answer_read: bool) {
         self.apply(|requests, now, commands| {
             if final_answer_read {
@@ -102,7 +104,7 @@
                 requests.client_cancelled(now, id, commands);
             }
         });
-        // Dropping the entry cancels whatever of it still runs.
+        // Dropping the entry cancels the attempt in flight, if there is one.
         let entry = self.entries.borrow_mut().remove(&id);
         drop(entry);
         self.request_finished.notify(usize::MAX);
--- a/chat-gateway/src/commands.rs
+++ b/chat-gateway/src/commands.rs
@@ -30,18 +30,18 @@
     fn cancel_attempt(self: &Rc<Self>, id: SequenceId, attempt: usize, reason: CancelReason) {
         self.log_attempt_cancelled(id, attempt, reason);
         let task = self.take_attempt_task(id, attempt);
-        // Dropping its task closes its connection.
+        // Dropping the task closes the connection of the attempt.
         drop(task);
         self.apply(|requests, now, commands| requests.attempt_cancelled(now, id, attempt, commands));
     }
 
-    /// The one final answer: the ingress reads it once it has read all texts before it.
+    /// Sets the final answer of a request. The ingress reads the final answer after all texts that precede it.
     fn finish_answer(&self, id: SequenceId, outcome: FinalAnswer) {
         self.log_final_answer(id, &outcome);
         if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
             entry.final_answer = Some(outcome);
             entry.texts.close();
-            entry.completed.notify(usize::MAX);
+            entry.final_answer_set.notify(usize::MAX);
         }
         self.request_finished.notify(usize::MAX);
     }
--- a/chat-gateway/src/endpoints.rs
+++ b/chat-gateway/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: read from the inventory, stored for a later run, changed by what attempts learn.
+//! The endpoint list: loaded from the inventory, stored for later runs, and updated when attempts show that a server
+//! has restarted or is unreachable.
 
 use crate::gateway::Gateway;
 use crate::reload_error::ReloadError;
@@ -10,12 +11,14 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Addresses that are remembered of servers that left the inventory: KV caches that they hold are still released.
+/// The maximum number of addresses kept for servers that have left the inventory. The gateway still sends release
+/// requests to these servers for the KV caches that they hold.
 const MAX_FORMER_ADDRESSES: usize = 1_024;
 
 impl Gateway {
-    /// Takes the endpoint list at the start: the inventory where it is good, else the list stored by an earlier run.
-    pub(crate) fn load_first_list(&self) -> Result<(), ReloadError> {
+    /// Loads the endpoint list at the start: from the inventory if it is valid, otherwise the list stored by an earlier
+    /// run. Fails if the inventory is rejected and no list with servers is stored.
+    pub(crate) fn load_initial_list(&self) -> Result<(), ReloadError> {
         let state = &self.0;
         match cached_list::load(&state.settings.cached_list, state.event_loop.now()) {
             Ok(Some(cached)) => {
@@ -36,13 +39,13 @@
         }
     }
 
-    /// Reads the inventory again. A list with any fault is rejected completely. Returns how many
-    /// servers it has.
+    /// Reads the inventory and replaces the endpoint list. An inventory with any error is rejected completely. Returns
+    /// the number of listed servers.
     pub fn reload(&self) -> Result<usize, ReloadError> {
         let state = &self.0;
         let list = state.read_inventory()?;
         let servers = list.servers.len();
-        let checked = state.guard.borrow_mut().check(state.membership.borrow().list(), &list);
+        let checked = state.change_guard.borrow_mut().check(state.membership.borrow().list(), &list);
         checked.map_err(ReloadError::Implausible)?;
         let change = state.membership.borrow_mut().replace(state.event_loop.now(), list);
         state.apply_endpoint_change(change);
@@ -51,7 +54,7 @@
         Ok(servers)
     }
 
-    /// How many model servers are listed.
+    /// Number of listed model servers.
     pub fn servers(&self) -> usize {
         self.0.membership.borrow().list().servers.len()
     }
@@ -67,7 +70,7 @@
         read_list(file, format, &text, &self.settings.kinds).map_err(ReloadError::Invalid)
     }
 
-    /// Applies a change of the endpoint list; a full or cached list also replaces the addresses.
+    /// Applies a change of the endpoint list to the request table. A full or cached list also replaces the addresses.
     pub(crate) fn apply_endpoint_change(&self, change: Change) {
         let now = self.event_loop.now();
         self.event_loop.requests_mut().update_endpoints(now, change.scope, &change.entries);
@@ -76,6 +79,8 @@
         }
     }
 
+    /// Replaces the addresses of the listed servers, and keeps those of servers that are no longer listed in
+    /// `former_addresses`.
     fn replace_addresses(&self) {
         let membership = self.membership.borrow();
         let servers = &membership.list().servers;
@@ -90,9 +95,9 @@
         self.client.retain_endpoints(|address| servers.iter().any(|server| server.address == *address));
     }
 
-    /// Stores the list for a later run. Where its disk does not take it, a store task retries until it does.
+    /// Stores the endpoint list for a later run. If writing the file fails, a store task retries until it succeeds.
     fn store_list(self: &Rc<Self>) {
-        if self.try_store_list().is_ok() || self.storing_list.replace(true) {
+        if self.try_store_list().is_ok() || self.store_task_running.replace(true) {
             return;
         }
         let state = self.clone();
@@ -105,11 +110,11 @@
                 }
                 failures += 1;
             }
-            state.storing_list.set(false);
+            state.store_task_running.set(false);
         });
     }
 
-    /// Stores the list as it is now.
+    /// Tries once to store the current endpoint list.
     fn try_store_list(&self) -> std::io::Result<()> {
         let (membership, file) = (self.membership.borrow(), &self.settings.cached_list);
         let now = self.event_loop.now();
--- a/chat-gateway/src/event_log.rs
+++ b/chat-gateway/src/event_log.rs
@@ -1,4 +1,6 @@
-//! The events that are logged by default: what went wrong with which request, and why, within a budget.
+//! Logs the failures that are logged by default: which request or attempt failed, and why. An event budget limits the
+//! number of log lines. Successes, and failures beyond the budget, are logged at debug level; cancellations beyond the
+//! budget are not logged.
 
 use crate::state::GatewayState;
 use petrelshore::interface::SequenceId;
@@ -10,11 +12,12 @@
 use tracing::{debug, info};
 
 impl GatewayState {
+    /// Counts an event. Returns true if the event budget admits the event to the default log.
     fn may_log(&self, kind: EventKind) -> bool {
         self.event_budget.borrow_mut().admit(self.event_loop.now(), kind)
     }
 
-    /// Logs how an attempt ended.
+    /// Logs the end of an attempt.
     pub(crate) fn log_attempt_end(&self, dispatch: &Dispatch, end: AttemptEnd) {
         let Dispatch { id, attempt, server, step, holds_cache, .. } = *dispatch;
         let succeeded = matches!(end, AttemptEnd::Completed | AttemptEnd::PrefillDone { .. });
@@ -26,7 +29,7 @@
         }
     }
 
-    /// Logs that an attempt was cancelled.
+    /// Logs the cancellation of an attempt, within the event budget.
     pub(crate) fn log_attempt_cancelled(&self, id: SequenceId, attempt: usize, reason: CancelReason) {
         let kind = match reason {
             CancelReason::TimedOut | CancelReason::ClientStalled => EventKind::AttemptFailed,
@@ -37,7 +40,7 @@
         }
     }
 
-    /// Logs what became of a release request.
+    /// Logs the outcome of a release request.
     pub(crate) fn log_release(&self, release: &CacheRelease, outcome: Result<(), AttemptEnd>) {
         let (server, server_request_id) = (release.server.0, &release.request_id);
         if outcome.is_err() && self.may_log(EventKind::ReleaseDelayed) {
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The handle of a running gateway.
+//! The handle to a running gateway.
 
 use crate::answer::Answer;
 use crate::generation_request::GenerationRequest;
@@ -17,21 +17,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Texts that are queued for a client that does not read them, before its attempt has to wait.
+/// The maximum number of texts that are queued for a client that does not read them. Beyond this number, the attempt
+/// stops reading from its server.
 const MAX_QUEUED_TEXTS: usize = 16;
 
-/// A running gateway. Clones are the same gateway.
+/// A handle to a running gateway. A clone refers to the same gateway.
 #[derive(Clone)]
 pub struct Gateway(pub(crate) Rc<GatewayState>);
 
 impl Gateway {
-    /// Starts a gateway from its settings and its endpoint list: the inventory where it is good, else the list stored by
-    /// an earlier run. Its tasks run where `spawner` says.
+    /// Starts a gateway with these settings. The endpoint list is the inventory if it is valid, otherwise the list
+    /// stored by an earlier run. The tasks of the gateway are spawned with `spawner`.
     pub fn start(settings: Settings, spawner: Spawner) -> Result<Gateway, ReloadError> {
         Self::start_with(settings, spawner, PolicyKind::Scheduler)
     }
 
-    /// Starts a gateway that routes by another policy.
+    /// Starts a gateway with the given policy. Policies other than the scheduler serve for comparisons.
     pub fn start_with(
         settings: Settings,
         spawner: Spawner,
@@ -53,22 +54,22 @@
             event_loop: EventLoop::new(clock, requests),
             event_budget: RefCell::default(),
             membership: RefCell::new(membership),
-            guard: RefCell::default(),
+            change_guard: RefCell::default(),
             addresses: RefCell::default(),
             former_addresses: RefCell::default(),
             entries: RefCell::default(),
-            storing_list: Cell::new(false),
+            store_task_running: Cell::new(false),
             request_finished: Event::new(),
             draining: Event::new(),
             settings,
             spawner,
         }));
-        gateway.load_first_list()?;
+        gateway.load_initial_list()?;
         gateway.0.spawner.run(gateway.0.clone().run_timeouts());
         Ok(gateway)
     }
 
-    /// Accepts a request, or says why not. What is accepted gets exactly one final answer.
+    /// Accepts a request, or returns the reason for the rejection. Each accepted request gets exactly one final answer.
     pub fn accept(&self, request: GenerationRequest) -> Result<Answer, Rejection> {
         let state = &self.0;
         let GenerationRequest { request, stop, sampling } = request;
@@ -76,7 +77,7 @@
         let (mut commands, now) = (Vec::new(), state.event_loop.now());
         let admission = state.event_loop.requests_mut().accept(now, request, &mut commands);
         let (sender, texts) = async_channel::bounded(MAX_QUEUED_TEXTS);
-        let completed = Rc::new(Event::new());
+        let final_answer_set = Rc::new(Event::new());
         let (id, replayed) = match admission {
             Admission::Rejected(rejection) => return Err(rejection),
             Admission::Accepted(id) => {
@@ -86,7 +87,7 @@
                     model,
                     texts: sender,
                     final_answer: None,
-                    completed: completed.clone(),
+                    final_answer_set: final_answer_set.clone(),
                     attempt: AttemptSlot::default(),
                 };
                 state.entries.borrow_mut().insert(id, entry);
@@ -94,7 +95,7 @@
             }
             Admission::Replayed { id, text, last } => {
                 if !text.is_empty() {
-                    // The channel is new and has capacity.
+                    // The channel is new, so it has capacity for this text.
                     let _ = sender.try_send(text.to_string());
                 }
                 sender.close();
@@ -102,11 +103,11 @@
             }
         };
         state.execute_all(commands);
-        Ok(Answer { id, state: state.clone(), texts, completed, final_answer_read: false, replayed })
+        Ok(Answer { id, state: state.clone(), texts, final_answer_set, final_answer_read: false, replayed })
     }
 
-    /// Accepts nothing further, lets running streams go on for the drain time, then terminates the rest. Returns how
-    /// many had to be terminated.
+    /// Stops accepting requests, lets running streams continue for the drain time, then terminates the remaining
+    /// requests. Returns the number of terminated requests.
     pub async fn drain(&self) -> usize {
         let state = &self.0;
         state.event_loop.requests_mut().drain();
@@ -121,42 +122,42 @@
         terminated
     }
 
-    /// Returns once nothing further is accepted.
+    /// Waits until the gateway is draining.
     pub async fn wait_until_draining(&self) {
         wait_until(&self.0.draining, || self.is_draining()).await;
     }
 
-    /// Whether nothing further is accepted.
+    /// Returns whether new requests are rejected because the gateway is draining.
     pub fn is_draining(&self) -> bool {
         self.0.event_loop.requests().is_draining()
     }
 
-    /// The settings that this gateway runs with.
+    /// The settings of this gateway.
     pub fn settings(&self) -> &Settings {
         &self.0.settings
     }
 
-    /// What spawns the tasks of this gateway.
+    /// The spawner for the tasks of this gateway.
     pub fn spawner(&self) -> &Spawner {
         &self.0.spawner
     }
 
-    /// The clock that all times of this gateway go by.
+    /// The clock of this gateway, to which all its times refer.
     pub fn clock(&self) -> Clock {
         self.0.event_loop.clock()
     }
 
-    /// What happened so far, as counters.
+    /// Counts of events since the start.
     pub fn counts(&self) -> Counts {
         self.0.event_loop.requests().counts()
     }
 
-    /// How many requests wait for their final answer.
+    /// Number of requests whose final answer is pending.
     pub fn unanswered(&self) -> usize {
         self.0.event_loop.requests().unanswered()
     }
 
-    /// Everything that is tracked for requests, for leak checks.
+    /// Number of requests in the request table, answered or not. Leak checks expect zero once no request is left.
     pub fn tracked(&self) -> usize {
         self.0.event_loop.requests().tracked()
     }
--- a/chat-gateway/src/generation_request.rs
+++ b/chat-gateway/src/generation_request.rs
@@ -1,15 +1,15 @@
-//! What an ingress hands to the gateway.
+//! A request as passed from an ingress to the gateway.
 
 use petrelshore_gateway_core::buffered::Request;
 use std::rc::Rc;
 
-/// A request as an ingress has decoded it, with what is forwarded to the model servers unchanged.
+/// A request as decoded by an ingress, with the fields that are forwarded to the model servers unchanged.
 #[derive(Clone, Debug)]
 pub struct GenerationRequest {
-    /// What the request table needs of it.
+    /// The fields that the request table uses.
     pub request: Request,
-    /// Stop sequences.
+    /// The texts that end the generation.
     pub stop: Rc<[String]>,
-    /// Sampling parameters, by their names in the API.
+    /// The sampling parameters by their names in the API.
     pub sampling: Rc<serde_json::Map<String, serde_json::Value>>,
 }
--- a/chat-gateway/src/lib.rs
+++ b/chat-gateway/src/lib.rs
@@ -1,13 +1,13 @@
-//! The gateway of the chat APIs: executes on sockets what the request table of
-//! [`petrelshore_gateway_core::buffered`] commands. The gateway on the operators' platform is in `platform-gateway/`.
+//! The gateway of the chat APIs: executes on sockets the commands of the request table in
+//! [`petrelshore_gateway_core::buffered`]. The gateway on the operators' platform is in `platform-gateway/`.
 //!
-//! An ingress hands a [`GenerationRequest`] to [`Gateway::accept`] and reads its [`Answer`]. No routing decision is made
-//! here.
+//! An ingress passes a [`GenerationRequest`] to [`Gateway::accept`] and reads the returned [`Answer`]. This package
+//! makes no routing decisions.
 //!
-//! All of it runs on one thread, in these tasks: the *timeout task* applies timeouts, an *attempt task* for each attempt
-//! in flight speaks to its model server, a *release task* for each release request sends it once, and the *store task*
-//! retries to store the endpoint list while its disk does not take it. The tasks of an ingress call [`Gateway`] and
-//! [`Answer`].
+//! The gateway runs on one thread, in these tasks: the *timeout task* applies timeouts, an *attempt task* for each
+//! attempt in flight exchanges messages with its model server, a *release task* for each release request sends that
+//! request once, and the *store task* retries storing the endpoint list while writing its file fails. The tasks of an
+//! ingress call [`Gateway`] and [`Answer`].
 
 mod answer;
 mod attempts;
--- a/chat-gateway/src/releases.rs
+++ b/chat-gateway/src/releases.rs
@@ -1,4 +1,4 @@
-//! Release requests: a prefill server that holds a KV cache which nobody will fetch is asked to release it.
+//! Release requests: the gateway asks a prefill server to release a KV cache that no attempt will fetch any more.
 
 use crate::state::GatewayState;
 use petrelshore::interface::ServerId;
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 impl GatewayState {
-    /// Starts the release task, which asks a server once. The request table has it repeated until the server has
-    /// answered, or is known to hold nothing.
+    /// Starts a release task, which sends a release request once. The request table commands the same release again
+    /// until the server has answered or is known to have stopped, or until the release is abandoned as too old.
     pub(crate) fn send_release(self: &Rc<Self>, release: CacheRelease) {
         let Some(address) = self.last_address(release.server) else {
             return self.release_finished(&release, ReleaseOutcome::ServerGone);
@@ -19,14 +19,15 @@
         self.spawner.run(async move {
             let outcome = state.client.release(address, &release.request_id, timeout).await;
             state.log_release(&release, outcome);
-            // A connection that did not come up in time proves nothing of what its server holds.
+            // A failed request, such as one without a connection in time, does not show whether the server still holds
+            // the KV cache.
             if outcome.is_ok() {
                 state.release_finished(&release, ReleaseOutcome::Acknowledged);
             }
         });
     }
 
-    /// Where a server is reached, or was when it was last listed.
+    /// Returns the address of a server, or its last known address if the server is no longer listed.
     fn last_address(&self, server: ServerId) -> Option<SocketAddr> {
         let listed = self.addresses.borrow().get(&server).copied();
         listed.or_else(|| {
--- a/chat-gateway/src/reload_error.rs
+++ b/chat-gateway/src/reload_error.rs
@@ -1,14 +1,14 @@
-//! Why an endpoint list was not taken.
+//! The reason for rejecting an inventory.
 
 use petrelshore_inventory::{Problem, SuspiciousChange};
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Why an endpoint list was not taken; the one before stays.
+/// The reason for rejecting an inventory. The previous endpoint list stays in use.
 #[derive(Debug)]
 pub enum ReloadError {
-    /// The name of the file tells no format that is known here.
+    /// The file name has no extension of a supported format.
     UnknownFormat {
         /// The inventory.
         file: PathBuf,
@@ -17,19 +17,19 @@
     Unreadable {
         /// The inventory.
         file: PathBuf,
-        /// Why not.
+        /// The error of the read.
         error: io::Error,
     },
-    /// Its text is not valid.
+    /// The text of the inventory is invalid.
     Invalid(Vec<Problem>),
-    /// It is valid, and differs too much from the list before to be believed.
+    /// The inventory is valid, but differs so much from the previous list that it is probably wrong.
     Implausible(SuspiciousChange),
 }
 
 impl fmt::Display for ReloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReloadError::UnknownFormat { file } => write!(f, "{}: is neither .csv nor .yaml", file.display()),
+            ReloadError::UnknownFormat { file } => write!(f, "{}: not a .csv or .yaml file", file.display()),
             ReloadError::Unreadable { file, error } => write!(f, "{}: {error}", file.display()),
             ReloadError::Invalid(problems) => {
                 let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
--- a/chat-gateway/src/state.rs
+++ b/chat-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway share.
+//! The state that the tasks of a gateway share.
 
 use async_channel::Sender;
 use event_listener::Event;
@@ -15,48 +15,50 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The request table; KV transfer parameters pass through it as raw JSON.
+/// The request table. KV transfer parameters pass through the table as raw JSON.
 pub(crate) type Requests = BufferedRequests<Rc<RawValue>>;
 
-/// A request in flight, as far as its sockets and its ingress go. Made by the ingress's task that has it accepted, and
-/// removed when that drops its [`Answer`](crate::Answer).
+/// The data of a request that its attempt task and its ingress use. The entry is added when an ingress task has the
+/// request accepted, and removed when that task drops the [`Answer`](crate::Answer).
 pub(crate) struct RequestEntry {
     pub(crate) stop: Rc<[String]>,
     pub(crate) sampling: Rc<serde_json::Map<String, serde_json::Value>>,
     pub(crate) model: Rc<str>,
-    /// To the [`Answer`](crate::Answer). Filled by the attempt task; closed by the final answer.
+    /// The channel to the [`Answer`](crate::Answer). The attempt task sends texts; the final answer closes the channel.
     pub(crate) texts: Sender<String>,
-    /// Set once, before `texts` is closed; taken by the [`Answer`](crate::Answer).
+    /// The final answer, set once, before `texts` is closed. The [`Answer`](crate::Answer) takes it.
     pub(crate) final_answer: Option<FinalAnswer>,
     /// Notified when `final_answer` is set.
-    pub(crate) completed: Rc<Event>,
-    /// Filled when an attempt is sent; emptied by its attempt task at its end, or by whoever cancels it.
+    pub(crate) final_answer_set: Rc<Event>,
+    /// The task of the attempt in flight: added when the attempt is sent, and removed by the attempt task at its end or
+    /// by the task that cancels the attempt.
     pub(crate) attempt: AttemptSlot,
 }
 
-/// State shared by the tasks of one gateway and by the ingress, all on one thread. No borrow is held across an await.
+/// State shared by the tasks of one gateway and of its ingress, all on one thread. No borrow is held across an await.
 pub(crate) struct GatewayState {
     pub(crate) settings: Settings,
-    /// The request table and what drives it. Every task applies its events.
+    /// The request table with its clock and timer. Every task applies its events through the event loop.
     pub(crate) event_loop: EventLoop<Requests>,
     pub(crate) spawner: Spawner,
     pub(crate) client: Client,
     pub(crate) event_budget: RefCell<EventBudget>,
-    /// The endpoint list. Changed when it is reloaded, and by attempt tasks that learn of a server's start or absence.
+    /// The endpoint list. Changed by a reload, and by attempt tasks that find that a server has restarted or is
+    /// unreachable.
     pub(crate) membership: RefCell<Membership>,
-    /// Changed when the list is reloaded.
-    pub(crate) guard: RefCell<ChangeGuard>,
-    /// Where the listed servers are reached. Replaced with each full or cached list.
+    /// Rejects implausible changes of the endpoint list. Changed by a reload.
+    pub(crate) change_guard: RefCell<ChangeGuard>,
+    /// The addresses of the listed servers. Replaced with each full or cached list.
     pub(crate) addresses: RefCell<BTreeMap<ServerId, SocketAddr>>,
-    /// Where servers were reached that are listed no more, the last to leave at the end: they may run on. Changed with
-    /// `addresses`.
+    /// The last known addresses of servers that are no longer listed, the most recently removed ones at the end. These
+    /// servers may still run. Changed together with `addresses`.
     pub(crate) former_addresses: RefCell<VecDeque<(ServerId, SocketAddr)>>,
-    /// Added to by the ingress's tasks on acceptance and removed by them; changed by whichever task executes commands.
+    /// The entries of all requests. Ingress tasks add and remove entries; any task that executes commands changes them.
     pub(crate) entries: RefCell<HashMap<SequenceId, RequestEntry>>,
-    /// Whether a store task runs. Set by the reload that starts one, cleared by the store task.
-    pub(crate) storing_list: Cell<bool>,
-    /// Notified when a request has its final answer, and when its client has left.
+    /// True while a store task runs. Set by the reload that starts the task, cleared by the task.
+    pub(crate) store_task_running: Cell<bool>,
+    /// Notified when a request has its final answer, and when an ingress drops an answer.
     pub(crate) request_finished: Event,
-    /// Notified when nothing further is accepted.
+    /// Notified when the gateway starts to drain.
     pub(crate) draining: Event,
 }
