--- a/platform-ingress/src/answer.rs
+++ b/platform-ingress/src/answer.rs
@@ -1,4 +1,4 @@
-//! Writing the answer to a request as it comes.
+//! Writes the answer to a request as its parts arrive.
 
 use crate::failure::CloseReason;
 use crate::registry::{ConnectionContext, Registry};
@@ -11,7 +11,8 @@
 use petrelshore_ingress::listener::stall_timeout;
 use petrelshore_platform_gateway::{Answer, AnswerItem};
 
-/// Writes an answer as it comes. Its connection persists if its head announced nothing else and it is complete.
+/// Writes an answer as its parts arrive. The connection persists if the answer is complete and the head of the response
+/// did not announce that the connection closes.
 pub(crate) async fn write_answer(
     context: ConnectionContext<'_>,
     head: &RequestHead,
@@ -31,18 +32,18 @@
                 stream_started = true;
                 write(http, &response::chunk(head, &events)).await?;
             }
-            // Without the last chunk, so that the client does not take the stream for complete.
+            // The last chunk is left out, so that the client does not take the stream for complete.
             AnswerItem::FinalAnswer(FinalAnswer::Rejected { .. } | FinalAnswer::Aborted { .. })
                 if stream_started =>
             {
                 return Err(CloseReason::Truncated);
             }
-            AnswerItem::FinalAnswer(last) => return write_last(http, last, persistence).await,
+            AnswerItem::FinalAnswer(answer) => return write_final_answer(http, answer, persistence).await,
         }
     }
 }
 
-/// The next part of an answer, or an error once the client has closed.
+/// Returns the next part of an answer, or an error once the client has closed the connection.
 async fn next_unless_closed(
     registry: &Registry,
     http: &mut HttpConnection,
@@ -56,20 +57,20 @@
     future::or(next, closed).await
 }
 
-/// Writes the end of an answer: of a stream, or an error response.
-async fn write_last(
+/// Writes the end of a stream, or an error response.
+async fn write_final_answer(
     http: &HttpConnection,
-    last: FinalAnswer,
+    answer: FinalAnswer,
     persistence: Persistence,
 ) -> Result<(), CloseReason> {
-    match last {
+    match answer {
         FinalAnswer::Completed => write(http, response::LAST_CHUNK).await?,
         FinalAnswer::Rejected { retry_after, .. } => {
-            let text = "no room, trying again is harmless\n";
+            let text = "the request was rejected, a retry is harmless\n";
             write(http, response::complete(503, text, persistence, retry_after).as_bytes()).await?;
         }
         FinalAnswer::Aborted { .. } => {
-            let text = "the attempts failed\n";
+            let text = "the request was aborted, it may have run\n";
             write(http, response::complete(502, text, persistence, None).as_bytes()).await?;
         }
     }
@@ -79,7 +80,7 @@
     }
 }
 
-/// Writes to a client. Fails if it has gone or reads nothing for too long.
+/// Writes to a client. Fails if the connection breaks or if the write takes longer than the stall timeout.
 pub(crate) async fn write(http: &HttpConnection, bytes: &[u8]) -> Result<(), CloseReason> {
     let timed_out = async {
         Timer::after(stall_timeout()).await;
--- a/platform-ingress/src/clients.rs
+++ b/platform-ingress/src/clients.rs
@@ -1,4 +1,4 @@
-//! Accepting the connections of clients, and rejecting those beyond the limit.
+//! Accepts the connections of clients, and rejects connections beyond the limit.
 
 use crate::connection::serve;
 use crate::registry::{CloseSignal, ConnectionContext, Registry};
@@ -13,27 +13,27 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// Connections accepted before other tasks get their turn.
+/// The number of connections that are accepted before other tasks get their turn.
 const ACCEPTS_PER_TURN: usize = 8;
 
-/// All clients of one gateway. Clones share them.
+/// The clients of one gateway. Clones share the same connections.
 #[derive(Clone)]
 pub struct Clients(Rc<Registry>);
 
 impl Clients {
-    /// Clients with at most `max_connections` open connections, and with request bodies within a part of `memory_bytes`.
+    /// Allows at most `max_connections` open connections, and limits request bodies to a part of `memory_bytes`.
     pub fn new(gateway: PlatformGateway, max_connections: usize, memory_bytes: usize) -> Self {
         Clients(Rc::new(Registry::new(gateway, max_connections, memory_bytes)))
     }
 
-    /// Accepts connections for as long as it is polled.
+    /// Accepts connections for as long as the future is polled.
     pub async fn serve(self, listener: Listener) {
         loop {
             for _ in 0..ACCEPTS_PER_TURN {
                 let accepted = listener.accept().await;
                 self.admit_or_reject(&listener, accepted).await;
             }
-            // Guards against a flood of connections: admitted ones get their turn.
+            // During a flood of new connections, the connections that are already admitted get their turn.
             future::yield_now().await;
         }
     }
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Answers and closes a connection beyond the limit. Returns once another one may be rejected.
+    /// Sends an error response on a connection beyond the limit and closes it. Returns once another connection may be
+    /// rejected.
     async fn reject(&self, listener: &Listener, mut http: HttpConnection) {
         debug!("connection rejected");
         self.0.rejection_started();
@@ -80,25 +81,25 @@
             registry.rejection_finished();
         });
         listener.mark_backlog();
-        self.0.rejection_capacity().await;
+        self.0.wait_for_rejection_capacity().await;
     }
 
-    /// Closes idle connections; every response announces from now on that its connection closes.
+    /// Closes idle connections. Every response that starts from now on announces that its connection closes.
     pub fn begin_shutdown(&self) {
         self.0.begin_shutdown();
     }
 
-    /// Returns once no connection is left.
+    /// Waits until no connection is left.
     pub async fn until_empty(&self) {
         self.0.until_empty().await;
     }
 
-    /// Whether no connection is left, also of those that were rejected or are still closing.
+    /// Returns whether no connection is left, including those that were rejected or are still closing.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The number of admitted connections.
+    /// Returns the number of admitted connections.
     pub fn connections(&self) -> usize {
         self.0.len()
     }
--- a/platform-ingress/src/connection.rs
+++ b/platform-ingress/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its requests, one after the other, until it closes.
+//! Serves one client's connection: its requests, one after the other, until the connection closes.
 
 use crate::answer::write;
 use crate::failure::{CloseReason, RequestFailure, RequestRejection};
@@ -12,10 +12,11 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info};
 
-/// Serves a connection until it closes. It is always closed in the same order: requests behind the last response are never
-/// forwarded, and what was written arrives.
-/// If connections had to wait in the backlog before this one was accepted, its first request may have come from
-/// `backlogged_since` on.
+/// Serves a connection until it closes. Every connection closes in the same order, so that requests behind the last
+/// response are never forwarded and all bytes that were written reach the client.
+///
+/// If connections had to wait in the backlog before this one was accepted, its first request may have arrived at any
+/// time since `backlogged_since`.
 pub(crate) async fn serve(
     context: ConnectionContext<'_>,
     backlogged_since: Option<Instant>,
@@ -23,11 +24,11 @@
 ) {
     let connection = context.id;
     debug!(connection = connection.0, "connection accepted");
-    // Bytes that are not here yet are received later, however long the connection waited in the backlog.
+    // If no bytes have arrived yet, the first request arrives later, however long the connection waited in the backlog.
     let backlogged_since = backlogged_since.filter(|_| http.peer().has_unread_bytes());
     let reason = serve_requests(context, backlogged_since, &mut http).await;
-    let budget = context.registry.gateway();
-    if reason.is_own_decision() && budget.may_log(EventKind::ClientConnectionClosed) {
+    let gateway = context.registry.gateway();
+    if reason.is_own_decision() && gateway.may_log(EventKind::ClientConnectionClosed) {
         info!(connection = connection.0, ?reason, "connection closing");
     } else {
         debug!(connection = connection.0, ?reason, "connection closing");
@@ -44,7 +45,7 @@
     let clock = context.registry.gateway().clock();
     let mut accepted_at = Some(clock.now());
     loop {
-        if let Err(reason) = first_byte(context, http).await {
+        if let Err(reason) = wait_for_first_byte(context, http).await {
             return reason;
         }
         let started = accepted_at.take().unwrap_or_else(|| clock.now());
@@ -60,10 +61,15 @@
     }
 }
 
-/// Waits for the first byte of the next request, or reports why the connection closes before it. Pipelined requests are
-/// dropped if the client has closed behind them: nobody waits for their responses. A byte that is here when the wait ends
-/// starts a request all the same, also on an evicted connection: what is read is answered.
-async fn first_byte(context: ConnectionContext<'_>, http: &mut HttpConnection) -> Result<(), CloseReason> {
+/// Waits for the first byte of the next request, or returns the reason why the connection closes before that byte.
+///
+/// Pipelined requests are dropped if the client has closed the connection behind them, because nobody waits for their
+/// responses. A byte that has arrived when the wait ends starts a request, even on an evicted connection, because every
+/// request that is read gets a response.
+async fn wait_for_first_byte(
+    context: ConnectionContext<'_>,
+    http: &mut HttpConnection,
+) -> Result<(), CloseReason> {
     let ConnectionContext { registry, id, close_signal } = context;
     if !http.buffer.is_empty() {
         return if http.peer().has_closed() { Err(CloseReason::ClientClosed) } else { Ok(()) };
@@ -84,7 +90,7 @@
     }
 }
 
-/// Writes an error response, which announces that the connection closes.
+/// Writes an error response that announces that the connection closes.
 async fn reject(
     context: ConnectionContext<'_>,
     http: &mut HttpConnection,
--- a/platform-ingress/src/failure.rs
+++ b/platform-ingress/src/failure.rs
@@ -1,17 +1,17 @@
-//! Why a request is rejected, and why a connection closes.
+//! Reasons for rejecting a request and for closing a connection.
 
 use petrelshore::interface::Nanos;
 use petrelshore_gateway_core::ingress_limits::IngressError;
 
-/// A request that is rejected with an error response. Its connection closes then: what follows on it can't be trusted,
-/// or is not wanted.
+/// A request that is rejected with an error response. The connection closes after this response, because the bytes that
+/// follow on it can't be trusted or are not wanted.
 #[derive(Debug)]
 pub(crate) struct RequestRejection {
     pub(crate) status: u16,
     /// The body of the error response.
     pub(crate) message: String,
     pub(crate) retry_after: Option<Nanos>,
-    /// The id that the request gave, for the log.
+    /// The request ID that the client sent, for the log.
     pub(crate) request_id: Option<Box<str>>,
 }
 
@@ -26,35 +26,35 @@
         match error {
             IngressError::TooLarge => RequestRejection::new(413, "the body is too large"),
             IngressError::AtCapacity | IngressError::AddressAtCapacity => {
-                RequestRejection::new(503, "too much in hand")
+                RequestRejection::new(503, "the memory limit for request bodies is reached")
             }
         }
     }
 }
 
-/// Why a connection closes. It is logged with the connection's ID.
+/// The reason for closing a connection. It is logged with the connection's ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// The client has closed it, shut down its sending side, or it broke.
+    /// The client closed the connection or shut down its sending side, or the connection broke.
     ClientClosed,
-    /// No request came for too long.
+    /// No request arrived within the idle timeout.
     IdleTimeout,
-    /// Another connection got its place in the table.
+    /// The connection's place in the table was given to another connection.
     Evicted,
     /// The gateway shuts down.
     ShuttingDown,
     /// A request was rejected.
     Rejected,
-    /// The response announced it.
+    /// The response announced that the connection closes.
     Announced,
-    /// The client has to see that its response is incomplete.
+    /// The response is incomplete. Closing the connection without the last chunk shows this to the client.
     Truncated,
-    /// The client read nothing for too long, or broke the connection under its response.
+    /// The client read nothing for too long, or the connection broke while a response was being written.
     Unwritable,
 }
 
 impl CloseReason {
-    /// Whether the gateway closes the connection for a reason of its own, on which its client has no say.
+    /// Returns whether the gateway closes the connection by its own decision, which the client can't influence.
     pub(crate) fn is_own_decision(self) -> bool {
         match self {
             CloseReason::ClientClosed
@@ -69,18 +69,18 @@
     }
 }
 
-/// Why no further request is served on a connection.
+/// The reason why no further request is served on a connection.
 #[derive(Debug)]
 pub(crate) enum RequestFailure {
-    /// An error response is still to be written.
+    /// An error response has yet to be written.
     Rejected(RequestRejection),
     /// The connection closes without a further response.
     Close(CloseReason),
 }
 
 impl RequestFailure {
-    /// Notes the id of the request that failed.
-    pub(crate) fn of_request(self, request_id: Option<&str>) -> Self {
+    /// Adds the ID of the failed request to a rejection, for the log.
+    pub(crate) fn with_request_id(self, request_id: Option<&str>) -> Self {
         match self {
             RequestFailure::Rejected(rejection) => {
                 let request_id = request_id.map(Box::from);
--- a/platform-ingress/src/lib.rs
+++ b/platform-ingress/src/lib.rs
@@ -1,7 +1,8 @@
-//! The ingress of the platform's clients.
+//! The ingress for the platform's clients.
 //!
-//! [`Clients`] accepts their connections, bounds what is received before it is held, and submits each complete and valid
-//! request to the gateway. Which connection a full table evicts is decided in the request manager's `connection_table`.
+//! [`Clients`] accepts their connections, reserves memory for request bodies within a limit, and submits each complete
+//! and valid request to the gateway. The `client_connections` module of `petrelshore-gateway-core` decides which
+//! connection is evicted when the connection table is full.
 
 mod answer;
 mod clients;
--- a/platform-ingress/src/read.rs
+++ b/platform-ingress/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading one request: its head and its body, within their times and bounds.
+//! Reads the head and the body of one request, within their time and size limits.
 
 use crate::failure::{CloseReason, RequestFailure, RequestRejection};
 use crate::registry::{ConnectionContext, MAX_BODY_BYTES, Registry};
@@ -14,13 +14,13 @@
 use petrelshore_http1::head::RequestHead;
 use petrelshore_ingress::listener::BodyReservation;
 
-/// A complete body, and the memory reserved for it.
+/// A complete request body, and the memory reserved for it.
 pub(crate) struct ReceivedBody {
     pub(crate) data: Bytes,
     pub(crate) reservation: BodyReservation,
 }
 
-/// Reads the head of a request that counts from `started` on.
+/// Reads the head of a request. Its time limit counts from `started`.
 pub(crate) async fn read_head(
     registry: &Registry,
     started: Nanos,
@@ -28,7 +28,7 @@
 ) -> Result<RequestHead, RequestFailure> {
     let timed_out = async {
         Timer::at(registry.gateway().clock().instant(started + HEAD_TIMEOUT)).await;
-        Err(RequestRejection::new(408, "the head was not whole in time").into())
+        Err(RequestRejection::new(408, "the request head was not complete in time").into())
     };
     let read = async { http.read_request_head().await.map_err(head_failure) };
     future::or(read, timed_out).await
@@ -44,7 +44,7 @@
     }
 }
 
-/// Reads the body of a request that counts from `started` on.
+/// Reads the body of a request. Its time limit counts from `started`.
 pub(crate) async fn read_body(
     context: ConnectionContext<'_>,
     started: Nanos,
@@ -53,12 +53,12 @@
 ) -> Result<ReceivedBody, RequestRejection> {
     let timed_out = async {
         Timer::at(context.registry.gateway().clock().instant(started + BODY_TIMEOUT)).await;
-        Err(RequestRejection::new(408, "the body was not whole in time"))
+        Err(RequestRejection::new(408, "the request body was not complete in time"))
     };
     future::or(read_bounded_body(context, head, http), timed_out).await
 }
 
-/// Reads a body within its size and the memory that is available.
+/// Reads a body within the limits on the size of one body and on the memory for all bodies.
 async fn read_bounded_body(
     context: ConnectionContext<'_>,
     head: &RequestHead,
@@ -79,7 +79,7 @@
             Err(error) => return Err(RequestRejection::new(400, error.to_string())),
         }
         if http.read_more().await.is_err() {
-            return Err(RequestRejection::new(400, "the body ended early"));
+            return Err(RequestRejection::new(400, "the request body is incomplete"));
         }
     }
 }
--- a/platform-ingress/src/registry.rs
+++ b/platform-ingress/src/registry.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients: admission, eviction, graceful shutdown, and what they share.
+//! The open connections of clients: their admission, eviction and graceful shutdown, and the limits that they share.
 
 use async_executor::Task;
 use async_io::Timer;
@@ -14,19 +14,23 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Rejected connections that are answered at once; further ones wait until their connection is accepted. Protects the
-/// descriptors of discovery and model servers.
-const MAX_REJECTING: usize = 8;
-/// Evicted connections that may still be closing: their descriptors come out of the gateway's own.
+/// The maximum number of rejected connections that are answered at the same time. Further connections wait in the
+/// operating system's queue, so that rejections leave enough file descriptors for discovery and model servers.
+const MAX_PENDING_REJECTIONS: usize = 8;
+/// The maximum number of evicted connections that are still closing. Evicted connections no longer count against the
+/// connection limit, so their file descriptors come out of those that the gateway needs itself.
 const MAX_EVICTED_CLOSING: usize = 8;
-/// The part of memory that bodies may take up before their first event.
+/// The divisor of the memory size that gives the limit on request bodies, over all connections. A body counts until the
+/// first event of its answer.
 const BODY_MEMORY_DIVISOR: usize = 6;
-/// The part of memory for bytes that clients send behind their open requests.
+/// The divisor of the memory size that gives the limit on bytes that clients send behind their open requests, over all
+/// connections.
 const PIPELINE_MEMORY_DIVISOR: usize = 8;
-/// Bounds of those bytes on one connection.
+/// The upper bound of the limit on these bytes for one connection.
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// The lower bound of the same limit.
 const MIN_PIPELINED_BYTES: usize = 4 << 10;
-/// Bound of a request's body.
+/// The maximum size of a request body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 256 << 10;
 
 /// The open connections of one gateway's clients.
@@ -35,24 +39,24 @@
     connection_table: RefCell<ConnectionTable>,
     limits: Rc<RefCell<IngressLimits>>,
     handles: RefCell<HashMap<ConnectionId, ConnectionHandle>>,
-    /// Evicted connections that are still closing, the first one at the front.
+    /// Evicted connections that are still closing, in the order of their eviction.
     evicted: RefCell<VecDeque<ConnectionId>>,
     /// The number of rejected connections that are still closing.
-    rejecting: Cell<usize>,
+    pending_rejections: Cell<usize>,
     pipelined_limit: usize,
     shutting_down: Cell<bool>,
-    /// Notified when a connection, admitted or rejected, has closed.
+    /// Notified when an admitted or rejected connection has closed.
     closed: Event,
 }
 
-/// An admitted connection, as others see it.
+/// A handle on an admitted connection, to check its peer, signal it to close, or drop its task.
 struct ConnectionHandle {
     peer: Peer,
     close_signal: Rc<CloseSignal>,
     task: Task<()>,
 }
 
-/// Tells a connection that it is to close.
+/// Signals a connection that it has to close.
 #[derive(Default)]
 pub(crate) struct CloseSignal {
     evicted: Cell<bool>,
@@ -60,13 +64,13 @@
 }
 
 impl CloseSignal {
-    /// Whether another connection got its place in the table.
+    /// Returns whether the connection's place in the table was given to another connection.
     pub(crate) fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 }
 
-/// What a connection needs besides its socket.
+/// The context in which a connection is served, apart from its socket.
 #[derive(Clone, Copy)]
 pub(crate) struct ConnectionContext<'a> {
     pub(crate) registry: &'a Registry,
@@ -85,7 +89,7 @@
             limits: Rc::new(RefCell::new(limits)),
             handles: RefCell::default(),
             evicted: RefCell::default(),
-            rejecting: Cell::new(0),
+            pending_rejections: Cell::new(0),
             pipelined_limit: pipelined_limit.clamp(MIN_PIPELINED_BYTES, MAX_PIPELINED_BYTES),
             shutting_down: Cell::new(false),
             closed: Event::new(),
@@ -96,21 +100,21 @@
         &self.gateway
     }
 
-    /// Asks for a place in the table, and evicts the connection that it is taken from.
+    /// Asks the connection table to admit a new connection, and evicts the connection that the table closes for it.
     pub(crate) fn admit(&self) -> Entry {
         let now = self.gateway.clock().now();
         let Accepted { entry, evicted } =
-            self.connection_table.borrow_mut().accept(now, |id| self.is_quiet(id));
+            self.connection_table.borrow_mut().accept(now, |id| self.has_no_unread_bytes(id));
         evicted.into_iter().for_each(|id| self.evict(id));
         entry
     }
 
-    /// Keeps what is needed to end a connection that is served by `task`.
+    /// Stores the handle that ends a connection, which is served by `task`.
     pub(crate) fn insert(&self, id: ConnectionId, peer: Peer, close_signal: Rc<CloseSignal>, task: Task<()>) {
         self.handles.borrow_mut().insert(id, ConnectionHandle { peer, close_signal, task });
     }
 
-    /// A connection has closed.
+    /// Removes a connection that has closed.
     pub(crate) fn remove(&self, id: ConnectionId) {
         self.connection_table.borrow_mut().closed(id);
         self.evicted.borrow_mut().retain(|evicted| *evicted != id);
@@ -119,30 +123,30 @@
         self.closed.notify(usize::MAX);
     }
 
-    /// A rejected connection is still to be answered and closed.
+    /// Counts a rejected connection, which has yet to be answered and closed.
     pub(crate) fn rejection_started(&self) {
-        self.rejecting.update(|count| count + 1);
+        self.pending_rejections.update(|count| count + 1);
     }
 
-    /// A rejected connection has closed.
+    /// Removes a rejected connection from the count, because it has closed.
     pub(crate) fn rejection_finished(&self) {
-        self.rejecting.update(|count| count - 1);
+        self.pending_rejections.update(|count| count - 1);
         self.closed.notify(usize::MAX);
     }
 
-    /// Returns once another connection may be rejected.
-    pub(crate) async fn rejection_capacity(&self) {
+    /// Waits until another connection may be rejected.
+    pub(crate) async fn wait_for_rejection_capacity(&self) {
         loop {
             let closed = self.closed.listen();
-            if self.rejecting.get() < MAX_REJECTING {
+            if self.pending_rejections.get() < MAX_PENDING_REJECTIONS {
                 return;
             }
             closed.await;
         }
     }
 
-    /// Closes an evicted connection, in the same order as any other. If more than [`MAX_EVICTED_CLOSING`] are closing, the
-    /// one that has been closing for longest is dropped.
+    /// Signals an evicted connection to close, which it does in the same order as any other. If more than
+    /// [`MAX_EVICTED_CLOSING`] evicted connections are closing, the one that was evicted first is dropped.
     fn evict(&self, id: ConnectionId) {
         let handles = self.handles.borrow();
         let Some(ConnectionHandle { close_signal, .. }) = handles.get(&id) else { return };
@@ -151,19 +155,20 @@
         drop(handles);
         let mut evicted = self.evicted.borrow_mut();
         evicted.push_back(id);
-        let longest = if evicted.len() > MAX_EVICTED_CLOSING { evicted.pop_front() } else { None };
+        let first_evicted = if evicted.len() > MAX_EVICTED_CLOSING { evicted.pop_front() } else { None };
         drop(evicted);
-        let dropped = longest.and_then(|id| self.handles.borrow_mut().remove(&id));
+        let dropped = first_evicted.and_then(|id| self.handles.borrow_mut().remove(&id));
         drop(dropped);
     }
 
-    /// Whether all bytes received on a connection were read. A socket closed with unread bytes is reset, and the request
-    /// in them is lost.
-    fn is_quiet(&self, id: ConnectionId) -> bool {
+    /// Returns whether all bytes received on a connection have been read. A socket that is closed with unread bytes is
+    /// reset, and the request in these bytes is lost.
+    fn has_no_unread_bytes(&self, id: ConnectionId) -> bool {
         self.handles.borrow().get(&id).is_none_or(|handle| !handle.peer.has_unread_bytes())
     }
 
-    /// Returns once a connection without an open request is to close: it was evicted, or the gateway shuts down.
+    /// Waits until a connection without an open request has to close, because it was evicted or because the gateway
+    /// shuts down.
     pub(crate) async fn close_signalled(&self, id: ConnectionId, close_signal: &CloseSignal) {
         loop {
             let changed = close_signal.changed.listen();
@@ -181,7 +186,7 @@
         }
     }
 
-    /// Closes idle connections; every response announces from now on that its connection closes.
+    /// Closes idle connections. Every response that starts from now on announces that its connection closes.
     pub(crate) fn begin_shutdown(&self) {
         self.shutting_down.set(true);
         self.handles.borrow().values().for_each(|handle| {
@@ -193,7 +198,7 @@
         self.shutting_down.get()
     }
 
-    /// Returns once no connection is left.
+    /// Waits until no connection is left.
     pub(crate) async fn until_empty(&self) {
         loop {
             let closed = self.closed.listen();
@@ -204,48 +209,50 @@
         }
     }
 
-    /// Whether no connection is left, also of those that were rejected or are still closing.
+    /// Returns whether no connection is left, including those that were rejected or are still closing.
     pub(crate) fn is_empty(&self) -> bool {
-        self.handles.borrow().is_empty() && self.rejecting.get() == 0
+        self.handles.borrow().is_empty() && self.pending_rejections.get() == 0
     }
 
-    /// The number of connections in the table.
+    /// Returns the number of connections in the table.
     pub(crate) fn len(&self) -> usize {
         self.connection_table.borrow().len()
     }
 
-    /// The first byte of a request was received.
+    /// Records that the first byte of a request was received.
     pub(crate) fn request_started(&self, id: ConnectionId) {
         self.connection_table.borrow_mut().request_started(id);
     }
 
-    /// A complete request was received: it has to be answered, also if its connection was evicted meanwhile.
+    /// Records that a complete request was received. The request has to be answered even if its connection was evicted
+    /// in the meantime, so the connection is no longer among those that [`Self::evict`] may drop.
     pub(crate) fn request_received(&self, id: ConnectionId) {
         self.connection_table.borrow_mut().request_received(id);
         self.evicted.borrow_mut().retain(|evicted| *evicted != id);
     }
 
-    /// The response was written, and the connection waits for the next request.
+    /// Records that the response was written and that the connection waits for its next request.
     pub(crate) fn connection_idle(&self, id: ConnectionId) {
         self.connection_table.borrow_mut().idle(self.gateway.clock().now(), id);
     }
 
-    /// The last response was written.
+    /// Records that the last response was written.
     pub(crate) fn connection_closing(&self, id: ConnectionId) {
         self.connection_table.borrow_mut().closing(id);
     }
 
-    /// How long a connection may wait for the first byte of its next request.
+    /// Returns the time that a connection may wait for the first byte of its next request, in nanoseconds.
     pub(crate) fn idle_timeout(&self, id: ConnectionId) -> Nanos {
         self.connection_table.borrow().idle_timeout(id)
     }
 
-    /// The reservation for a body that is about to be read.
+    /// Returns an empty reservation for a body that is about to be read.
     pub(crate) fn reserve_body(&self, id: ConnectionId) -> BodyReservation {
         BodyReservation::new(self.limits.clone(), id.0)
     }
 
-    /// How many bytes behind its open request are buffered of a client; further ones stay in the socket.
+    /// Returns the number of bytes behind an open request that are buffered on one connection. Further bytes stay in
+    /// the socket.
     pub(crate) fn pipelined_limit(&self) -> usize {
         self.pipelined_limit
     }
--- a/platform-ingress/src/request.rs
+++ b/platform-ingress/src/request.rs
@@ -1,4 +1,4 @@
-//! One request: its route, its checks, its submission to the gateway.
+//! Routes and checks one request, and submits it to the gateway.
 
 use crate::answer::{write, write_answer};
 use crate::failure::{CloseReason, RequestFailure, RequestRejection};
@@ -19,16 +19,18 @@
 const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
 const HEALTH_PATH: &str = "/healthz";
 
-/// From when on the time of a request counts.
+/// The times from which the time limits of a request count.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestTiming {
-    /// For reading it: a new connection has to bring its first request within a time from its accept on.
+    /// The start of the time limits for reading the request: the first byte of the request or, for the first request
+    /// of a connection, the time when the connection was accepted.
     pub(crate) started: Nanos,
-    /// For its client's deadline: when its first byte was received, perhaps behind another request.
+    /// The start of the client's deadline: the time when the first byte of the request was received, perhaps while an
+    /// earlier request was still being served.
     pub(crate) received: Nanos,
 }
 
-/// What a request asks for.
+/// The resource that a request asks for.
 enum Route {
     HealthCheck,
     ChatCompletions,
@@ -42,14 +44,14 @@
             (b"GET", HEALTH_PATH) if head.framing == Framing::Length(0) => Ok(Route::HealthCheck),
             (b"POST", CHAT_COMPLETIONS_PATH) => Ok(Route::ChatCompletions),
             (_, CHAT_COMPLETIONS_PATH | HEALTH_PATH) => {
-                Err(RequestRejection::new(405, "this method is not allowed here"))
+                Err(RequestRejection::new(405, "this method is not allowed for this path"))
             }
-            _ => Err(RequestRejection::new(404, "there is nothing here")),
+            _ => Err(RequestRejection::new(404, "nothing is served at this path")),
         }
     }
 }
 
-/// Reads one request, submits it to the gateway, and writes its answer. An error ends the connection.
+/// Reads one request, submits it to the gateway and writes the answer. An error ends the connection.
 pub(crate) async fn serve_request(
     context: ConnectionContext<'_>,
     timing: RequestTiming,
@@ -59,16 +61,17 @@
     match Route::of(&head)? {
         Route::HealthCheck => {
             debug!(connection = context.id.0, "health check received");
-            // The connection closes at once: hundreds of idle health check connections would leave no place for others.
+            // Closes the connection at once: hundreds of idle health check connections would leave no room for others.
             let response = response::complete(200, "ready\n", Persistence::Close, None);
             let _ = write(http, response.as_bytes()).await;
             Err(CloseReason::Announced.into())
         }
         Route::ChatCompletions => {
-            let of_request = |failure: RequestFailure| failure.of_request(head.fields.single("Req-Id"));
+            let with_request_id =
+                |failure: RequestFailure| failure.with_request_id(head.fields.single("Req-Id"));
             let body = read_body(context, timing.started, &head, http).await;
-            let body = body.map_err(|rejection| of_request(rejection.into()))?;
-            let answer = submit(context, timing, &head, body, http.peer()).map_err(of_request)?;
+            let body = body.map_err(|rejection| with_request_id(rejection.into()))?;
+            let answer = submit(context, timing, &head, body, http.peer()).map_err(with_request_id)?;
             Ok(write_answer(context, &head, http, answer).await?)
         }
     }
@@ -90,7 +93,7 @@
     let request_id = head.fields.single("Req-Id");
     debug!(connection = context.id.0, request_id, "request received");
     serde_json::from_slice::<serde::de::IgnoredAny>(&body)
-        .map_err(|_| RequestRejection::new(400, "the body is not JSON"))?;
+        .map_err(|_| RequestRejection::new(400, "the request body is not valid JSON"))?;
     let new = request_head::decode(|name| head.fields.single(name), gateway.names(), timing.received)
         .map_err(|error| RequestRejection::new(400, error.to_string()))?;
     let id = Rc::from(request_id.unwrap_or_default());
@@ -107,9 +110,9 @@
         has_client_left: Rc::new(move || peer.has_closed()),
     };
     gateway.accept(new, forwarded).map_err(|rejection| match rejection {
-        Rejection::DuplicateId => RequestRejection::new(409, "Req-Id is in hand already").into(),
+        Rejection::DuplicateId => RequestRejection::new(409, "this Req-Id is already in use").into(),
         Rejection::AtCapacity { retry_after } => {
-            let rejection = RequestRejection::new(503, "too many requests in hand");
+            let rejection = RequestRejection::new(503, "too many requests are in flight");
             RequestRejection { retry_after, ..rejection }.into()
         }
     })
--- a/platform-ingress/src/response.rs
+++ b/platform-ingress/src/response.rs
@@ -1,8 +1,8 @@
-//! Responses of the gateway itself, as they are written.
+//! Encodes the responses that the gateway sends to clients.
 
 use petrelshore::interface::Nanos;
 
-/// Whether a connection persists after a response.
+/// The state of a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Persistence {
     KeepAlive,
@@ -10,8 +10,8 @@
 }
 
 impl Persistence {
-    /// The header line that announces it.
-    fn field(self) -> &'static str {
+    /// Returns the header line that announces the state; empty for keep-alive, the default of HTTP/1.1.
+    fn header_line(self) -> &'static str {
         match self {
             Persistence::KeepAlive => "",
             Persistence::Close => "Connection: close\r\n",
@@ -19,12 +19,12 @@
     }
 }
 
-/// The end of a chunked body.
+/// The chunk that ends a chunked body.
 pub(crate) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 /// The interim response to `Expect: 100-continue`.
 pub(crate) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The reason phrase of a status. Statuses that are not listed here are not used.
+/// Returns the reason phrase of a status code. The gateway sends only the codes listed here and 503.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -40,7 +40,7 @@
     }
 }
 
-/// A complete response with a short text as its body.
+/// Returns a complete response with a short text as its body.
 pub(crate) fn complete(
     status: u16,
     text: &str,
@@ -51,26 +51,26 @@
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\n{}{}Content-Length: {}\r\n\r\n{text}",
         reason_phrase(status),
-        persistence.field(),
+        persistence.header_line(),
         retry_after.unwrap_or_default(),
         text.len()
     )
 }
 
-/// The response on a connection beyond the limit.
+/// Returns the response for a connection beyond the limit.
 pub(crate) fn too_many_connections() -> String {
     complete(503, "too many connections", Persistence::Close, None)
 }
 
-/// The head of a stream of events.
+/// Returns the head of a response that streams events.
 pub(crate) fn stream_head(persistence: Persistence) -> String {
-    let connection = persistence.field();
+    let connection = persistence.header_line();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{connection}Transfer-Encoding: chunked\r\n\r\n"
     )
 }
 
-/// Events as one chunk, behind the head of their stream if it is still to be written.
+/// Returns events as one chunk behind `head`, which is empty if the response head has already been written.
 pub(crate) fn chunk(head: String, events: &[u8]) -> Vec<u8> {
     let mut bytes = head.into_bytes();
     bytes.extend_from_slice(format!("{:x}\r\n", events.len()).as_bytes());
