--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -1,4 +1,4 @@
-//! From a decoded call to a request for the gateway. Errors name the field to blame.
+//! Validates a decoded call and turns it into a request for the gateway. Errors name the field that is invalid.
 
 use crate::error::{RequestError, RequestErrorKind};
 use crate::metadata::CallMetadata;
@@ -11,10 +11,10 @@
 use serde_json::{Map, Value};
 use std::rc::Rc;
 
-/// A sampling parameter that is passed to the model server, with the range that the chat API gives it.
+/// A sampling parameter that is passed to the model server, with the range that the chat API allows.
 #[derive(Clone, Copy, Debug)]
 pub struct SamplingField {
-    /// Its name in the chat API.
+    /// The name of the parameter in the chat API.
     pub name: &'static str,
     /// The lowest value allowed.
     pub min: f64,
@@ -23,14 +23,14 @@
 }
 
 impl SamplingField {
-    /// The error for a value that is no number or out of range.
+    /// Returns the error for a value that is not a number or is out of range.
     pub fn error(&self) -> RequestError {
         let SamplingField { name, min, max } = self;
         RequestError::invalid_field(name, format!("'{name}' must be a number from {min} to {max}"))
     }
 }
 
-/// Every sampling parameter that has a range.
+/// The sampling parameters that have a range.
 pub const SAMPLING_FIELDS: [SamplingField; 4] = [
     SamplingField { name: "temperature", min: 0.0, max: 2.0 },
     SamplingField { name: "top_p", min: 0.0, max: 1.0 },
@@ -39,63 +39,64 @@
 ];
 const MAX_MESSAGES: usize = 4096;
 const MAX_STOP_SEQUENCES: usize = 4;
-/// Bounds idempotency keys, session names and stop sequences.
+/// The maximum length of idempotency keys, session names and stop sequences, in bytes.
 const MAX_IDENTIFIER_BYTES: usize = 255;
-/// A client's own text in an error message is cut to this, so that an answer is never larger than its request.
+/// The maximum length of a client's own text in an error message, in characters. It keeps an answer from being larger
+/// than its request.
 const MAX_QUOTED_CHARS: usize = 64;
-/// What the markers of one message in a prompt take, about.
+/// The approximate length of the markers that delimit one message in a prompt, in bytes.
 const MESSAGE_MARKER_BYTES: usize = 24;
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChatMessage {
-    /// Who wrote it, by the chat API's names of roles.
+    /// The role of the author, as the chat API names it.
     pub role: String,
-    /// Its content.
+    /// The content of the message.
     pub text: String,
 }
 
-/// A chat call, as its API decoded it.
+/// A chat call as decoded by its API.
 pub struct Call {
-    /// The model that is asked for.
+    /// The name of the requested model.
     pub model: String,
     /// The conversation, oldest message first.
     pub messages: Vec<ChatMessage>,
-    /// The longest answer asked for; the traffic type bounds it.
+    /// The requested maximum length of the answer, in tokens. The traffic type's maximum applies as well.
     pub max_tokens: Option<u64>,
-    /// The answer ends before the first of these.
+    /// The stop sequences: the answer ends before the first of them.
     pub stop: Vec<String>,
     /// Sampling parameters by their names in the chat API.
     pub sampling: Map<String, Value>,
-    /// Names a session; takes precedence over the one in the metadata.
+    /// The name of the session. It takes precedence over the session in the metadata.
     pub session: Option<String>,
-    /// How the answer is relayed to the client.
+    /// The way in which the answer is relayed to the client.
     pub relay: Relay,
 }
 
-/// Where a call comes from, and the settings that it is validated against.
+/// The origin of a call, and the settings that the call is validated against.
 pub struct CallContext<'a> {
     /// The gateway's settings.
     pub settings: &'a Settings,
-    /// The call's header or metadata fields.
+    /// The header or metadata fields of the call.
     pub metadata: &'a CallMetadata<'a>,
     /// The authenticated tenant, if any.
     pub tenant: Option<TenantId>,
-    /// Identifies the client's address.
+    /// A number that identifies the client's address.
     pub client: u64,
-    /// When the call arrived.
+    /// The time when the call arrived.
     pub arrived_at: Nanos,
 }
 
 impl CallContext<'_> {
-    /// Validates a call and makes it ready for the gateway.
+    /// Validates a call and turns it into a request for the gateway.
     pub fn prepare(&self, call: Call) -> Result<GenerationRequest, RequestError> {
         let traffic = self.traffic_type(&call.model)?;
         validate(&call)?;
         let idempotency_key = self.idempotency_key()?;
-        let kind = &self.settings.traffic[traffic.0];
-        let max_tokens = u64::from(kind.max_tokens);
+        let traffic_type = &self.settings.traffic[traffic.0];
+        let max_tokens = u64::from(traffic_type.max_tokens);
         let first_token_budget = self.metadata.first_token_budget;
         let request = Request {
             traffic,
@@ -103,29 +104,30 @@
             session: self.session(&call),
             estimate: estimated_tokens(&call.messages),
             model: Rc::from(call.model.as_str()),
-            prompt: Rc::from(rendered(&call.messages)),
+            prompt: Rc::from(render_prompt(&call.messages)),
             max_tokens: call.max_tokens.unwrap_or(max_tokens).min(max_tokens) as u32,
             idempotency_key,
             relay: call.relay,
             client: self.client,
             first_token_budget: first_token_budget
-                .map_or(kind.abandon_time, |asked| asked.min(kind.abandon_time)),
+                .map_or(traffic_type.abandon_time, |budget| budget.min(traffic_type.abandon_time)),
             completion_budget: self.metadata.completion_budget,
             arrived_at: self.arrived_at,
         };
         Ok(GenerationRequest { request, stop: call.stop.into(), sampling: Rc::new(call.sampling) })
     }
 
-    /// The traffic type that the metadata names, or else the model's own. The model must exist either way.
+    /// Returns the traffic type that the metadata names, or else the traffic type of the model. The model must exist in
+    /// both cases.
     fn traffic_type(&self, model: &str) -> Result<TrafficTypeId, RequestError> {
         let by_model = self.settings.model(model).ok_or_else(|| RequestError {
             kind: RequestErrorKind::UnknownModel,
             field: Some("model".to_owned()),
-            message: format!("the model '{}' does not exist here", truncated(model)),
+            message: format!("the model '{}' does not exist", truncated(model)),
         })?;
         let Some(name) = self.metadata.traffic_type else { return Ok(by_model) };
         self.settings.traffic_type(name).ok_or_else(|| {
-            let message = format!("'{}' is no traffic type here", truncated(name));
+            let message = format!("the traffic type '{}' does not exist", truncated(name));
             RequestError::invalid_field("x-traffic-type", message)
         })
     }
@@ -133,13 +135,14 @@
     fn idempotency_key(&self) -> Result<Option<Rc<str>>, RequestError> {
         match self.metadata.idempotency_key {
             Some(key) if !is_valid_identifier(key) => {
-                Err(RequestError::invalid_field("Idempotency-Key", "must have 1 to 255 characters"))
+                Err(RequestError::invalid_field("Idempotency-Key", "the key must be 1 to 255 bytes long"))
             }
             key => Ok(key.map(Rc::from)),
         }
     }
 
-    /// The session that a call names, apart for each tenant. A name that can't be one is ignored.
+    /// Returns the id of the session that a call names. Sessions of different tenants differ even if they have the
+    /// same name. An invalid name is ignored.
     fn session(&self, call: &Call) -> Option<SessionId> {
         let name = call.session.as_deref().or(self.metadata.session);
         let name = name.filter(|name| is_valid_identifier(name))?;
@@ -157,11 +160,11 @@
         return Err(RequestError::invalid_field("messages", "'messages' is empty"));
     }
     if call.messages.len() > MAX_MESSAGES {
-        let message = format!("more than {MAX_MESSAGES} messages");
+        let message = format!("'messages' must have at most {MAX_MESSAGES} entries");
         return Err(RequestError::invalid_field("messages", message));
     }
     if call.stop.len() > MAX_STOP_SEQUENCES || !call.stop.iter().all(|stop| is_valid_identifier(stop)) {
-        let message = "'stop' must be up to four strings of 1 to 255 characters";
+        let message = "'stop' must be up to four strings of 1 to 255 bytes";
         return Err(RequestError::invalid_field("stop", message));
     }
     for field in SAMPLING_FIELDS {
@@ -179,8 +182,9 @@
     token_estimate::estimate_prompt(&messages)
 }
 
-/// The conversation as one prompt. Earlier turns come first, so that a longer history begins with a shorter one.
-fn rendered(messages: &[ChatMessage]) -> String {
+/// Renders the conversation as one prompt. Earlier turns come first, so that the prompt of a longer history begins with
+/// the prompt of a shorter one.
+fn render_prompt(messages: &[ChatMessage]) -> String {
     let bytes = messages.iter().map(|message| message.text.len() + MESSAGE_MARKER_BYTES).sum();
     let mut prompt = String::with_capacity(bytes);
     for message in messages {
@@ -194,12 +198,12 @@
     prompt
 }
 
-/// A client's text, cut so that an error message may quote it.
+/// Returns a client's text, cut to a length that an error message may quote.
 pub fn truncated(text: &str) -> String {
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-/// Full seconds since the Unix epoch, as protocols give times.
+/// Converts nanoseconds since the Unix epoch to full seconds, the unit of times in the protocols.
 pub fn unix_seconds(at: Nanos) -> u64 {
     at / NANOS_PER_SECOND
 }
--- a/ingress/src/error.rs
+++ b/ingress/src/error.rs
@@ -1,23 +1,23 @@
-//! Why a call failed, independent of the protocol that reports it.
+//! Errors of calls, independent of the protocol that reports them.
 
 use petrelshore_gateway_core::error_response::ErrorResponse;
 use std::fmt;
 
-/// A request that is invalid, with the message for its client.
+/// An error in a request, with the message for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestError {
-    /// What is wrong with it.
+    /// The kind of error.
     pub kind: RequestErrorKind,
-    /// The field to blame, as its protocol names it.
+    /// The name of the invalid field in its protocol. `None` if no single field is to blame.
     pub field: Option<String>,
     /// The explanation for the client.
     pub message: String,
 }
 
-/// What is wrong with a request.
+/// The kind of error in a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestErrorKind {
-    /// There is no API key, or it is unknown.
+    /// The request has no API key, or its API key is unknown.
     Unauthenticated,
     /// No such model is served.
     UnknownModel,
@@ -34,12 +34,12 @@
 }
 
 impl RequestError {
-    /// An error that no single field is to blame for.
+    /// Returns an error that no single field is to blame for.
     pub fn new(kind: RequestErrorKind, message: impl Into<String>) -> Self {
         RequestError { kind, field: None, message: message.into() }
     }
 
-    /// A field that is missing or out of its range.
+    /// Returns the error for a field that is missing or out of its range.
     pub fn invalid_field(field: &str, message: impl Into<String>) -> Self {
         RequestError {
             kind: RequestErrorKind::InvalidField,
@@ -57,12 +57,12 @@
 
 impl std::error::Error for RequestError {}
 
-/// Why a call got no answer, whatever API it came by.
+/// The reason why a call got no answer, independent of its API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// The request is invalid; it was not admitted.
+    /// The request is invalid and was not admitted.
     InvalidRequest(RequestError),
-    /// The gateway rejected or aborted it.
+    /// The gateway rejected or aborted the request.
     Unanswered(ErrorResponse),
 }
 
--- a/ingress/src/lib.rs
+++ b/ingress/src/lib.rs
@@ -1,9 +1,10 @@
-//! What every client-facing API of the gateway shares, whatever its protocol.
+//! The parts that all client-facing APIs of the gateway share, independent of their protocols.
 //!
-//! [`listener`] accepts connections and limits what they send before it is understood; [`metadata`] reads a call's
-//! header fields and authenticates it; [`call`] validates a decoded call and turns it into an
-//! [`GenerationRequest`](petrelshore_chat_gateway::GenerationRequest); [`error`] says why a call failed; [`stall`] guards sockets of clients that
-//! stop reading. An API decodes its own protocol into a [`call::Call`] and encodes the answer; it decides nothing.
+//! [`listener`] accepts connections and limits the bytes that they send before the bytes are parsed; [`metadata`] reads
+//! the header fields of a call and authenticates it; [`call`] validates a decoded call and turns it into a
+//! [`GenerationRequest`](petrelshore_chat_gateway::GenerationRequest); [`error`] defines the errors of calls; [`stall`]
+//! guards against clients that stop reading. An API decodes its own protocol into a [`call::Call`] and encodes the
+//! answer, and makes no other decisions.
 
 pub mod call;
 pub mod error;
--- a/ingress/src/listener.rs
+++ b/ingress/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: accepted, counted, and limited in what they send before it is understood.
+//! Accepts and counts the connections of clients, and limits the bytes that they send before the bytes are parsed.
 
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
@@ -14,38 +14,41 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// Connections that may wait in the system's queue to be accepted.
+/// The maximum number of connections that wait in the operating system's queue to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Delay after a failed accept, as when file handles run out.
+/// The delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// With the delay between them, well within the time that a start may take.
+/// The maximum number of bind retries. With the delay between them, the retries end well within the time that a start
+/// may take.
 const MAX_BIND_RETRIES: usize = 50;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long a connection over the limit may take to read that it is rejected.
+/// The time that the client of a connection over the limit has to read its rejection.
 const REJECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that reads nothing has its socket closed this long after the request manager's own timeout.
+/// The time from the request manager's own stall timeout until the socket of a client that reads nothing is closed.
 const STALL_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// A listening socket.
 pub struct Listener {
     listener: TcpListener,
-    /// The address it is bound to.
+    /// The address that the socket is bound to.
     pub address: SocketAddr,
-    /// Since when connections may wait in the system's queue although they could be accepted; none once it was empty.
+    /// The time since when connections may be waiting in the operating system's queue because accepts failed or were
+    /// delayed. `None` once the queue was empty.
     backlogged_since: Cell<Option<Instant>>,
 }
 
-/// A client that has connected.
+/// A client whose connection was accepted.
 pub struct AcceptedClient {
-    /// Its connection.
+    /// The connection of the client.
     pub stream: TcpStream,
-    /// Its address.
+    /// The address and port of the client.
     pub peer: SocketAddr,
-    /// It may have connected, and sent its first request, at any time since then: accepts had failed or were delayed.
+    /// The earliest time at which the client may have connected and sent its first request, if accepts failed or were
+    /// delayed before it was accepted. `None` if the client connected just before.
     pub backlogged_since: Option<Instant>,
 }
 
-/// Listens at an address; transient failures are retried.
+/// Listens at an address. Transient failures are retried.
 pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
     for _ in 0..MAX_BIND_RETRIES {
         match listen(address).await {
@@ -66,20 +69,20 @@
 
 async fn listen(address: SocketAddr) -> io::Result<Listener> {
     let listener = TcpListener::bind(address).await?;
-    // Listens again with a longer queue: where it overflows, clients wait a second before they retry.
+    // Listens again with a longer queue: when the queue overflows, clients wait a second before they retry.
     rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     let address = listener.local_addr()?;
     Ok(Listener { listener, address, backlogged_since: Cell::new(None) })
 }
 
 impl Listener {
-    /// Accepts the next client. A failed accept is retried, without a busy loop.
+    /// Accepts the next client. Failed accepts are retried without a busy loop.
     pub async fn accept(&self) -> AcceptedClient {
         loop {
             let accepted = match future::poll_once(self.listener.accept()).await {
                 Some(accepted) => accepted,
                 None => {
-                    // The queue is empty: the next client has just connected.
+                    // The queue is empty, so the next client will have connected just before it is accepted.
                     self.backlogged_since.set(None);
                     self.listener.accept().await
                 }
@@ -101,30 +104,31 @@
         }
     }
 
-    /// Notes that from now on connections may wait although they could be accepted.
+    /// Records that from now on connections may wait in the queue because accepts failed or are delayed.
     pub fn mark_backlog(&self) {
         let since = self.backlogged_since.get().unwrap_or_else(Instant::now);
         self.backlogged_since.set(Some(since));
     }
 }
 
-/// Admits clients to one gateway, for all of its APIs together: their connections and bodies share one limit.
+/// Admits clients to one gateway. The connections and bodies of all its APIs share the same limits.
 #[derive(Clone)]
 pub struct Ingress {
-    /// The gateway that requests are handed to.
+    /// The gateway that requests are submitted to.
     pub gateway: Gateway,
     limits: Rc<RefCell<IngressLimits>>,
 }
 
 impl Ingress {
-    /// Limits connections and bodies as the gateway's settings say.
+    /// Limits connections and bodies according to the gateway's settings.
     pub fn new(gateway: Gateway) -> Self {
         let limits = gateway.settings().limits;
         let limits = IngressLimits::new(limits.connections, limits.body_bytes);
         Ingress { gateway, limits: Rc::new(RefCell::new(limits)) }
     }
 
-    /// Accepts connections for as long as it is polled. Each runs `connected`, or `reject` where it is over the limit.
+    /// Accepts connections for as long as the future is polled. Each connection is served by `connected`, or by
+    /// `reject` if it is over the limit.
     pub async fn serve<C, R>(
         self,
         listener: Listener,
@@ -137,7 +141,7 @@
         let spawner = self.gateway.spawner().clone();
         loop {
             let AcceptedClient { stream, peer, .. } = listener.accept().await;
-            // Tokens are small and must not wait to be sent together.
+            // Tokens are small and must not wait to be sent together in larger packets.
             let _ = stream.set_nodelay(true);
             let client = fingerprint::stable_id(&peer.ip().to_string());
             if self.limits.borrow_mut().acquire_connection(client).is_err() {
@@ -152,22 +156,22 @@
     }
 }
 
-/// How long a client may read nothing of what is written for it before its socket is closed.
+/// Returns the time that a client may read nothing of the bytes written for it before its socket is closed.
 pub fn stall_timeout() -> Duration {
     Duration::from_nanos(timeouts::stall_timeout()) + STALL_GRACE_PERIOD
 }
 
-/// A connection that counts against the limit until it is dropped.
+/// A connection that counts against the limit until the guard is dropped.
 pub struct ClientGuard {
     limits: Rc<RefCell<IngressLimits>>,
-    /// Identifies the client's address.
+    /// A number that identifies the client's address.
     pub client: u64,
     /// The client's address and port.
     pub peer: SocketAddr,
 }
 
 impl ClientGuard {
-    /// Starts the reservation for a body that is about to be read.
+    /// Returns an empty reservation for a body that is about to be read.
     pub fn reserve_body(&self) -> BodyReservation {
         BodyReservation::new(self.limits.clone(), self.client)
     }
@@ -179,7 +183,7 @@
     }
 }
 
-/// Memory reserved for a body that is being read, until it is dropped.
+/// Memory that is reserved for a body until the reservation is dropped.
 pub struct BodyReservation {
     limits: Rc<RefCell<IngressLimits>>,
     client: u64,
@@ -187,20 +191,20 @@
 }
 
 impl BodyReservation {
-    /// An empty reservation for a client.
+    /// Returns an empty reservation for a client.
     pub fn new(limits: Rc<RefCell<IngressLimits>>, client: u64) -> Self {
         BodyReservation { limits, client, bytes: 0 }
     }
 
-    /// Reserves memory for a body that has reached so many bytes, or announced them.
+    /// Extends the reservation to `bytes` bytes, which a body has reached or announced.
     pub fn grow_to(&mut self, bytes: usize) -> Result<(), IngressError> {
-        let more = bytes.saturating_sub(self.bytes);
-        self.limits.borrow_mut().acquire_bytes(self.client, self.bytes, more)?;
-        self.bytes += more;
+        let additional = bytes.saturating_sub(self.bytes);
+        self.limits.borrow_mut().acquire_bytes(self.client, self.bytes, additional)?;
+        self.bytes += additional;
         Ok(())
     }
 
-    /// Reserves memory for so many bytes that are stored beside a complete body.
+    /// Reserves memory for `bytes` more bytes, which are stored beside a complete body.
     pub fn reserve_extra(&mut self, bytes: usize) -> Result<(), IngressError> {
         self.limits.borrow_mut().acquire_bytes(self.client, 0, bytes)?;
         self.bytes += bytes;
--- a/ingress/src/metadata.rs
+++ b/ingress/src/metadata.rs
@@ -1,30 +1,31 @@
-//! What a call's header or metadata fields say, and whose call it is.
+//! Reads the header or metadata fields of a call, and authenticates its tenant.
 
 use crate::error::{RequestError, RequestErrorKind};
 use petrelshore::interface::{Nanos, TenantId};
 use petrelshore_settings::Settings;
 
-const BEARER: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// The header or metadata fields of a call, by the same names in every API.
+/// The header or metadata fields of a call, which have the same names in every API.
 #[derive(Clone, Copy, Default)]
 pub struct CallMetadata<'a> {
-    /// The credentials: `Bearer KEY`.
+    /// The credentials, in the form `Bearer KEY`.
     pub authorization: Option<&'a str>,
-    /// Names the call, so that a repeat of it does not run again.
+    /// The idempotency key of the call, so that a retry by the client does not run again.
     pub idempotency_key: Option<&'a str>,
-    /// Names a session whose turns share a history.
+    /// The name of a session, whose turns share a history.
     pub session: Option<&'a str>,
-    /// Names the traffic type, where one model serves several.
+    /// The name of the traffic type, for a model that serves several.
     pub traffic_type: Option<&'a str>,
-    /// How long the client waits for a first token; it may only shorten what the traffic type allows.
+    /// The time that the client waits for the first token. It can only shorten the time that the traffic type allows.
     pub first_token_budget: Option<Nanos>,
-    /// How long the client waits for the complete answer.
+    /// The time that the client waits for the complete answer.
     pub completion_budget: Option<Nanos>,
 }
 
 impl<'a> CallMetadata<'a> {
-    /// Reads the fields by a lookup of header or metadata fields. Budgets are left to each API.
+    /// Reads the fields through `field`, which looks up a header or metadata field by its name. Each API reads the
+    /// budgets itself.
     pub fn from_fields(field: impl Fn(&str) -> Option<&'a str>) -> Self {
         CallMetadata {
             authorization: field("authorization"),
@@ -37,11 +38,12 @@
     }
 
     fn api_key(&self) -> Option<&'a str> {
-        self.authorization.and_then(|value| value.strip_prefix(BEARER)).map(str::trim)
+        self.authorization.and_then(|value| value.strip_prefix(BEARER_PREFIX)).map(str::trim)
     }
 }
 
-/// Finds the tenant whose API key a call carries; none where the settings admit anonymous callers.
+/// Returns the tenant whose API key a call carries. If no tenant has this key, or if the call carries none, returns
+/// `None` where the settings allow anonymous calls, and an error otherwise.
 pub fn authenticate(settings: &Settings, metadata: &CallMetadata) -> Result<Option<TenantId>, RequestError> {
     let api_key = metadata.api_key();
     match api_key.and_then(|api_key| settings.tenant(api_key)) {
@@ -50,8 +52,8 @@
         None => Err(RequestError::new(
             RequestErrorKind::Unauthenticated,
             match api_key {
-                Some(_) => "this API key is not known here",
-                None => "an API key is needed: Authorization: Bearer KEY",
+                Some(_) => "the API key is unknown",
+                None => "an API key is required: Authorization: Bearer KEY",
             },
         )),
     }
--- a/ingress/src/stall.rs
+++ b/ingress/src/stall.rs
@@ -1,4 +1,4 @@
-//! A socket that fails when its peer reads nothing for too long.
+//! A socket whose writes fail when its peer reads nothing for too long.
 
 use async_io::Timer;
 use async_net::TcpStream;
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Guards against clients that stop reading: what is written for them would stay in memory for ever.
+/// Guards against clients that stop reading: bytes that are written for them would stay in memory forever.
 pub struct StallGuard {
     stream: RetryingStream<TcpStream>,
     timeout: Duration,
