--- a/settings/src/decode.rs
+++ b/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! From the records of a settings file to settings.
+//! Decodes the records of a settings file into settings.
 
 use crate::problem::Problem;
 use crate::records::{
@@ -15,12 +15,14 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-/// Longer times are taken for mistakes: sums of two times must not overflow.
+/// The limit that every time must stay below, in nanoseconds. Longer times are treated as mistakes, so that the sum of
+/// two times cannot overflow.
 const MAX_TIME: Nanos = Nanos::MAX / 8;
-/// The list is not polled, but the scheduler bounds its own pauses by this interval.
+/// The maximum poll interval of the scheduler, in nanoseconds. The endpoint list is not polled, but the scheduler
+/// limits its backoff by this interval.
 const POLL_INTERVAL: Nanos = 1_000_000_000;
 
-/// Decodes the record of a settings file.
+/// Decodes the record of a settings file. Fails with every problem that was found.
 pub(crate) fn decode(file: &Path, record: GatewayRecord) -> Result<Settings, Vec<Problem>> {
     let mut decoder = Decoder { file, problems: Vec::new() };
     let (types, traffic): (Vec<_>, Vec<_>) = decoder.traffic_types(&record.traffic).into_iter().unzip();
@@ -49,7 +51,7 @@
     if decoder.problems.is_empty() { Ok(settings) } else { Err(decoder.problems) }
 }
 
-/// Collects every problem, so that an operator mends a file once.
+/// Collects every problem, so that an operator can correct all of them at once.
 struct Decoder<'a> {
     file: &'a Path,
     problems: Vec<Problem>,
@@ -64,10 +66,10 @@
         });
     }
 
-    /// A time, in nanoseconds.
+    /// Parses a time into nanoseconds. An invalid time is reported and replaced by 0.
     fn time(&mut self, field: &str, text: &str) -> Nanos {
         parse_time(text).unwrap_or_else(|| {
-            self.reject(field, format!("'{text}' is not a time that can be told"));
+            self.reject(field, format!("'{text}' is not a valid time or is too long"));
             0
         })
     }
@@ -80,7 +82,7 @@
         })
     }
 
-    /// The traffic types for the scheduler and for the ingress.
+    /// Decodes the traffic types, each for the scheduler and for the ingress.
     fn traffic_types(&mut self, records: &BTreeMap<String, TrafficRecord>) -> Vec<(TrafficType, Traffic)> {
         let mut type_of_model = BTreeMap::new();
         records.iter().map(|(name, record)| self.traffic_type(name, record, &mut type_of_model)).collect()
@@ -98,7 +100,10 @@
         let idempotency = self.idempotency(name, record);
         for model in &record.models {
             if let Some(other) = type_of_model.insert(model, name) {
-                self.reject(&path("models"), format!("'{model}' already names traffic type {other}"));
+                self.reject(
+                    &path("models"),
+                    format!("the model '{model}' already belongs to traffic type {other}"),
+                );
             }
         }
         let slo_per_1000_tokens =
@@ -126,11 +131,14 @@
         match (record.idempotency, &record.idempotency_keys) {
             (IdempotencyRecord::Keyed, Some(keys)) => self.keyed(&path, keys),
             (IdempotencyRecord::Keyed, None) => {
-                self.reject(&path, "is missing: tokened work needs to know who drops its repeats");
+                self.reject(
+                    &path,
+                    "is missing: effect 'tokened requires the scope and window in which repeats are dropped",
+                );
                 Idempotency::AtMostOnce
             }
             (_, Some(_)) => {
-                self.reject(&path, "only tokened work has it");
+                self.reject(&path, "is allowed only with effect 'tokened");
                 Idempotency::AtMostOnce
             }
             (IdempotencyRecord::AtMostOnce, None) => Idempotency::AtMostOnce,
@@ -149,26 +157,26 @@
 
     fn check_not_empty(&mut self, record: &GatewayRecord) {
         if record.traffic.is_empty() {
-            self.reject("traffic", "names no traffic type");
+            self.reject("traffic", "must contain at least one traffic type");
         }
         if record.kinds.is_empty() {
-            self.reject("kinds", "names no kind of model server");
+            self.reject("kinds", "must contain at least one kind of model server");
         }
     }
 
-    /// Bearer keys and their tenants.
+    /// Returns the tenant of each bearer key. Each key may be listed only once.
     fn keys(&mut self, record: &GatewayRecord) -> BTreeMap<String, TenantId> {
         let mut keys = BTreeMap::new();
         for (index, (name, tenant)) in record.tenants.iter().enumerate() {
             for key in &tenant.keys {
                 if key.is_empty() || keys.insert(key.clone(), TenantId(index)).is_some() {
                     let field = format!("tenants.{name}.keys");
-                    self.reject(&field, "holds an empty key, or one that stands twice");
+                    self.reject(&field, "contains an empty key, or a key that is listed more than once");
                 }
             }
         }
         if keys.is_empty() && !record.allow_anonymous {
-            self.reject("tenants", "nobody may call: name keys, or set open");
+            self.reject("tenants", "no client can authenticate: list keys, or set open = true");
         }
         keys
     }
@@ -228,7 +236,8 @@
     Tenant { per_second: record.per_second }
 }
 
-/// Digits and a unit.
+/// Parses digits and a unit into nanoseconds. Returns `None` for any other text, and for a time of [`MAX_TIME`] or
+/// more.
 fn parse_time(text: &str) -> Option<Nanos> {
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (number, unit) = text.split_at(split);
--- a/settings/src/evaluation.rs
+++ b/settings/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! Evaluation of a Nickel text, checked by a contract.
+//! Evaluates a Nickel text and checks the result against a contract.
 
 use crate::problem::Problem;
 use nickel_lang_core::error::report::{ColorOpt, report_as_str};
@@ -8,20 +8,20 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Evaluation needs a deep stack for nested records.
+/// The stack size of the evaluation thread. The evaluation of nested records needs a deep stack.
 const STACK_BYTES: usize = 64 << 20;
 
-/// Why a text does not evaluate to a record of the contract. The evaluator's own errors stay on its thread, and only
-/// their words leave it.
+/// The reason why a text does not evaluate to a record of the contract. The evaluator's own errors stay on its thread;
+/// only their messages are returned.
 #[derive(Debug)]
 enum EvaluationError {
     /// The thread could not be started.
     Thread(std::io::Error),
-    /// The evaluator could not take the text.
+    /// The evaluator could not load the text.
     Program(String),
-    /// The text or the contract is at fault; a report with the place.
+    /// The evaluation failed or the text violates the contract. Contains a report with the place in the text.
     Report(String),
-    /// The record has another form than the contract promises.
+    /// The record cannot be deserialized, although it satisfies the contract.
     Record(String),
     /// The evaluator panicked.
     Panic,
@@ -34,26 +34,27 @@
             EvaluationError::Program(message)
             | EvaluationError::Report(message)
             | EvaluationError::Record(message) => f.write_str(message),
-            EvaluationError::Panic => f.write_str("the evaluator gave up on this file"),
+            EvaluationError::Panic => f.write_str("the evaluator panicked on this file"),
         }
     }
 }
 
 impl std::error::Error for EvaluationError {}
 
-/// A text that is to be evaluated.
+/// A text to evaluate.
 struct Source {
     /// The text with the contract applied.
     text: String,
-    /// The file's name in reports.
+    /// The name of the file in reports.
     name: String,
-    /// Where imports are looked up.
+    /// The folder in which imports are looked up.
     folder: PathBuf,
 }
 
 impl Source {
     fn new(file: &Path, text: &str, schema: &str, contract: &str) -> Self {
-        // On one line with the text's own first, so that reports name the text's own lines.
+        // The schema is joined into one line, and the text begins on that line, so that reports give the line numbers
+        // of the text. Comment lines are removed, since a comment would extend to the end of the joined line.
         let schema: Vec<&str> = schema.lines().filter(|line| !line.trim_start().starts_with('#')).collect();
         Source {
             text: format!("let schema = {} in ({text}\n) | schema.{contract}", schema.join(" ")),
@@ -78,10 +79,11 @@
     }
 }
 
-/// Evaluates a text as a Nickel record, checked by the contract `contract` of a schema.
+/// Evaluates `text` as a Nickel record and checks it against the contract `contract` of `schema`. Imports are relative
+/// to the folder of `file`.
 ///
 /// # Errors
-/// What the evaluator finds, with its place in the text.
+/// Returns the evaluator's report, with the place in the text.
 pub fn evaluate<T>(file: &Path, text: &str, schema: &str, contract: &str) -> Result<T, Problem>
 where
     T: DeserializeOwned + Send + 'static,
@@ -94,7 +96,7 @@
     })
 }
 
-/// Evaluates on a thread with a deep stack: a nested file must not overflow the caller's.
+/// Evaluates on a thread with a deep stack, because a nested file could overflow the stack of the caller.
 fn evaluate_on_thread<T>(source: Source) -> Result<T, EvaluationError>
 where
     T: DeserializeOwned + Send + 'static,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The settings of a gateway as typed records: read, checked by contracts, and decoded once.
+//! Reads the settings of a gateway, checks them, and decodes them once into typed records.
 //!
-//! A settings file is a Nickel record, checked against the contracts in `schema.ncl`; constraints over several fields are
-//! checked here. Nothing is guessed: an error names the file, and the field or the line.
+//! A settings file is a Nickel record, which is checked against the contracts in `schema.ncl`. This package checks the
+//! constraints over several fields. Invalid settings are never replaced by a guess: an error names the file, and the
+//! field or the line.
 
 mod decode;
 mod evaluation;
--- a/settings/src/problem.rs
+++ b/settings/src/problem.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a settings file.
+//! Problems of a settings file.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// What is wrong with a settings file, and where.
+/// A problem of a settings file, with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file as the caller named it.
+    /// The path of the file, as given by the caller.
     pub file: PathBuf,
-    /// The field's path, where one is at fault.
+    /// The path of the invalid field, if the problem is in a single field.
     pub field: Option<String>,
-    /// One line, or for the evaluator's findings a report with the place.
+    /// A message of one line, or the evaluator's report with the place in the file.
     pub message: String,
 }
 
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -1,9 +1,9 @@
-//! The records of a settings file, with the keys of `schema.ncl`.
+//! The records of a settings file. Their outer names are the keys in `schema.ncl`.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The full file.
+/// The complete settings file.
 #[derive(Deserialize)]
 pub(crate) struct GatewayRecord {
     pub(crate) name: String,
@@ -32,7 +32,7 @@
     pub(crate) drain_time: String,
 }
 
-/// Addresses to listen on.
+/// The addresses that the gateway listens on.
 #[derive(Deserialize)]
 pub(crate) struct ListenRecord {
     pub(crate) chat: String,
@@ -40,7 +40,7 @@
     pub(crate) operator: Option<String>,
 }
 
-/// Files of the endpoint list.
+/// The files of the endpoint list.
 #[derive(Deserialize)]
 pub(crate) struct InventoryRecord {
     pub(crate) file: String,
@@ -48,7 +48,7 @@
     pub(crate) cached_list: String,
 }
 
-/// What a server kind does.
+/// The role of a server kind.
 #[derive(Clone, Copy, Deserialize)]
 pub(crate) enum RoleRecord {
     #[serde(rename = "reader")]
@@ -59,7 +59,7 @@
     Combined,
 }
 
-/// Whether a request may run again.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 pub(crate) enum IdempotencyRecord {
     #[serde(rename = "repeatable")]
@@ -70,7 +70,7 @@
     AtMostOnce,
 }
 
-/// The servers that know each other's idempotency keys.
+/// The servers that share their idempotency keys.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum KeyScopeRecord {
@@ -80,7 +80,7 @@
     Cell,
 }
 
-/// A server kind.
+/// A kind of model server.
 #[derive(Deserialize)]
 pub(crate) struct KindRecord {
     pub(crate) role: RoleRecord,
@@ -105,14 +105,14 @@
     pub(crate) idempotency_keys: Option<KeysRecord>,
 }
 
-/// How long idempotency keys are remembered, and by whom.
+/// The servers that remember an idempotency key, and the time for which they remember the key.
 #[derive(Deserialize)]
 pub(crate) struct KeysRecord {
     pub(crate) scope: KeyScopeRecord,
     pub(crate) window: String,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Deserialize)]
 pub(crate) struct TenantRecord {
     pub(crate) keys: Vec<String>,
@@ -131,7 +131,7 @@
     pub(crate) window: String,
 }
 
-/// What is admitted at most.
+/// The limits on what the gateway admits.
 #[derive(Deserialize)]
 pub(crate) struct LimitsRecord {
     pub(crate) sequences: f64,
--- a/settings/src/rules.rs
+++ b/settings/src/rules.rs
@@ -1,16 +1,16 @@
-//! Whether the settings allow the rules to be kept, by the field at fault.
+//! Checks whether the settings allow the gateway to keep its rules. Each violation names the invalid field.
 
 use crate::settings::Traffic;
 use petrelshore::interface::{Deployment, Nanos, TrafficTypeId};
 use petrelshore_gateway_core::settings_validation::{self, Finding, SettingProblem};
 
-/// A field that breaks a rule, and the finding in words.
+/// A field whose value is invalid or would break a rule, with a message that explains the problem.
 pub(crate) struct BrokenRule {
     pub(crate) field: String,
     pub(crate) message: String,
 }
 
-/// What the deployment and its clients' times make impossible.
+/// Returns every problem of a deployment and of the abandon times of its traffic types.
 pub(crate) fn broken_rules(deployment: &Deployment, traffic: &[Traffic]) -> Vec<BrokenRule> {
     let abandon_times: Vec<Nanos> = traffic.iter().map(|traffic| traffic.abandon_time).collect();
     let findings = settings_validation::check(deployment, &abandon_times);
@@ -25,7 +25,7 @@
     format!("{}{rule}", finding.problem)
 }
 
-/// The field that a finding is about.
+/// Returns the path of the field that a problem is about.
 fn field(problem: &SettingProblem, traffic: &[Traffic]) -> String {
     let of_type = |id: &TrafficTypeId, field: &str| format!("traffic.{}.{field}", traffic[id.0].name);
     match problem {
--- a/settings/src/settings.rs
+++ b/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as the program uses them.
+//! Decoded settings, as the program uses them.
 
 use petrelshore::interface::{Deployment, Idempotency, Nanos, TenantId, TrafficTypeId};
 use petrelshore_gateway_core::fingerprint::stable_id;
@@ -9,75 +9,75 @@
 /// The settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The gateway's name.
+    /// The name of the gateway.
     pub name: String,
-    /// Where the chat API listens.
+    /// The address that the chat API listens on.
     pub chat: SocketAddr,
-    /// Where the gRPC chat service listens, if it does.
+    /// The address that the gRPC chat service listens on, if it is enabled.
     pub grpc: Option<SocketAddr>,
-    /// Where metrics and health are served, if they are.
+    /// The address at which metrics and health are served, if they are enabled.
     pub operator: Option<SocketAddr>,
-    /// The inventory file.
+    /// The path of the inventory file, which contains the endpoint list.
     pub inventory: PathBuf,
-    /// Where the last good endpoint list is cached.
+    /// The path of the file that caches the last valid endpoint list.
     pub cached_list: PathBuf,
-    /// Names of server kinds, by id.
+    /// The names of the server kinds, indexed by kind id.
     pub kinds: Vec<String>,
-    /// This gateway's zone. The endpoint list may name others.
+    /// The zone of this gateway. The endpoint list may contain servers of other zones.
     pub zone: String,
-    /// What the ingress needs to know of the traffic types, by id.
+    /// The traffic types as the ingress uses them, indexed by [`TrafficTypeId`].
     pub traffic: Vec<Traffic>,
-    /// Names of tenants, by id.
+    /// The names of the tenants, indexed by [`TenantId`].
     pub tenants: Vec<String>,
-    /// Bearer keys and their tenants.
+    /// The tenant of each bearer key.
     pub keys: BTreeMap<String, TenantId>,
-    /// Whether requests without a known key are served, as no tenant.
+    /// Whether requests without a known key are served. These requests belong to no tenant.
     pub allow_anonymous: bool,
-    /// What the gateway admits at most.
+    /// The limits on what the gateway admits.
     pub limits: Limits,
-    /// How long running streams may go on during a graceful shutdown.
+    /// The time for which running streams may continue during a graceful shutdown, in nanoseconds.
     pub drain_time: Nanos,
-    /// What the scheduler needs to know.
+    /// The settings of the scheduler.
     pub deployment: Deployment,
 }
 
-/// What the ingress needs to know of a traffic type.
+/// A traffic type as the ingress uses it.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// The type's name.
+    /// The name of the traffic type.
     pub name: String,
-    /// The model names that stand for it.
+    /// The model names by which requests select the traffic type.
     pub models: Vec<String>,
-    /// How long its clients wait for a first token.
+    /// The time that clients wait for the first token, in nanoseconds.
     pub abandon_time: Nanos,
-    /// Most tokens of an answer.
+    /// The maximum number of tokens in an answer.
     pub max_tokens: u32,
-    /// Whether its requests may run again.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
 }
 
-/// What a gateway admits at most.
+/// The limits on what the gateway admits.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Sequences in flight.
+    /// The maximum number of sequences in flight.
     pub sequences: usize,
-    /// Client connections.
+    /// The maximum number of client connections.
     pub connections: usize,
-    /// Streams on one multiplexed connection.
+    /// The maximum number of streams on one multiplexed connection.
     pub streams: u32,
-    /// Bytes of a request body.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Time until a request is complete.
+    /// The maximum time until a request is received in full, in nanoseconds.
     pub body_time: Nanos,
 }
 
 impl Settings {
-    /// The traffic type that a model name stands for.
+    /// Returns the traffic type of a model.
     pub fn model(&self, name: &str) -> Option<TrafficTypeId> {
         self.position(|traffic| traffic.models.iter().any(|model| model == name))
     }
 
-    /// The traffic type of this name.
+    /// Returns the traffic type with a given name.
     pub fn traffic_type(&self, name: &str) -> Option<TrafficTypeId> {
         self.position(|traffic| traffic.name == name)
     }
@@ -86,12 +86,12 @@
         self.traffic.iter().position(matches).map(TrafficTypeId)
     }
 
-    /// The tenant that a bearer key belongs to.
+    /// Returns the tenant of a bearer key.
     pub fn tenant(&self, key: &str) -> Option<TenantId> {
         self.keys.get(key).copied()
     }
 
-    /// A number that differs between gateways and runs, which seeds ids and random draws.
+    /// Returns a seed for ids and random draws. The seed differs between gateways and between runs.
     pub fn seed(&self, started: Nanos) -> u64 {
         stable_id(&self.name) ^ started
     }
--- a/settings/src/settings_file.rs
+++ b/settings/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! From a settings file to settings.
+//! Reads settings files.
 
 use crate::decode::decode;
 use crate::evaluation::evaluate;
@@ -7,13 +7,13 @@
 use std::path::Path;
 
 const SCHEMA: &str = include_str!("schema.ncl");
-/// The schema's contract for a gateway's settings.
+/// The contract of the schema that a settings file must satisfy.
 const CONTRACT: &str = "Gateway";
 
-/// Reads a settings file. Relative paths in it are relative to its folder.
+/// Reads a settings file. Relative paths in the file are relative to its folder.
 ///
 /// # Errors
-/// Every problem that was found.
+/// Returns every problem that was found.
 pub fn read(file: &Path) -> Result<Settings, Vec<Problem>> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         vec![Problem { file: file.to_owned(), field: None, message: format!("can't be read: {error}") }]
@@ -21,10 +21,10 @@
     read_text(file, &text)
 }
 
-/// Reads settings from a text, as if it stood in `file`.
+/// Reads settings from `text` as if `text` were the content of `file`.
 ///
 /// # Errors
-/// Every problem that was found.
+/// Returns every problem that was found.
 pub fn read_text(file: &Path, text: &str) -> Result<Settings, Vec<Problem>> {
     let record = evaluate(file, text, SCHEMA, CONTRACT).map_err(|problem| vec![problem])?;
     decode(file, record)
