--- a/chat-api/src/body.rs
+++ b/chat-api/src/body.rs
@@ -1,4 +1,4 @@
-//! Receives the body of a request within its limits.
+//! Receives request bodies within the limits on size, time and memory.
 
 use async_io::Timer;
 use futures_lite::future;
@@ -12,7 +12,7 @@
 pub struct ReceivedBody {
     /// The body.
     pub bytes: Vec<u8>,
-    /// Released when the body is dropped.
+    /// The memory reservation, which ends when the body is dropped.
     _reservation: BodyReservation,
 }
 
@@ -25,7 +25,7 @@
     let mut reservation = client.reserve_body();
     let expired = async {
         Timer::after(timeout).await;
-        let message = "the body was not whole in time";
+        let message = "the request body was not received in full within the time limit";
         Err(CallError::from(RequestError::new(RequestErrorKind::ReceiveTimeout, message)))
     };
     let bytes = future::or(read(incoming, &mut reservation), expired).await?;
@@ -37,8 +37,8 @@
     reservation.grow_to(announced)?;
     let mut body = Vec::with_capacity(announced);
     while let Some(frame) = incoming.frame().await {
-        let frame =
-            frame.map_err(|_| RequestError::new(RequestErrorKind::Malformed, "the body ended early"))?;
+        let frame = frame
+            .map_err(|_| RequestError::new(RequestErrorKind::Malformed, "the request body is incomplete"))?;
         let bytes = frame.into_data().unwrap_or_default();
         reservation.grow_to(body.len() + bytes.len())?;
         body.extend_from_slice(&bytes);
--- a/chat-api/src/chat.rs
+++ b/chat-api/src/chat.rs
@@ -1,4 +1,4 @@
-//! One chat request: received in full, decoded, admitted by the gateway, answered.
+//! Handles a chat request: receives it in full, decodes it, submits it to the gateway and relays the answer.
 
 use crate::body;
 use crate::chunks::{ChunkEncoder, CompletionInfo, completion};
@@ -21,7 +21,7 @@
 use petrelshore_ingress::metadata;
 use std::time::Duration;
 
-/// Answers a chat request, streamed or buffered as it asks.
+/// Answers a chat request. The answer is streamed or buffered, as the request specifies.
 pub async fn complete(
     request: Request<Incoming>,
     client: &ClientGuard,
@@ -36,10 +36,10 @@
     let body = body::receive(request.into_body(), client, body_timeout).await?;
     let ChatRequest { call, include_usage } = request::decode(&body.bytes)?;
     let context = CallContext { settings, metadata: &metadata, tenant, client: client.client, arrived_at };
-    let ask = context.prepare(call)?;
+    let generation_request = context.prepare(call)?;
     drop(body);
-    let (model, relay) = (ask.request.model.clone(), ask.request.relay);
-    let answer = gateway.accept(ask)?;
+    let (model, relay) = (generation_request.request.model.clone(), generation_request.request.relay);
+    let answer = gateway.accept(generation_request)?;
     let id = format!("chatcmpl-{:016x}", answer.id().0);
     let info = CompletionInfo { id, created: unix_seconds(arrived_at), model };
     match relay {
@@ -59,27 +59,28 @@
 }
 
 async fn streamed(mut answer: Answer, info: &CompletionInfo, include_usage: bool) -> ApiResponse {
-    // The status waits for the first token: a request that is rejected must not look as if it had begun.
+    // The status is sent only after the first item of the answer has arrived: a request that fails before its first
+    // token gets its error status, not the status of an answer that has begun.
     let first = answer.next().await;
-    if let Some(AnswerItem::FinalAnswer(last)) = &first
-        && let Some(error) = ApiError::from_final_answer(last)
+    if let Some(AnswerItem::FinalAnswer(final_answer)) = &first
+        && let Some(error) = ApiError::from_final_answer(final_answer)
     {
         return error.response();
     }
     let encoder = ChunkEncoder::new(info, include_usage);
-    let events = EventStream { opening: encoder.opening(), answer, encoder, first };
+    let events = EventStream { role_chunk: encoder.role_chunk(), answer, encoder, first };
     with_request_id(event_response(Box::pin(events.into_stream())), &info.id)
 }
 
-/// The events of a streamed answer, from its first text on. It owns the answer: when the client disconnects, both are
-/// dropped.
+/// The server-sent events of a streamed answer. The stream owns the answer: when the client disconnects, both are
+/// dropped, and the gateway learns that the client has left.
 struct EventStream {
     answer: Answer,
     encoder: ChunkEncoder,
-    /// What was received before the status was sent, until it has been encoded.
+    /// The first item of the answer, which arrives before the status is sent; `None` once the item has been encoded.
     first: Option<AnswerItem>,
-    /// Sent together with the first text.
-    opening: String,
+    /// The encoded chunk with the role, which is sent together with the first item; empty afterwards.
+    role_chunk: String,
 }
 
 impl EventStream {
@@ -95,16 +96,16 @@
             Some(next) => next,
             None => self.answer.next().await?,
         };
-        let mut encoded = std::mem::take(&mut self.opening);
+        let mut encoded = std::mem::take(&mut self.role_chunk);
         match next {
-            AnswerItem::Text(text) => encoded.push_str(&self.encoder.text(&text)),
-            AnswerItem::FinalAnswer(last) => encoded.push_str(&self.encoder.closing(&last)),
+            AnswerItem::Text(text) => encoded.push_str(&self.encoder.text_chunk(&text)),
+            AnswerItem::FinalAnswer(answer) => encoded.push_str(&self.encoder.final_events(&answer)),
         }
         Some(Bytes::from(encoded))
     }
 }
 
-/// Collects the complete answer before anything of it is sent.
+/// Collects the complete answer before any part of it is sent. An answer over the size limit fails.
 async fn buffered(mut answer: Answer, info: &CompletionInfo) -> Result<ApiResponse, ApiError> {
     let mut collected = String::new();
     while let Some(next) = answer.next().await {
@@ -114,8 +115,8 @@
                 let body = completion(info, &collected, &finish_reason, usage);
                 return Ok(json_response(StatusCode::OK, &body));
             }
-            AnswerItem::FinalAnswer(last) => {
-                if let Some(error) = ApiError::from_final_answer(&last) {
+            AnswerItem::FinalAnswer(final_answer) => {
+                if let Some(error) = ApiError::from_final_answer(&final_answer) {
                     return Err(error);
                 }
             }
--- a/chat-api/src/error.rs
+++ b/chat-api/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors as the API encodes them: status, body and retry headers. `docs/chat-api.md` has the same table.
+//! Encodes errors as the API reports them: status, body and retry headers. `docs/chat-api.md` contains the same table.
 
 use crate::response::{ApiResponse, json_response};
 use hyper::StatusCode;
@@ -16,7 +16,7 @@
 const RATE_LIMIT_ERROR: &str = "rate_limit_error";
 const SERVER_ERROR: &str = "server_error";
 
-/// An error of the API.
+/// An error as the API reports it.
 pub struct ApiError {
     status: StatusCode,
     error_type: &'static str,
@@ -27,18 +27,18 @@
 }
 
 impl ApiError {
-    /// The error object, as a response's body or an event of a stream.
+    /// Returns the error object, which is the body of a response or an event of a stream.
     pub fn body(&self) -> Value {
         json!({ "error": {
             "message": self.message, "type": self.error_type, "param": self.param, "code": self.code,
         }})
     }
 
-    /// The response for a request that failed before anything of its answer was sent.
+    /// Returns the response to a request that failed before any part of its answer was sent.
     pub fn response(&self) -> ApiResponse {
         let mut response = json_response(self.status, &self.body());
         let headers = response.headers_mut();
-        // Clients of this API retry after 409, 429 and 5xx by themselves unless this header says otherwise.
+        // Clients of this API retry automatically after 409, 429 and 5xx unless this header is "false".
         let should_retry = if matches!(self.retry, Retry::After(_)) { "true" } else { "false" };
         headers.insert("x-should-retry", HeaderValue::from_static(should_retry));
         if let Retry::After(delay) = self.retry {
@@ -50,7 +50,7 @@
         response
     }
 
-    /// The error of a final answer; none for one that was generated in full.
+    /// Returns the error of a final answer; `None` if the answer was generated in full.
     pub fn from_final_answer(answer: &FinalAnswer) -> Option<ApiError> {
         ErrorResponse::from_final_answer(answer).map(ApiError::from)
     }
--- a/chat-api/src/fields.rs
+++ b/chat-api/src/fields.rs
@@ -1,4 +1,4 @@
-//! Typed access to the optional fields of a JSON object. A field that is null counts as absent.
+//! Typed access to the optional fields of a JSON object. A field with the value null counts as absent.
 
 use petrelshore_ingress::error::RequestError;
 use serde_json::{Map, Value};
@@ -6,7 +6,7 @@
 /// The fields of a JSON object.
 pub type Fields = Map<String, Value>;
 
-/// An integer of at least `min` and at most `max`.
+/// Reads an optional integer of at least `min` and at most `max`.
 pub fn integer(fields: &Fields, name: &str, min: u64, max: u64) -> Result<Option<u64>, RequestError> {
     let Some(value) = present(fields, name) else { return Ok(None) };
     match value.as_u64().filter(|number| (min..=max).contains(number)) {
@@ -18,7 +18,7 @@
     }
 }
 
-/// A boolean; false where the field is absent.
+/// Reads an optional boolean; an absent field is false.
 pub fn boolean(fields: &Fields, name: &str) -> Result<bool, RequestError> {
     match present(fields, name) {
         None => Ok(false),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A string.
+/// Reads an optional string.
 pub fn string<'a>(fields: &'a Fields, name: &str) -> Result<Option<&'a str>, RequestError> {
     match present(fields, name) {
         None => Ok(None),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The value of a field that is neither absent nor null.
+/// Returns the value of a field, or `None` if the field is absent or null.
 pub fn present<'a>(fields: &'a Fields, name: &str) -> Option<&'a Value> {
     fields.get(name).filter(|value| !value.is_null())
 }
--- a/chat-api/src/headers.rs
+++ b/chat-api/src/headers.rs
@@ -1,4 +1,4 @@
-//! Request header fields that this API reads.
+//! Reads the header fields of requests.
 
 use hyper::header::HeaderMap;
 use petrelshore::interface::Nanos;
@@ -12,12 +12,13 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// The fields that every API has.
+/// Reads the header fields that all APIs share.
 pub fn metadata(headers: &HeaderMap) -> CallMetadata<'_> {
     CallMetadata::from_fields(|name| text(headers, name))
 }
 
-/// The fields of a chat request: also after how many milliseconds the client gives up.
+/// Reads the header fields of a chat request: the shared fields, and the time that the client waits for the first
+/// token.
 pub fn chat_metadata(headers: &HeaderMap) -> Result<CallMetadata<'_>, RequestError> {
     let metadata = metadata(headers);
     let Some(value) = text(headers, FIRST_TOKEN_BUDGET_HEADER) else { return Ok(metadata) };
@@ -28,7 +29,7 @@
         }
         _ => Err(RequestError::invalid_field(
             FIRST_TOKEN_BUDGET_HEADER,
-            "must be a whole number of milliseconds",
+            "must be a whole number of milliseconds above 0",
         )),
     }
 }
--- a/chat-api/src/lib.rs
+++ b/chat-api/src/lib.rs
@@ -1,9 +1,9 @@
-//! The OpenAI-style chat API, by its public specification, over the gateway.
+//! The chat API of the gateway, which follows the public specification of OpenAI's chat API.
 //!
-//! [`serve()`] accepts connections and routes requests; `body` receives a request body within its limits; `request`
-//! decodes it into a call, which `petrelshore_ingress` validates; `chat` has the gateway answer it; `chunks`, `error` and
-//! `response` encode the answer, buffered or as server-sent events. The gateway admits nothing before a request is
-//! received in full and understood.
+//! [`serve()`] accepts connections and routes requests. `body` receives a request body within its limits, and `request`
+//! decodes the body into a call, which `petrelshore_ingress` validates. `chat` submits the call to the gateway.
+//! `chunks`, `error` and `response` encode the answer, buffered or as server-sent events. The gateway admits a request
+//! only after the request has been received in full, decoded and validated.
 
 mod body;
 mod chat;
--- a/chat-api/src/models.rs
+++ b/chat-api/src/models.rs
@@ -1,4 +1,4 @@
-//! The models that are served, as the API lists them.
+//! Lists the models that the gateway serves.
 
 use crate::error::ApiError;
 use crate::headers;
@@ -10,17 +10,17 @@
 use petrelshore_ingress::metadata;
 use serde_json::{Value, json};
 
-/// All models.
+/// Returns the list of all models.
 pub fn list(headers: &HeaderMap, gateway: &Gateway) -> Result<ApiResponse, ApiError> {
     metadata::authenticate(gateway.settings(), &headers::metadata(headers))?;
-    let models: Vec<Value> = names(gateway).map(model_object).collect();
+    let models: Vec<Value> = model_names(gateway).map(model_object).collect();
     Ok(json_response(StatusCode::OK, &json!({ "object": "list", "data": models })))
 }
 
-/// The model of one name.
+/// Returns the model with a given name.
 pub fn get(headers: &HeaderMap, gateway: &Gateway, name: &str) -> Result<ApiResponse, ApiError> {
     metadata::authenticate(gateway.settings(), &headers::metadata(headers))?;
-    match names(gateway).find(|served| *served == name) {
+    match model_names(gateway).find(|served| *served == name) {
         Some(name) => Ok(json_response(StatusCode::OK, &model_object(name))),
         None => {
             Err(RequestError::new(RequestErrorKind::UnknownPath, "this model does not exist here").into())
@@ -28,7 +28,7 @@
     }
 }
 
-fn names(gateway: &Gateway) -> impl Iterator<Item = &str> {
+fn model_names(gateway: &Gateway) -> impl Iterator<Item = &str> {
     gateway.settings().traffic.iter().flat_map(|traffic| traffic.models.iter().map(String::as_str))
 }
 
--- a/chat-api/src/request.rs
+++ b/chat-api/src/request.rs
@@ -1,4 +1,4 @@
-//! From the body of a chat request to a call. Errors name the field to blame.
+//! Decodes the body of a chat request into a call. Errors name the invalid field.
 
 use crate::fields::{Fields, boolean, integer, present, string};
 use petrelshore_gateway_core::Relay;
@@ -8,13 +8,14 @@
 
 /// A decoded chat request.
 pub struct ChatRequest {
-    /// What is asked of the gateway.
+    /// The call for the gateway.
     pub call: Call,
-    /// A stream ends with a chunk that gives the token usage.
+    /// Whether a stream ends with a chunk that gives the token usage.
     pub include_usage: bool,
 }
 
-/// Fields that can't be honoured here: such a request is rejected rather than answered as if without them.
+/// Fields that the gateway does not support. A request that uses one of these fields is rejected, because an answer
+/// that ignores the field would be wrong.
 const UNSUPPORTED_FIELDS: [&str; 8] =
     ["tools", "tool_choice", "functions", "function_call", "logprobs", "top_logprobs", "audio", "modalities"];
 const MAX_TOKENS: u64 = u32::MAX as u64;
@@ -61,7 +62,7 @@
 
 fn reject_unsupported(fields: &Fields) -> Result<(), RequestError> {
     for name in UNSUPPORTED_FIELDS {
-        if fields.get(name).is_some_and(asks_for_something) {
+        if fields.get(name).is_some_and(requests_feature) {
             return Err(RequestError::invalid_field(name, format!("'{name}' is not supported here")));
         }
     }
@@ -77,8 +78,8 @@
     Ok(())
 }
 
-/// Whether an unsupported field has a value that differs from leaving it out.
-fn asks_for_something(value: &Value) -> bool {
+/// Whether the value of an unsupported field requests the feature, rather than meaning the same as an absent field.
+fn requests_feature(value: &Value) -> bool {
     match value {
         Value::Null | Value::Bool(false) => false,
         Value::Array(values) => !values.is_empty() && *value != json!(["text"]),
@@ -119,7 +120,7 @@
     Ok(ChatMessage { role: role.to_owned(), text })
 }
 
-/// The text of a message that is given in parts.
+/// Joins the text parts of a message.
 fn joined_parts(message: usize, parts: &[Value]) -> Result<String, RequestError> {
     let mut joined = String::new();
     for (index, part) in parts.iter().enumerate() {
@@ -129,7 +130,7 @@
                 joined.push_str(text);
                 continue;
             }
-            (Some("text"), None) => "a text part needs 'text'",
+            (Some("text"), None) => "a part of the type 'text' must have a string 'text'",
             _ => "only parts of the type 'text' are supported here",
         };
         return Err(RequestError::invalid_field(&format!("messages[{message}].content[{index}]"), error));
@@ -137,7 +138,8 @@
     Ok(joined)
 }
 
-/// The longest answer asked for. The older name of the field counts only where the newer one is absent.
+/// Reads the maximum length of the answer, in tokens. The older field `max_tokens` counts only if the newer field
+/// `max_completion_tokens` is absent.
 fn max_tokens(fields: &Fields) -> Result<Option<u64>, RequestError> {
     match integer(fields, "max_completion_tokens", 1, MAX_TOKENS)? {
         Some(tokens) => Ok(Some(tokens)),
--- a/chat-api/src/response.rs
+++ b/chat-api/src/response.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Encoded server-sent events.
+/// A stream of encoded server-sent events.
 pub type EventBytes = Pin<Box<dyn Stream<Item = Bytes>>>;
 
 /// A response of the API.
@@ -18,9 +18,9 @@
 
 /// The body of a response.
 pub enum ResponseBody {
-    /// All of it; none once it has been sent.
+    /// The complete body; `None` once it has been sent.
     Buffered(Option<Bytes>),
-    /// Events as they come.
+    /// Events, which are sent as the answer is generated.
     Events(EventBytes),
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json_response(status: StatusCode, body: &Value) -> ApiResponse {
     let mut response = Response::new(ResponseBody::Buffered(Some(Bytes::from(body.to_string()))));
     *response.status_mut() = status;
@@ -61,7 +61,7 @@
     response
 }
 
-/// A response whose body is a stream of events.
+/// Returns a response whose body is a stream of events.
 pub fn event_response(events: EventBytes) -> ApiResponse {
     let mut response = Response::new(ResponseBody::Events(events));
     let headers = response.headers_mut();
--- a/chat-api/src/serve.rs
+++ b/chat-api/src/serve.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, and which handler a request goes to.
+//! Serves client connections and routes each request to its handler.
 
 use crate::error::ApiError;
 use crate::response::ApiResponse;
@@ -26,14 +26,14 @@
 const MODELS_PATH: &str = "/v1/models";
 const MODEL_PATH_PREFIX: &str = "/v1/models/";
 
-/// Serves clients for as long as it is polled. Connections run on the gateway's executor.
+/// Serves clients until the returned future is dropped. Connections run on the gateway's executor.
 pub async fn serve(listener: Listener, ingress: Ingress) {
     let gateway = ingress.gateway.clone();
-    let connected = move |stream, client| serve_connection(stream, client, gateway.clone());
-    ingress.serve(listener, connected, reject).await;
+    let handle_client = move |stream, client| serve_connection(stream, client, gateway.clone());
+    ingress.serve(listener, handle_client, reject).await;
 }
 
-/// Rejects a connection over the limit, in few bytes and without reading its request.
+/// Rejects a connection over the connection limit with a short response, without reading the request.
 async fn reject(mut stream: TcpStream) {
     let body = r#"{"error":{"message":"too many connections","type":"server_error","code":"overloaded"}}"#;
     let response = format!(
@@ -86,7 +86,7 @@
             Err(RequestError::new(RequestErrorKind::UnknownMethod, message).into())
         }
         _ => {
-            let message = format!("there is nothing at {}", truncated(&path));
+            let message = format!("unknown path: {}", truncated(&path));
             Err(RequestError::new(RequestErrorKind::UnknownPath, message).into())
         }
     }
--- a/chat-api/tests/requests.rs
+++ b/chat-api/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Valid and invalid requests over sockets: the error object, status and field to blame, and that nothing is admitted.
+//! Sends valid and invalid requests over sockets. An invalid request must get the right status and an error object that
+//! names the invalid field, and the gateway must not admit the request.
 
 use async_executor::LocalExecutor;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -16,7 +17,8 @@
     address: SocketAddr,
 }
 
-/// Runs a test against a gateway whose one server is unreachable: whatever is admitted shows in its counts.
+/// Runs a test against a gateway whose only model server is unreachable. The gateway's counts show which requests were
+/// admitted.
 fn with_api<F: Future<Output = ()>>(name: &str, test: impl FnOnce(Api) -> F) {
     let folder: PathBuf =
         std::env::temp_dir().join(format!("petrelshore-chat-{name}-{}", std::process::id()));
@@ -45,8 +47,9 @@
 }
 
 impl Api {
-    /// Sends raw bytes and returns status, head and body.
-    async fn raw(&self, parts: &[&[u8]], pause: Duration) -> (u16, String, String) {
+    /// Sends the parts of a request with a pause after each part. Returns the status, which is 0 if there is none, the
+    /// head in lower case, and the body.
+    async fn send(&self, parts: &[&[u8]], pause: Duration) -> (u16, String, String) {
         let mut stream = async_net::TcpStream::connect(self.address).await.unwrap();
         for part in parts {
             if stream.write_all(part).await.is_err() {
@@ -67,7 +70,7 @@
             "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}content-length: {}\r\n\r\n",
             body.len()
         );
-        let (status, head, body) = self.raw(&[head.as_bytes(), body], Duration::ZERO).await;
+        let (status, head, body) = self.send(&[head.as_bytes(), body], Duration::ZERO).await;
         (status, head, serde_json::from_str(&body).unwrap_or_default())
     }
 }
@@ -86,11 +89,11 @@
         body.to_string()
     };
     let content = |content: Value| with("messages", json!([{ "role": "user", "content": content }]));
-    let deep = "[".repeat(100_000 / 8);
-    let rows: Vec<(String, u16, Value)> = vec![
+    let deeply_nested = "[".repeat(100_000 / 8);
+    let cases: Vec<(String, u16, Value)> = vec![
         ("{".to_owned(), 400, Value::Null),
         ("[1]".to_owned(), 400, Value::Null),
-        (deep, 400, Value::Null),
+        (deeply_nested, 400, Value::Null),
         ("{\"model\":\"ask\"}".to_owned(), 400, json!("messages")),
         (with("model", json!(7)), 400, json!("model")),
         (with("model", json!("nope")), 404, json!("model")),
@@ -115,8 +118,8 @@
         (with("prompt_cache_key", json!(1)), 400, json!("prompt_cache_key")),
         (with("seed", json!(1.5)), 400, json!("seed")),
     ];
-    with_api("wrong", |api| async move {
-        for (body, status, param) in rows {
+    with_api("invalid", |api| async move {
+        for (body, status, param) in cases {
             let (got, head, answer) = api.post(AUTHORIZATION, body.as_bytes()).await;
             assert_eq!((got, &answer["error"]["param"]), (status, &param), "{answer} to {:.80}", body);
             assert!(answer["error"]["message"].is_string() && answer["error"]["type"].is_string());
@@ -151,30 +154,30 @@
                 "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{AUTHORIZATION}content-length: {length}\r\n\r\n"
             )
         };
-        let (status, ..) = api.raw(&[head(100_000_000).as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.send(&[head(100_000_000).as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 413);
         let chunked = head(0).replace("content-length: 0", "transfer-encoding: chunked");
         let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
-        let (status, ..) = api.raw(&[chunked.as_bytes(), chunk.as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.send(&[chunked.as_bytes(), chunk.as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 413);
-        let (status, ..) = api.raw(&[head(50).as_bytes(), b"{"], Duration::ZERO).await;
+        let (status, ..) = api.send(&[head(50).as_bytes(), b"{"], Duration::ZERO).await;
         assert_eq!(status, 408);
-        let flood: String = (0..200).map(|n| format!("x-{n}: y\r\n")).collect();
+        let many_fields: String = (0..200).map(|n| format!("x-{n}: y\r\n")).collect();
         let (status, ..) =
-            api.raw(&[head(2).replace(AUTHORIZATION, &flood).as_bytes(), b"{}"], Duration::ZERO).await;
+            api.send(&[head(2).replace(AUTHORIZATION, &many_fields).as_bytes(), b"{}"], Duration::ZERO).await;
         assert_eq!(status, 431);
-        let (status, ..) = api.raw(&[b"\x16\x03\x01nonsense\r\n\r\n"], Duration::ZERO).await;
+        let (status, ..) = api.send(&[b"\x16\x03\x01nonsense\r\n\r\n"], Duration::ZERO).await;
         assert!(status == 400 || status == 0, "{status}");
         let body = valid_request().to_string();
         let request = format!("{}{body}", head(body.len()));
         let bytes: Vec<&[u8]> = request.as_bytes().chunks(1).collect();
-        let (status, ..) = api.raw(&bytes, Duration::ZERO).await;
-        assert_eq!(status, 503, "a byte at a time is a request like any other");
+        let (status, ..) = api.send(&bytes, Duration::ZERO).await;
+        assert_eq!(status, 503, "a request that arrives byte by byte is decoded like any other request");
         let (status, ..) =
-            api.raw(&[b"GET /nothing HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO).await;
+            api.send(&[b"GET /nothing HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO).await;
         assert_eq!(status, 404);
         let (status, ..) = api
-            .raw(&[b"GET /v1/chat/completions HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO)
+            .send(&[b"GET /v1/chat/completions HTTP/1.1\r\nconnection: close\r\n\r\n"], Duration::ZERO)
             .await;
         assert_eq!(status, 405);
         assert_eq!((api.gateway.counts().accepted, api.gateway.tracked()), (1, 0));
@@ -195,14 +198,16 @@
 fn models_are_listed_only_for_authenticated_clients() {
     with_api("models", |api| async move {
         let get = |path: &str, key: &str| format!("GET {path} HTTP/1.1\r\nconnection: close\r\n{key}\r\n");
-        let (status, _, body) = api.raw(&[get("/v1/models", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
+        let (status, _, body) =
+            api.send(&[get("/v1/models", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
         let json: Value = serde_json::from_str(&body).unwrap();
         assert_eq!((status, &json["data"][0]["id"]), (200, &json!("ask")));
-        let (status, ..) = api.raw(&[get("/v1/models/ask", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.send(&[get("/v1/models/ask", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 200);
-        let (status, ..) = api.raw(&[get("/v1/models/nope", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
+        let (status, ..) =
+            api.send(&[get("/v1/models/nope", AUTHORIZATION).as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 404);
-        let (status, ..) = api.raw(&[get("/v1/models", "").as_bytes()], Duration::ZERO).await;
+        let (status, ..) = api.send(&[get("/v1/models", "").as_bytes()], Duration::ZERO).await;
         assert_eq!(status, 401);
     });
 }
