--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery agents: one on each gateway's host, at one of several addresses.
+//! Discovery agents: each gateway's host has one agent, which serves at one of several addresses at a time.
 
 use crate::message::{Connection, Head, read_body, read_head, with_timeout, write_text};
 use crate::testbed::Testbed;
@@ -10,13 +10,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Addresses that an agent may move between.
+/// The number of addresses that an agent may move between.
 pub const ADDRESSES: usize = 2;
-/// An address that an agent has moved away from closes its connections after this.
+/// The time after an agent's move to another address until the connections at the old address are closed.
 const MOVED_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 const MOVED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a gateway asks for.
+/// The query string of a gateway's request.
 struct Query<'a>(Option<&'a str>);
 
 impl<'a> Query<'a> {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Serves one address of a gateway's agent, for as long as it is polled.
+/// Serves one address of a gateway's agent. The returned future completes only if the address cannot be served.
 pub async fn serve(testbed: Rc<Testbed>, gateway: usize, address: usize) -> io::Result<()> {
     let listener = TcpListener::bind(testbed.agent_address(gateway, address)).await?;
     loop {
@@ -59,7 +59,7 @@
     let mut known_version = None;
     while let Some(head) = read_head(&mut connection).await? {
         read_body(&mut connection, &head).await?;
-        // What is requested while the agent is silent is not answered later either.
+        // The agent never answers a request that arrives while the agent is silent, not even later.
         if agent.silent.get() {
             return future::pending().await;
         }
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// Completes once the endpoint list is newer than a version.
+/// Waits until the endpoint list is newer than `version`.
 async fn newer_list(testbed: &Testbed, version: u64) {
     loop {
         let changed = testbed.list_changed.listen();
@@ -89,7 +89,7 @@
     }
 }
 
-/// The full endpoint list, or none where the gateway has it already.
+/// Returns the response to a poll: the full endpoint list, or an empty list if the gateway has the current version.
 fn list_response(testbed: &Testbed, gateway: usize, known_version: Option<u64>) -> String {
     let version = testbed.list_version.get();
     let full = known_version.is_none_or(|known| version > known);
--- a/soak/src/gateway_config.rs
+++ b/soak/src/gateway_config.rs
@@ -1,13 +1,14 @@
-//! The configuration files and endpoint lists that gateways get.
+//! The configuration files and endpoint lists of the gateways.
 
 use crate::record::{EndpointStatus, Role};
 use crate::testbed::{Server, Testbed, ZONES};
 
-/// Spreads the gateways' seeds of neighbouring runs.
+/// The factor between a run's seed and its gateways' seeds: gateways of runs with consecutive seeds get different
+/// seeds.
 const SEED_FACTOR: u64 = 1_000_003;
 
 impl Testbed {
-    /// The endpoint list for a gateway, as entries of a JSON array.
+    /// Returns the endpoint list for a gateway as the entries of a JSON array, without the brackets.
     pub fn endpoints(&self, gateway: usize) -> String {
         let servers = self.servers.iter().enumerate();
         let entries = servers.filter_map(|(number, server)| self.endpoint(gateway, number, server));
@@ -33,7 +34,7 @@
         ))
     }
 
-    /// The configuration of a gateway's process as of now.
+    /// Returns the configuration of a gateway's process, with the current endpoint list and agent address.
     pub fn gateway_config(&self, gateway: usize, run: usize) -> String {
         let parameters = &self.parameters;
         let (zone, other) = (ZONES[gateway % ZONES.len()], ZONES[(gateway + 1) % ZONES.len()]);
@@ -54,7 +55,7 @@
             self.endpoints(gateway),
             parameters.health_checks,
             parameters.gateways,
-            self.lanes(),
+            self.traffic_types(),
             parameters.warm_up.as_nanos(),
             parameters.initial_capacity,
             parameters.drain_grace.as_nanos(),
@@ -65,15 +66,20 @@
         )
     }
 
-    /// The traffic types, one for each class of requests.
-    fn lanes(&self) -> String {
-        let lane = |name: &str, semantics: &str| {
+    /// Returns the traffic types as the entries of a JSON array: one traffic type for each idempotency class.
+    fn traffic_types(&self) -> String {
+        let traffic_type = |name: &str, semantics: &str| {
             format!(
                 r#"{{"aim":600000000,"hardLimit":{},"name":"{name}","semantics":"{semantics}","dedupScope":"zone","window":{},"streamed":true,"worth":2.0}}"#,
                 self.parameters.max_deadline.as_nanos(),
                 self.parameters.idempotency_window.as_nanos()
             )
         };
-        [lane("chat", "free"), lane("unlock", "single_shot"), lane("order", "guarded")].join(",")
+        [
+            traffic_type("chat", "free"),
+            traffic_type("unlock", "single_shot"),
+            traffic_type("order", "guarded"),
+        ]
+        .join(",")
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,7 +1,8 @@
-//! Randomized faults against `petrelshore platform` processes, judged by what was observed on their sockets.
+//! A randomized fault-injection test of `petrelshore platform` processes, checked by observations on their sockets.
 //!
-//! One run provides clients, model servers, discovery and the network for real gateway processes on loopback, injects
-//! faults that overlap in time, and judges by the record of what was observed: [`oracle`] uses nothing else.
+//! A run simulates the clients, model servers, discovery agents and network links of real gateway processes on
+//! loopback, injects faults that overlap in time, and records its observations. The [`oracle`] checks the rules against
+//! this record and uses no other input.
 
 mod client;
 mod discovery;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -6,27 +6,27 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Injects overlapping faults into `petrelshore platform` processes on loopback, and judges the rules from what was
-/// observed on sockets. Exits with 1 where a rule was broken, with 2 where the run could not be executed.
+/// Injects overlapping faults into `petrelshore platform` processes on loopback and checks rules against observations
+/// on sockets. Exits with 1 if a rule was broken, and with 2 if the run could not be executed.
 #[derive(Parser)]
 #[command(version, max_term_width = 100)]
 struct Command {
-    /// Draws faults, traffic and parameters
+    /// Seed from which faults, traffic and parameters are drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long clients send requests
+    /// Time for which clients send requests, in seconds
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Gateway processes
+    /// Number of gateways, each with one process at a time
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=60))]
     gateways: u64,
-    /// Model servers, half of them prefill servers
+    /// Number of model servers, half of them prefill servers
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(4..=200))]
     servers: u64,
-    /// Clients, each with a connection of its own
+    /// Number of clients, each with a connection of its own
     #[arg(long, default_value_t = 120)]
     clients: usize,
-    /// The command under test, beside this one where none is named
+    /// Path of the petrelshore command under test [default: petrelshore in the folder of this command]
     #[arg(long)]
     program: Option<PathBuf>,
     /// Print one JSON object as the last line
@@ -47,21 +47,21 @@
     }
 }
 
-/// Why a run could not be executed.
+/// The reason why a run could not be executed.
 #[derive(Debug)]
 enum Error {
-    /// No program was named, and none stands beside this one.
+    /// No program was named, and the folder of this command is unknown.
     ProgramMissing,
-    /// A process or a socket failed.
+    /// A file, process or socket operation failed.
     Io(std::io::Error),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::ProgramMissing => {
-                formatter.write_str("where is the petrelshore command? Name it with --program")
-            }
+            Error::ProgramMissing => formatter.write_str(
+                "the folder of this command is unknown; name the petrelshore command with --program",
+            ),
             Error::Io(error) => error.fmt(formatter),
         }
     }
@@ -70,7 +70,7 @@
 impl std::error::Error for Error {}
 
 fn execute(command: Command) -> Result<ExitCode, Error> {
-    let program = command.program.or_else(program_beside_this_one).ok_or(Error::ProgramMissing)?;
+    let program = command.program.or_else(default_program).ok_or(Error::ProgramMissing)?;
     let folder =
         std::env::temp_dir().join(format!("petrelshore-soak-{}-{}", command.seed, std::process::id()));
     let plan = Plan {
@@ -93,7 +93,7 @@
     Ok(if report.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn program_beside_this_one() -> Option<PathBuf> {
+fn default_program() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     Some(own.parent()?.join("petrelshore"))
 }
--- a/soak/src/message.rs
+++ b/soak/src/message.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 messages as clients and servers of a run read and write them: heads, bodies by length, chunks.
+//! Reading and writing of HTTP/1.1 messages by the clients and servers of a run: heads, bodies with a known length and
+//! chunks.
 
 use async_io::Timer;
 use async_net::TcpStream;
@@ -9,7 +10,7 @@
 
 const MAX_HEAD_LINES: usize = 256;
 
-/// One end of a connection.
+/// A buffered TCP stream: one end of a connection.
 pub type Connection = BufReader<TcpStream>;
 
 /// The head of a request or a response.
@@ -20,19 +21,19 @@
 }
 
 impl Head {
-    /// The value of a header field.
+    /// Returns the value of the first header field with this name, ignoring case.
     pub fn field(&self, name: &str) -> Option<&str> {
         let field = self.fields.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         field.map(|(_, value)| value.as_str())
     }
 
-    /// The status code of a status line; zero where there is none.
+    /// Returns the status code of the status line, or zero if the start line has no valid status code.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads the next head; `None` where the connection ends before its first byte.
+/// Reads the next head. Returns `None` if the connection ends before the first byte of the head.
 pub async fn read_head(connection: &mut Connection) -> io::Result<Option<Head>> {
     let mut start_line = String::new();
     if connection.read_line(&mut start_line).await? == 0 {
@@ -53,7 +54,7 @@
     Err(ErrorKind::InvalidData.into())
 }
 
-/// Reads the body whose length a head announces.
+/// Reads a body with the length from the `Content-Length` field of its head.
 pub async fn read_body(connection: &mut Connection, head: &Head) -> io::Result<Vec<u8>> {
     let length = head.field("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
@@ -61,7 +62,7 @@
     Ok(body)
 }
 
-/// Reads the next chunk; the last one is empty.
+/// Reads the next chunk of a chunked body. The last chunk is empty.
 pub async fn read_chunk(connection: &mut Connection) -> io::Result<Vec<u8>> {
     let mut line = String::new();
     if connection.read_line(&mut line).await? == 0 {
@@ -80,12 +81,12 @@
     connection.get_mut().flush().await
 }
 
-/// A text as one chunk.
+/// Encodes a text as one chunk of a chunked body.
 pub fn encode_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The output of a future that completes within `time`.
+/// Returns the output of a future, or `None` if the future does not complete within `time`.
 pub async fn with_timeout<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
     let expired = async {
         Timer::after(time).await;
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! Judges a run from its record alone.
+//! The test oracle: it checks the rules of a run against the run's record and uses no other input.
 
 mod attempts;
 mod cache_releases;
@@ -15,37 +15,40 @@
 use history::{Arrival, History, ProcessHistory, Request};
 use std::time::Duration;
 
-/// What every rule forgives for the transit between two hosts, beyond its own slack.
+/// The transit time between two hosts. Every rule tolerates this time in addition to its own slack.
 const TRANSIT_SLACK: Duration = Duration::from_millis(50);
-/// What every rule that compares deadlines forgives.
+/// The deviation that rules tolerate when they compare deadlines or expirations of idempotency keys.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Delays of the soak itself count for what happened this long before or after them.
+/// A scheduling delay of the soak adds to the slack of an interval if the delay was recorded within the interval, or at
+/// most this long before or after the interval.
 const SCHEDULING_DELAY_MARGIN: Duration = Duration::from_millis(200);
 
-/// What a gateway has to keep to.
+/// A rule that every gateway has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
     /// Each accepted request gets one final response in time.
     Lost,
-    /// Nothing is sent for a request that is completed, or whose client has disconnected.
+    /// A gateway sends no attempt for a request that is completed, or whose client has disconnected.
     SentAfterEnd,
-    /// A server is notified of no more time than the client has left.
+    /// The deadline that a gateway sends to a server is not longer than the time that the client still waits.
     Deadline,
-    /// No effect happens twice, no request is hedged, and none that may have been executed is rejected as safe to retry.
+    /// No effect happens twice, no request is hedged, and no request that may have been executed is rejected as safe to
+    /// retry.
     Duplicate,
-    /// Nothing new is sent to a server that is draining or removed.
+    /// A gateway sends no new request to a server that is draining or removed.
     Drain,
-    /// A server that is warming up gets no more than it can serve.
+    /// A server that is warming up gets no more requests than the server can handle.
     SlowStart,
-    /// KV cache is used or released in time.
+    /// Reserved KV cache is used or released in time.
     Held,
-    /// Processes become ready, and end only when they are stopped.
+    /// Gateway processes become ready, and exit only after a stop signal and with success, unless the soak kills them.
     Crash,
-    /// Restarted processes are ready in time.
+    /// Restarted gateway processes are ready in time.
     Ready,
-    /// Events of streams are forwarded at once.
+    /// Gateways forward the events of streams without delay.
     Events,
-    /// Invalid requests get an error or a close in time, and are not served.
+    /// A gateway answers an invalid request with an error or closes the connection in time, and does not serve the
+    /// request.
     BadClient,
 }
 
@@ -64,22 +67,22 @@
     (Rule::BadClient, "bad_client"),
 ];
 
-/// One breach of a rule.
+/// One violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// When it was broken.
+    /// The time at which the rule was broken.
     pub at: Time,
-    /// The request, where it concerns one.
+    /// The request, if the violation concerns a single request.
     pub request: Option<u64>,
-    /// The gateway process, where it concerns one.
+    /// The gateway process, if the violation concerns a single process.
     pub process: Option<Process>,
-    /// What was observed.
+    /// The observation that breaks the rule, in words.
     pub description: String,
 }
 
-/// Judges a whole run.
+/// Returns all violations in the record of a run, ordered by time.
 pub fn judge(parameters: &Parameters, events: &[(Time, Event)]) -> Vec<Violation> {
     let (history, mut violations) = History::from_events(events);
     let oracle = Oracle { parameters, history: &history };
@@ -97,14 +100,16 @@
     violations
 }
 
-/// A run with the parameters that it is judged by. Each rule's checks stand in a module of their own.
+/// The history of a run and the parameters that the run is checked against. The checks are in one module per rule or
+/// group of rules.
 struct Oracle<'a> {
     parameters: &'a Parameters,
     history: &'a History,
 }
 
 impl Oracle<'_> {
-    /// What the soak's own delays in that time may account for, with the transit between two hosts.
+    /// Returns the slack for an interval: the transit time between two hosts plus twice the longest scheduling delay of
+    /// the soak that was recorded in or close to the interval.
     fn slack(&self, from: Time, to: Time) -> Duration {
         let range = from.saturating_sub(SCHEDULING_DELAY_MARGIN)..=to + SCHEDULING_DELAY_MARGIN;
         let delays = self.history.scheduling_delays.iter().filter(|delay| range.contains(&delay.at));
@@ -115,7 +120,7 @@
         self.history.processes.get(&process)
     }
 
-    /// What arrived at servers for a request, in order.
+    /// Returns the arrivals of a request at model servers, in order.
     fn arrivals_of(&self, request: &Request) -> impl DoubleEndedIterator<Item = &Arrival> {
         request.exchanges.iter().filter_map(|exchange| self.history.arrivals.get(exchange))
     }
--- a/soak/src/oracle/attempts.rs
+++ b/soak/src/oracle/attempts.rs
@@ -1,20 +1,21 @@
-//! Rules `sent_after_end` and `deadline`: when a request may be forwarded, and with how much time.
+//! Rules `sent_after_end` and `deadline`: a gateway sends no attempt after the end of its request, and no deadline
+//! that is longer than the time that the client still waits.
 
 use super::history::{Arrival, Request};
 use super::{DEADLINE_SLACK, Oracle, Rule, Violation};
 use std::time::Duration;
 
-/// An attempt may begin this long after its client has disconnected.
+/// An attempt may start this long after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 
-/// A rule that an attempt broke.
+/// A rule that an attempt broke, with a description.
 struct Breach {
     rule: Rule,
     description: String,
 }
 
 impl Oracle<'_> {
-    /// Checks all attempts of a request, each by itself.
+    /// Checks each attempt of a request.
     pub(super) fn check_attempts(&self, id: u64, request: &Request, violations: &mut Vec<Violation>) {
         for arrival in self.arrivals_of(request) {
             let slack = self.slack(arrival.started_at, arrival.at);
@@ -40,7 +41,7 @@
         return None;
     }
     let late = arrival.started_at - disconnected;
-    let description = format!("sent to s-{} {late:?} after its client left", arrival.server);
+    let description = format!("sent to s-{} {late:?} after the client disconnected", arrival.server);
     Some(Breach { rule: Rule::SentAfterEnd, description })
 }
 
@@ -50,7 +51,7 @@
         return None;
     }
     let late = arrival.started_at - ended;
-    let description = format!("sent to s-{} {late:?} after its answer", arrival.server);
+    let description = format!("sent to s-{} {late:?} after the final response", arrival.server);
     Some(Breach { rule: Rule::SentAfterEnd, description })
 }
 
@@ -60,6 +61,9 @@
     if arrival.deadline <= left + DEADLINE_SLACK + slack {
         return None;
     }
-    let description = format!("s-{} was told {:?} of {left:?}", arrival.server, arrival.deadline);
+    let description = format!(
+        "s-{} got a deadline of {:?}, but the client waits only {left:?} longer",
+        arrival.server, arrival.deadline
+    );
     Some(Breach { rule: Rule::Deadline, description })
 }
--- a/soak/src/oracle/cache_releases.rs
+++ b/soak/src/oracle/cache_releases.rs
@@ -1,4 +1,4 @@
-//! Rule `held`: with no attempt in flight, reserved KV cache is used or released in time.
+//! Rule `held`: KV cache that is reserved for a request with no attempt in flight is used or released in time.
 
 use super::history::{Request, Reservation};
 use super::{Oracle, Rule, Violation};
@@ -7,7 +7,7 @@
 
 const RELEASE_SLACK: Duration = Duration::from_millis(300);
 
-/// The time that an exchange was in flight.
+/// The interval in which an exchange was in flight.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Span {
     from: Time,
@@ -15,7 +15,7 @@
 }
 
 impl Oracle<'_> {
-    /// Checks all reservations of a request, each until its process ended.
+    /// Checks each KV cache reservation of a request until the reservation or the gateway process ended.
     pub(super) fn check_cache_releases(&self, id: u64, request: &Request, violations: &mut Vec<Violation>) {
         let Some(process) = request.process else { return };
         for reservation in &request.reservations {
@@ -45,7 +45,9 @@
                     at: idle_to,
                     request: Some(id),
                     process: Some(process),
-                    description: format!("held at s-{server} for {idle:?} with no attempt out"),
+                    description: format!(
+                        "KV cache at s-{server} stayed reserved for {idle:?} with no attempt in flight"
+                    ),
                 });
             }
             idle_from = idle_from.max(span.to);
@@ -53,7 +55,8 @@
         None
     }
 
-    /// When attempts were in flight after `from`, in order, and last an empty span at `until`.
+    /// Returns the spans of the attempts that were in flight after `from`, in order, followed by an empty span at
+    /// `until`.
     fn in_flight_spans(&self, request: &Request, from: Time, until: Time) -> Vec<Span> {
         let mut spans: Vec<Span> = self
             .arrivals_of(request)
--- a/soak/src/oracle/draining.rs
+++ b/soak/src/oracle/draining.rs
@@ -1,17 +1,18 @@
-//! Rule `drain`: past the grace period, nothing new is sent to a server that is draining or removed.
+//! Rule `drain`: after the grace period, gateways send no new request to a server that is draining or removed.
 
 use super::history::{Arrival, EndpointView, Timed};
 use super::{Oracle, Rule, Violation};
 use crate::record::{EndpointStatus, Process, Time};
 use std::time::Duration;
 
-/// A gateway has an update at the latest this long after discovery had it and could be reached.
+/// The longest time that a gateway may take to receive an update that its discovery agent has, once the agent is
+/// reachable.
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(6);
-/// After a reload a gateway may have an update this late.
+/// The longest time that a gateway may take to receive an update after a reload.
 const UPDATE_AFTER_RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Oracle<'_> {
-    /// Checks all that arrived at servers.
+    /// Checks all requests that arrived at model servers.
     pub(super) fn check_draining(&self, violations: &mut Vec<Violation>) {
         for arrival in self.history.arrivals.values() {
             let process = self.process_at(arrival.gateway, arrival.started_at);
@@ -27,14 +28,14 @@
                 request: Some(arrival.request),
                 process,
                 description: format!(
-                    "sent to s-{} {late:?} after word that it drains or is gone",
+                    "sent to s-{} {late:?} after the notification that the server is draining or removed",
                     arrival.server
                 ),
             });
         }
     }
 
-    /// The latest process of a gateway that was spawned by that time.
+    /// Returns the latest process of a gateway that was spawned by the time `at`.
     fn process_at(&self, gateway: usize, at: Time) -> Option<Process> {
         let mut processes = self.history.processes.iter();
         processes
@@ -42,7 +43,7 @@
             .map(|(process, _)| *process)
     }
 
-    /// Since when the process that sent something counts as notified that the server accepts nothing new.
+    /// Returns the time from which the sending process counts as notified that the server accepts no new requests.
     fn drain_notified(&self, arrival: &Arrival, process: Option<Process>) -> Option<Time> {
         let view = EndpointView { gateway: arrival.gateway, server: arrival.server };
         let updates = self.history.endpoint_updates.get(&view)?;
@@ -52,8 +53,8 @@
         Some(self.excused_until(arrival.gateway, published, published.max(spawned)))
     }
 
-    /// Until when discovery faults or a reload excuse a gateway that does not know of an update: one that was published
-    /// at one time and counts as received at another.
+    /// Returns the time until which discovery faults or a reload excuse a gateway that does not know of an update. The
+    /// update was published at `published`; without an excuse the update counts as received at `received`.
     fn excused_until(&self, gateway: usize, published: Time, received: Time) -> Time {
         let Some(gateway) = self.history.gateways.get(&gateway) else { return received };
         let latest_excuse = |times: &[Time], timeout: Duration| {
@@ -71,7 +72,7 @@
     }
 }
 
-/// Since when a server was published as draining or removed without a break, as of some time.
+/// Returns the time since which a server has been published as draining or removed without interruption, as of `as_of`.
 fn draining_since(updates: &[Timed<EndpointStatus>], as_of: Time) -> Option<Time> {
     let mut since = None;
     for update in updates.iter().filter(|update| update.at <= as_of) {
--- a/soak/src/oracle/duplicates.rs
+++ b/soak/src/oracle/duplicates.rs
@@ -1,11 +1,12 @@
-//! Rule `duplicate`: no request is hedged, and no effect happens twice or is denied.
+//! Rule `duplicate`: no request is hedged, no effect happens twice, and no request that may have been executed is
+//! rejected as safe to retry.
 
 use super::history::{Arrival, Request};
 use super::{DEADLINE_SLACK, Oracle, Rule, TRANSIT_SLACK, Violation};
 use crate::record::{Class, ClientOutcome, ExchangeOutcome, Role, Time};
 use crate::testbed::ZONES;
 
-/// A breach of this rule.
+/// A violation of this rule.
 struct Breach {
     at: Time,
     description: String,
@@ -16,7 +17,7 @@
     pub(super) fn check_duplicates(&self, id: u64, request: &Request, violations: &mut Vec<Violation>) {
         let arrivals: Vec<&Arrival> = self.arrivals_of(request).collect();
         let mut breaches = self.hedged_requests(&arrivals);
-        // The server that declined an attempt proves that nothing was executed.
+        // A declined attempt is proof by the server that nothing was executed.
         let executed: Vec<&Arrival> = arrivals
             .into_iter()
             .filter(|arrival| arrival.role == Role::Decode)
@@ -24,7 +25,7 @@
             .collect();
         match request.class {
             Some(Class::AtMostOnce) => breaches.extend(repeated_effects(request, &executed)),
-            Some(Class::Keyed) => breaches.extend(self.late_retries(&executed)),
+            Some(Class::Keyed) => breaches.extend(self.uncovered_retries(&executed)),
             Some(Class::Idempotent) | None => {}
         }
         violations.extend(breaches.into_iter().map(|breach| Violation {
@@ -36,13 +37,15 @@
         }));
     }
 
-    /// Attempts that arrived while an earlier one was in flight.
+    /// Returns a violation for each attempt that arrived while an earlier attempt was in flight.
     fn hedged_requests(&self, arrivals: &[&Arrival]) -> Vec<Breach> {
         let mut breaches = Vec::new();
         for (index, arrival) in arrivals.iter().enumerate() {
             for earlier in arrivals[..index].iter().filter(|earlier| self.is_in_flight(earlier, arrival.at)) {
-                let description =
-                    format!("a second copy at s-{} while s-{} has one", arrival.server, earlier.server);
+                let description = format!(
+                    "an attempt arrived at s-{} while another was in flight at s-{}",
+                    arrival.server, earlier.server
+                );
                 breaches.push(Breach { at: arrival.at, description });
             }
         }
@@ -57,17 +60,18 @@
         }
     }
 
-    /// Retries that their idempotency key does not cover: beyond its window, or in another zone.
-    fn late_retries(&self, executed: &[&Arrival]) -> Vec<Breach> {
+    /// Returns the retries that the idempotency key does not cover: after the end of the key's window, or in another
+    /// zone.
+    fn uncovered_retries(&self, executed: &[&Arrival]) -> Vec<Breach> {
         let Some((first, retries)) = executed.split_first() else { return Vec::new() };
         let until = first.started_at + self.parameters.idempotency_window + DEADLINE_SLACK;
         let mut breaches = Vec::new();
         for retry in retries {
             let late = retry.started_at > until + self.slack(retry.started_at, retry.at);
-            let elsewhere = zone_of(first.server) != zone_of(retry.server);
-            if late || elsewhere {
+            let in_other_zone = zone_of(first.server) != zone_of(retry.server);
+            if late || in_other_zone {
                 let description = format!(
-                    "repeated at s-{} after s-{}: late {late}, in another zone {elsewhere}",
+                    "retry at s-{} of an attempt at s-{}; key expired: {late}, in another zone: {in_other_zone}",
                     retry.server, first.server
                 );
                 breaches.push(Breach { at: retry.at, description });
@@ -77,18 +81,20 @@
     }
 }
 
-/// A second execution of a request that allows one, and a rejection as safe to retry of one that may have been executed.
+/// Returns the violations of a request that may be executed at most once: a second execution, and a response that
+/// rejects the request as safe to retry although the request may have been executed.
 fn repeated_effects(request: &Request, executed: &[&Arrival]) -> Vec<Breach> {
     let Some(first) = executed.first() else { return Vec::new() };
     let mut breaches = Vec::new();
     if let Some(second) = executed.get(1) {
-        let description = format!("ran at s-{} and s-{}", first.server, second.server);
+        let description = format!("may have been executed at s-{} and at s-{}", first.server, second.server);
         breaches.push(Breach { at: second.at, description });
     }
     if let Some(response) = request.response
         && matches!(response.value, ClientOutcome::Complete(429 | 503))
     {
-        let description = format!("{} after it may have run at s-{}", response.value, first.server);
+        let description =
+            format!("rejected with {} after it may have been executed at s-{}", response.value, first.server);
         breaches.push(Breach { at: response.at, description });
     }
     breaches
--- a/soak/src/oracle/history.rs
+++ b/soak/src/oracle/history.rs
@@ -1,4 +1,4 @@
-//! A run's record, sorted by request, exchange, process and gateway.
+//! The record of a run, grouped by request, exchange, process and gateway.
 
 use super::{Rule, Violation};
 use crate::record::{
@@ -7,23 +7,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An event of a stream that was in transit for longer counts as held back.
+/// A stream event that is in transit for longer than this counts as late.
 const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
 
-/// A value that holds from some time on, or that was observed then.
+/// A value that holds from the time `at` on, or that was observed at that time.
 #[derive(Clone, Copy)]
 pub(super) struct Timed<T> {
     pub(super) at: Time,
     pub(super) value: T,
 }
 
-/// A request, as its client saw it.
+/// A request as its client saw it, with the request's exchanges and KV cache reservations at model servers.
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) process: Option<Process>,
     pub(super) class: Option<Class>,
     pub(super) deadline: Duration,
-    /// When its last byte was written, each time that it was sent.
+    /// The times at which the last byte of the request was written, one for each time that the client sent the request.
     pub(super) sent: Vec<Time>,
     pub(super) response_started: Option<Time>,
     pub(super) response: Option<Timed<ClientOutcome>>,
@@ -34,7 +34,7 @@
     pub(super) streamed: bool,
 }
 
-/// KV cache that a server held for a request.
+/// KV cache that a model server reserved for a request.
 pub(super) struct Reservation {
     pub(super) server: usize,
     pub(super) from: Time,
@@ -54,7 +54,7 @@
     pub(super) end: Option<Timed<ExchangeOutcome>>,
 }
 
-/// What happened to one gateway process.
+/// The lifecycle of one gateway process.
 #[derive(Default)]
 pub(super) struct ProcessHistory {
     pub(super) spawned: Time,
@@ -64,13 +64,13 @@
     pub(super) killed: Option<Time>,
 }
 
-/// What happened around one gateway, over all of its processes.
+/// Faults and reloads that affected one gateway, over all of its processes.
 #[derive(Default)]
 pub(super) struct GatewayHistory {
     pub(super) stalled_watches: Vec<Time>,
     pub(super) reloads: Vec<Time>,
     pub(super) discovery_delays: Vec<Timed<Duration>>,
-    /// Since when its outgoing connections break, or do so no more.
+    /// The times at which the gateway's outgoing connections started (`true`) or stopped (`false`) being broken.
     pub(super) connections_breaking: Vec<Timed<bool>>,
 }
 
@@ -80,21 +80,21 @@
     pub(super) at: Time,
 }
 
-/// Identifies what one gateway's discovery agent knows of one model server.
+/// Identifies the knowledge that one gateway's discovery agent has of one model server.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EndpointView {
     pub(super) gateway: usize,
     pub(super) server: usize,
 }
 
-/// A whole run.
+/// The history of a whole run.
 #[derive(Default)]
 pub(super) struct History {
     pub(super) requests: BTreeMap<u64, Request>,
     pub(super) arrivals: BTreeMap<Exchange, Arrival>,
     pub(super) processes: BTreeMap<Process, ProcessHistory>,
     pub(super) gateways: BTreeMap<usize, GatewayHistory>,
-    /// The endpoint updates that gateways' discovery agents had.
+    /// The endpoint updates that the gateways' discovery agents received.
     pub(super) endpoint_updates: BTreeMap<EndpointView, Vec<Timed<EndpointStatus>>>,
     pub(super) server_starts: Vec<ServerStart>,
     pub(super) scheduling_delays: Vec<Timed<Duration>>,
@@ -102,7 +102,7 @@
 }
 
 impl History {
-    /// Sorts a record; violations that single events prove come along.
+    /// Builds the history from a record, and returns it with the violations that single events prove.
     pub(super) fn from_events(events: &[(Time, Event)]) -> (History, Vec<Violation>) {
         let (mut history, mut violations) = (History::default(), Vec::new());
         for (at, event) in events {
@@ -149,10 +149,11 @@
             }
             Event::ClientDisconnected { request } => self.request(request).disconnected = Some(at),
             Event::StreamEventReceived { request, delay } => {
-                let own_delay = self.scheduling_delays.last().map_or(Duration::ZERO, |last| last.value);
+                let scheduling_delay =
+                    self.scheduling_delays.last().map_or(Duration::ZERO, |last| last.value);
                 let request = self.request(request);
                 request.streamed = true;
-                request.has_late_event |= delay > MAX_EVENT_DELAY + own_delay;
+                request.has_late_event |= delay > MAX_EVENT_DELAY + scheduling_delay;
             }
             Event::InvalidRequestFinished { process, answered, served } if !answered || served => {
                 self.process(process);
@@ -197,7 +198,8 @@
             }
             Event::CacheReleased { request, server } => {
                 let mut reservations = self.request(request).reservations.iter_mut();
-                let open = reservations.rfind(|held| held.server == server && held.until.is_none());
+                let open = reservations
+                    .rfind(|reservation| reservation.server == server && reservation.until.is_none());
                 if let Some(reservation) = open {
                     reservation.until = Some(at);
                 }
@@ -242,25 +244,25 @@
         }
     }
 
-    /// The violation that an event proves by itself, with what was before it.
+    /// Returns the violation that an event proves, given the events before it.
     fn violation_by(&self, at: Time, event: &Event) -> Option<Violation> {
         let violation = |rule: Rule, process: Process, description: String| {
             Some(Violation { rule, at, request: None, process: Some(process), description })
         };
         match *event {
             Event::InvalidRequestFinished { process, answered, served } if !answered || served => {
-                let description = format!("a bad client: answered {answered}, served {served}");
+                let description = format!("invalid request: answered in time: {answered}, served: {served}");
                 violation(Rule::BadClient, process, description)
             }
             Event::ProcessNotReady { process } => {
-                violation(Rule::Crash, process, "it did not get ready".to_owned())
+                violation(Rule::Crash, process, "the process did not become ready".to_owned())
             }
             Event::ProcessExited { process, clean } => {
                 let stopping = self.processes.get(&process).is_some_and(|known| known.stop_signal.is_some());
                 if clean && stopping {
                     return None;
                 }
-                let description = format!("its process ended by itself, cleanly: {clean}");
+                let description = format!("unexpected exit of the process; success reported: {clean}");
                 violation(Rule::Crash, process, description)
             }
             _ => None,
--- a/soak/src/oracle/responses.rs
+++ b/soak/src/oracle/responses.rs
@@ -5,13 +5,14 @@
 use crate::record::{ClientOutcome, ExchangeOutcome, Process, Role, Time};
 use std::time::Duration;
 
-/// A response that starts this long after its client's deadline counts as lost.
+/// A response that starts later than this after its client's deadline counts as lost.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 /// Requests sent later than this after the stop signal have to be answered before the process is killed.
 const STOP_SLACK: Duration = Duration::from_millis(700);
-/// A stream whose server wrote its end has to reach its end at the client this soon.
+/// A gateway that abandons an exchange counts as the cause of the truncated stream if the stream ends at the client at
+/// most this long afterwards.
 const STREAM_END_TIMEOUT: Duration = Duration::from_secs(1);
-/// A stream without an event for this long counts as dead.
+/// A stream counts as idle if its response started at least this long ago.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// A lost response.
@@ -32,7 +33,7 @@
             return;
         }
         let loss = match request.response {
-            None => Some(Loss { at: due, description: "no answer at all".to_owned() }),
+            None => Some(Loss { at: due, description: "no response".to_owned() }),
             Some(response) => self.loss(request, process, response, due + slack, due),
         };
         if let Some(Loss { at, description }) = loss {
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Why a response counts as lost, if it does. It has to start by `limit`, and counts as late from `due` on.
+    /// Returns the reason why a response counts as lost, or `None` for a valid response. The response has to start by
+    /// `limit`; a reported delay is measured from `due`.
     fn loss(
         &self,
         request: &Request,
@@ -53,63 +55,66 @@
         let at = response.at;
         match response.value {
             ClientOutcome::TimedOut => {
-                Some(Loss { at, description: "its connection fell silent".to_owned() })
+                Some(Loss { at, description: "the client timed out waiting for data".to_owned() })
             }
             ClientOutcome::NoResponse { reused } => {
                 let forwarded = !request.exchanges.is_empty();
-                let description =
-                    format!("closed without an answer, connection reused: {reused}, sent on: {forwarded}");
+                let description = format!(
+                    "connection closed without response; reused: {reused}, request forwarded: {forwarded}"
+                );
                 (!reused || forwarded).then_some(Loss { at, description })
             }
             ClientOutcome::Truncated => self.truncation(request, process, at),
             ClientOutcome::Complete(status) => {
                 let started = request.response_started.unwrap_or(at);
                 (started > limit).then(|| {
-                    let description = format!("{status} came {:?} late", started - due);
+                    let description =
+                        format!("response with status {status} started {:?} late", started - due);
                     Loss { at: started, description }
                 })
             }
         }
     }
 
-    /// Whether a process was killed by that time without a stop signal.
+    /// Returns whether a process was killed by the time `at` without a stop signal.
     fn crashed_by(&self, process: Process, at: Time) -> bool {
         self.process(process).is_some_and(|process| {
             process.stop_signal.is_none() && process.killed.is_some_and(|killed| killed <= at)
         })
     }
 
-    /// A stream whose server wrote its end has to be forwarded to its end; others may be truncated where their own
-    /// connection broke.
+    /// Returns the loss if the gateway is the cause of a truncated stream. A gateway has to forward a stream to its end
+    /// if the server wrote the end; other streams may be truncated if the connection to the server broke.
     fn truncation(&self, request: &Request, process: Process, at: Time) -> Option<Loss> {
         let last = self.arrivals_of(request).rfind(|arrival| arrival.role == Role::Decode);
         let end = last.and_then(|arrival| arrival.end);
-        let to_blame = match end {
-            // The end may have been in transit as its connection broke.
+        let caused_by_gateway = match end {
+            // The end of the stream may have been in transit when the connection broke.
             Some(Timed { at: ended, value: ExchangeOutcome::Completed | ExchangeOutcome::Abandoned })
                 if self.connections_broke(process.gateway, ended) =>
             {
                 false
             }
             Some(Timed { value: ExchangeOutcome::Completed, .. }) => true,
-            // The gateway abandoned a stream that was still coming.
+            // The gateway abandoned a stream that was still receiving events.
             Some(Timed { at: abandoned, value: ExchangeOutcome::Abandoned }) => {
                 abandoned + STREAM_END_TIMEOUT >= at && !is_idle(request, at)
             }
             _ => false,
         };
-        if !to_blame || self.truncated_by_stop(request, process, at) {
+        if !caused_by_gateway || self.truncated_by_stop(request, process, at) {
             return None;
         }
         let end = match end {
             Some(Timed { at, value }) => format!("Some(({at:?}, {value}))"),
             None => "None".to_owned(),
         };
-        Some(Loss { at, description: format!("its stream was cut, at its server: {end}") })
+        Some(Loss { at, description: format!("stream truncated; end of the exchange at the server: {end}") })
     }
 
-    /// Whether a graceful shutdown excuses a truncated stream: what was accepted early enough before the kill may be in
-    /// flight then, and clients that resume streams move to another gateway.
+    /// Returns whether a graceful shutdown excuses a truncated stream: a request that was sent at most [`STOP_SLACK`]
+    /// after the stop signal may still be in flight at the kill, and clients that resume streams move to another
+    /// gateway.
     fn truncated_by_stop(&self, request: &Request, process: Process, at: Time) -> bool {
         let Some(process) = self.process(process) else { return false };
         let Some(stop) = process.stop_signal else { return false };
@@ -118,8 +123,8 @@
         self.parameters.resume_streams || (accepted_early && killed)
     }
 
-    /// Whether outgoing connections of a gateway were being broken just then: their servers see that as an end by the
-    /// gateway.
+    /// Returns whether the outgoing connections of a gateway were being broken at the time `at`. The servers see such a
+    /// break as an end by the gateway.
     fn connections_broke(&self, gateway: usize, at: Time) -> bool {
         let Some(gateway) = self.history.gateways.get(&gateway) else { return false };
         let changes = &gateway.connections_breaking;
@@ -130,8 +135,8 @@
     }
 }
 
-/// Whether nothing had come from its server for so long that the stream counts as dead. A server that hangs, or a link
-/// that is cut, shows as a stream that is abandoned some seconds after its last event.
+/// Returns whether a stream counts as idle at the time `at`, measured from the start of the response. A hanging server
+/// or a cut link shows as a stream that the gateway abandons some seconds after the last event.
 fn is_idle(request: &Request, at: Time) -> bool {
     request.response_started.is_some_and(|started| at.saturating_sub(started) >= STREAM_IDLE_TIMEOUT)
 }
--- a/soak/src/oracle/slow_start.rs
+++ b/soak/src/oracle/slow_start.rs
@@ -1,24 +1,25 @@
-//! Rule `slow_start`: a server that is warming up gets no more than it can serve, by gateways that know of its start.
+//! Rule `slow_start`: a server that is warming up gets no more requests than the server can handle from gateways that
+//! know of its start.
 
 use super::history::{Arrival, EndpointView, ServerStart};
 use super::{Oracle, Rule, Violation};
 use crate::record::Time;
 use std::time::Duration;
 
-/// The even share of a server is measured over this time.
+/// The time over which the even share of a server is measured.
 const SHARE_WINDOW: Duration = Duration::from_secs(6);
-/// Below so many expected requests the statistical slack is wider.
+/// The number of expected requests below which the statistical slack is wider.
 const FEW_REQUESTS: f64 = 30.0;
 
 impl Oracle<'_> {
-    /// Checks all starts of servers.
+    /// Checks all starts of model servers.
     pub(super) fn check_slow_starts(&self, violations: &mut Vec<Violation>) {
         for start in &self.history.server_starts {
             violations.extend(self.overloaded_start(start));
         }
     }
 
-    /// The first time that a starting server was sent more than its budget.
+    /// Returns a violation for the first overload window in which a starting server was sent more than its budget.
     fn overloaded_start(&self, start: &ServerStart) -> Option<Violation> {
         let arrivals = self.arrivals_while_warming_up(start);
         for (index, first) in arrivals.iter().enumerate() {
@@ -29,7 +30,7 @@
             let budget = self.budget(start, first.at);
             if burst.len() as f64 > budget && 3 * informed > 2 * burst.len() {
                 let description = format!(
-                    "s-{} got {} calls for {budget:.1} {:?} after its start",
+                    "s-{} got {} requests with a budget of {budget:.1}, {:?} after its start",
                     start.server,
                     burst.len(),
                     first.at - start.at
@@ -41,7 +42,7 @@
         None
     }
 
-    /// What arrived at a server until it was warm or started once more.
+    /// Returns the requests that arrived at a server until the server was warm or started again.
     fn arrivals_while_warming_up(&self, start: &ServerStart) -> Vec<&Arrival> {
         let mut starts = self.history.server_starts.iter();
         let next = starts.find(|other| other.server == start.server && other.at > start.at);
@@ -50,7 +51,8 @@
         self.arrivals_within(start.at, until).filter(|arrival| arrival.server == start.server).collect()
     }
 
-    /// How many requests a starting server may get within one overload window, with statistical slack.
+    /// Returns the number of requests that a starting server may get within one overload window, with statistical
+    /// slack.
     fn budget(&self, start: &ServerStart, at: Time) -> f64 {
         let progress = (at - start.at).as_secs_f64() / self.parameters.warm_up.as_secs_f64();
         let initial = self.parameters.initial_capacity;
@@ -64,7 +66,8 @@
         self.history.arrivals.values().filter(move |arrival| arrival.at >= from && arrival.at < to)
     }
 
-    /// What one server of the role would get of an even share within one overload window, measured around that time.
+    /// Returns the number of requests that a server would get within one overload window if all servers of its role got
+    /// the same share, measured around the time `at`.
     fn even_share(&self, server: usize, at: Time) -> f64 {
         let role = server % 2;
         let from = at.saturating_sub(SHARE_WINDOW / 2);
@@ -75,7 +78,7 @@
         count as f64 / servers as f64 * window.as_secs_f64() / SHARE_WINDOW.as_secs_f64()
     }
 
-    /// Whether the sending gateway's discovery agent knew of a start.
+    /// Returns whether the discovery agent of the sending gateway knew of a server start when the request arrived.
     fn knew_of(&self, start: &ServerStart, arrival: &Arrival) -> bool {
         let view = EndpointView { gateway: arrival.gateway, server: start.server };
         let updates = self.history.endpoint_updates.get(&view);
--- a/soak/src/oracle/startup.rs
+++ b/soak/src/oracle/startup.rs
@@ -1,10 +1,10 @@
-//! Rule `ready`: restarted processes are ready in time.
+//! Rule `ready`: restarted gateway processes are ready in time.
 
 use super::{Oracle, Rule, Violation};
 use std::time::Duration;
 
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
-/// This share of restarts may take longer.
+/// The maximum share of restarts that may take longer than [`MAX_STARTUP_TIME`].
 const MAX_LATE_SHARE: f64 = 0.1;
 
 impl Oracle<'_> {
--- a/soak/src/oracle/stream_delays.rs
+++ b/soak/src/oracle/stream_delays.rs
@@ -1,11 +1,11 @@
-//! Rule `events`: events of streams are forwarded at once.
+//! Rule `events`: gateways forward the events of streams without delay.
 
 use super::history::Request;
 use super::{Oracle, Rule, Violation};
 
-/// This share of streams may have a late event.
+/// The share of streams that may have a late event.
 const MAX_LATE_SHARE: f64 = 0.05;
-/// So many streams may have one beyond that share.
+/// The number of streams that may have a late event in addition to that share.
 const LATE_STREAM_SLACK: f64 = 3.0;
 
 impl Oracle<'_> {
@@ -22,7 +22,7 @@
             at: self.history.end,
             request: None,
             process: None,
-            description: format!("{late} of {} streams had an event held back", streams.len()),
+            description: format!("{late} of {} streams had a late event", streams.len()),
         });
     }
 }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -1,6 +1,6 @@
-//! The record of a run: what was observed on sockets and which faults were injected, all on one clock.
+//! The record of a run: the observations on sockets and the injected faults, all timed by one clock.
 //!
-//! The oracle judges from this record alone.
+//! The oracle uses no other input.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -15,7 +15,7 @@
 pub struct Process {
     /// The gateway's number.
     pub gateway: usize,
-    /// Counts the gateway's processes from one.
+    /// The number of the process among the gateway's processes, starting at one.
     pub run: usize,
 }
 
@@ -23,19 +23,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Exchange(pub u64);
 
-/// How often a request may be executed.
+/// The idempotency class of a request: how often the request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// Any number of times.
     Idempotent,
     /// At most once.
     AtMostOnce,
-    /// Servers of one zone recognize a retry by its idempotency key, for a limited time.
+    /// At most once. The request may be retried within one zone for a limited time, in which the servers of the zone
+    /// recognize the retry by its idempotency key.
     Keyed,
 }
 
 impl fmt::Display for Class {
-    /// Writes the word that reports use.
+    /// Writes the name that reports use.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Class::Idempotent => "Repeatable",
@@ -48,27 +49,27 @@
 /// The step of a request that a model server executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Processes prompts.
+    /// Processes the prompt.
     Prefill,
-    /// Generates answers.
+    /// Generates the response.
     Decode,
 }
 
-/// How an exchange ended, as its server saw it.
+/// The end of an exchange as its server saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeOutcome {
-    /// The server sent a complete response, of whatever status.
+    /// The server sent a complete response with any status.
     Completed,
-    /// The server rejected the request with the header that proves that nothing was executed.
+    /// The server rejected the request with the response header that proves that nothing was executed.
     Declined,
     /// The server or the network broke the connection.
     Broken,
-    /// The gateway closed the connection, or its sending half.
+    /// The gateway closed the connection or the gateway's sending half of the connection.
     Abandoned,
 }
 
 impl fmt::Display for ExchangeOutcome {
-    /// Writes the word that reports use.
+    /// Writes the name that reports use.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             ExchangeOutcome::Completed => "Answered",
@@ -79,24 +80,24 @@
     }
 }
 
-/// How a request ended, as its client saw it.
+/// The end of a request as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// A complete response of this status.
+    /// The client read a complete response with this status.
     Complete(u16),
-    /// The response ended before its end was announced.
+    /// The client could not read the response to its end.
     Truncated,
     /// The connection ended before the first byte of a response.
     NoResponse {
-        /// Whether the connection had served a request before.
+        /// Whether the connection had served an earlier request.
         reused: bool,
     },
-    /// Nothing arrived for a long time.
+    /// The client received no data within its read timeout.
     TimedOut,
 }
 
 impl fmt::Display for ClientOutcome {
-    /// Writes the words that reports use.
+    /// Writes the text that reports use.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClientOutcome::Complete(status) => write!(formatter, "Whole({status})"),
@@ -112,9 +113,9 @@
 pub enum EndpointStatus {
     /// Accepts new requests.
     Active,
-    /// Listed, but accepts no new requests.
+    /// Is listed, but accepts no new requests.
     Draining,
-    /// Not listed.
+    /// Is not listed.
     Removed,
 }
 
@@ -125,13 +126,13 @@
     RequestSent {
         /// The request.
         request: u64,
-        /// The process that received it.
+        /// The gateway process that the client was connected to.
         process: Process,
-        /// How often it may be executed.
+        /// The idempotency class of the request.
         class: Class,
-        /// How long its client waits.
+        /// The deadline that the client announces, as a remaining time.
         deadline: Duration,
-        /// When its first byte was written.
+        /// The time at which the client started to write the request.
         started_at: Time,
     },
     /// A client read the first byte of a response.
@@ -139,11 +140,11 @@
         /// The request.
         request: u64,
     },
-    /// A client has its response, or the end of its connection.
+    /// A client read a whole response, reached the end of its connection, or timed out.
     ResponseEnded {
         /// The request.
         request: u64,
-        /// What the client saw.
+        /// The end of the request as the client saw it.
         outcome: ClientOutcome,
     },
     /// A client closed its connection without waiting for the response.
@@ -155,19 +156,19 @@
     StreamEventReceived {
         /// The request.
         request: u64,
-        /// How long the event was in transit.
+        /// The time that the event was in transit.
         delay: Duration,
     },
-    /// A client that sent an invalid request has finished.
+    /// A client that sent an invalid request finished.
     InvalidRequestFinished {
-        /// The process that received it.
+        /// The gateway process that the client was connected to.
         process: Process,
-        /// Whether an error or a close arrived in time.
+        /// Whether the client read a response or the end of the connection in time.
         answered: bool,
-        /// Whether the request was served.
+        /// Whether the gateway served the request: the response has status 200.
         served: bool,
     },
-    /// A running model server has the last byte of a request.
+    /// A model server that is running has read the last byte of a request.
     ExchangeStarted {
         /// The exchange.
         exchange: Exchange,
@@ -175,22 +176,23 @@
         request: u64,
         /// The model server.
         server: usize,
-        /// The step that it executes.
+        /// The step that the model server executes.
         role: Role,
-        /// The gateway that sent it.
+        /// The gateway that sent the request.
         gateway: usize,
-        /// When its first byte was read.
+        /// The time at which the first byte of the request was read.
         started_at: Time,
-        /// When its last byte had reached the server's host; the server may have been stopped then, and have it later.
+        /// The time at which the last byte of the request reached the server's host. A server process that is stopped
+        /// at that time reads the request later.
         received_at: Time,
-        /// The time left, as the server was notified.
+        /// The deadline that the gateway sent to the server, as a remaining time.
         deadline: Duration,
     },
     /// An exchange ended.
     ExchangeEnded {
         /// The exchange.
         exchange: Exchange,
-        /// How it ended.
+        /// The end of the exchange as the server saw it.
         outcome: ExchangeOutcome,
     },
     /// A model server reserved KV cache for a request.
@@ -212,44 +214,44 @@
         /// The model server.
         server: usize,
     },
-    /// A gateway's discovery agent has a new state of a model server.
+    /// A gateway's discovery agent received a new state of a model server.
     EndpointUpdated {
         /// The gateway.
         gateway: usize,
         /// The model server.
         server: usize,
-        /// Its state.
+        /// The state of the model server.
         status: EndpointStatus,
     },
-    /// A gateway's discovery agent stopped responding, or responds again.
+    /// A gateway's discovery agent stopped responding or resumed responding.
     DiscoveryAvailability {
         /// The gateway.
         gateway: usize,
-        /// Whether it responds.
+        /// Whether the agent responds.
         available: bool,
     },
     /// A gateway's discovery agent delays its responses from now on.
     DiscoveryDelayed {
         /// The gateway.
         gateway: usize,
-        /// The delay; zero ends it.
+        /// The delay; zero if responses are no longer delayed.
         delay: Duration,
     },
-    /// A gateway's outgoing connections break from now on, or do so no more.
+    /// A fault that breaks a gateway's outgoing connections began or ended.
     ConnectionsBreaking {
         /// The gateway.
         gateway: usize,
-        /// Whether they break.
+        /// Whether the fault began.
         active: bool,
     },
-    /// Links to model servers were cut, or restored.
+    /// Network links to model servers were cut or restored.
     LinksCut {
         /// The model servers.
         servers: Vec<usize>,
-        /// Whether they are cut.
+        /// Whether the links are cut.
         cut: bool,
     },
-    /// A gateway's open discovery polls will never be answered.
+    /// The open polls of a gateway at its discovery agent were stalled: the agent never answers these polls.
     WatchesStalled {
         /// The gateway.
         gateway: usize,
@@ -263,10 +265,10 @@
     ProcessReady {
         /// The process.
         process: Process,
-        /// How long its start took.
+        /// The time from the spawn of the process to the first health check that passed.
         startup_time: Duration,
     },
-    /// A gateway process did not become ready.
+    /// A gateway process did not become ready: the process exited or timed out.
     ProcessNotReady {
         /// The process.
         process: Process,
@@ -286,27 +288,27 @@
         /// The process.
         process: Process,
     },
-    /// A gateway process ended by itself.
+    /// A gateway process exited without being killed.
     ProcessExited {
         /// The process.
         process: Process,
-        /// Whether it reported success.
+        /// Whether the exit status is success.
         clean: bool,
     },
     /// A fault began or ended.
     Fault {
-        /// The kind, by its name in reports.
+        /// The name of the fault's kind in reports.
         kind: String,
-        /// The gateway that it was drawn for.
+        /// The gateway that was drawn for the fault.
         gateway: usize,
         /// Identifies the fault within the run.
         number: usize,
-        /// Whether it began.
+        /// Whether the fault began.
         began: bool,
     },
-    /// The soak itself was delayed.
+    /// The scheduling of the soak's own tasks was delayed.
     SchedulingDelay {
-        /// By how much.
+        /// The duration of the delay.
         delay: Duration,
     },
 }
@@ -325,18 +327,18 @@
 }
 
 impl Record {
-    /// Time since the start of the run.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Time {
         self.started.elapsed()
     }
 
-    /// Appends an event, as of now.
+    /// Appends an event with the current time.
     pub fn write(&self, event: Event) {
         let now = self.now();
         self.events.borrow_mut().push((now, event));
     }
 
-    /// A copy of all events so far.
+    /// Returns a copy of all recorded events.
     pub fn events(&self) -> Vec<(Time, Event)> {
         self.events.borrow().clone()
     }
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a run: counts, violations, and a timeline of what led to them.
+//! The report of a run: counts, violations, and timelines of the events that led to the violations.
 
 use crate::oracle::{RULES, Rule, Violation};
 use crate::record::{ClientOutcome, Event, Time};
@@ -7,39 +7,39 @@
 use std::time::Duration;
 
 const MAX_TIMELINE_LINES: usize = 60;
-/// A timeline shows this much before a violation.
+/// The time before a violation that a timeline shows.
 const TIMELINE_BEFORE: Duration = Duration::from_secs(3);
-/// A timeline shows this much after a violation.
+/// The time after a violation that a timeline shows.
 const TIMELINE_AFTER: Duration = Duration::from_secs(1);
-/// So many violations of a rule are printed.
-const MAX_VIOLATIONS: usize = 3;
+/// The maximum number of violations that are printed for a rule.
+const MAX_PRINTED_VIOLATIONS: usize = 3;
 
-/// Two kinds of faults, in the order of their names.
+/// Two kinds of faults, in the alphabetical order of their names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FaultPair {
-    /// The name that is first in order.
+    /// The name that comes first.
     pub first: String,
-    /// The other name.
+    /// The name that comes second.
     pub second: String,
 }
 
-/// What came of a run.
+/// The results of a run.
 pub struct Report {
-    /// Requests that gateways accepted, each as often as it was sent.
+    /// The number of requests that clients sent to gateways; a request that was sent twice counts twice.
     pub requests: usize,
-    /// Complete responses with status 200.
+    /// The number of complete responses with status 200.
     pub served: usize,
-    /// Injected faults.
+    /// The number of injected faults.
     pub faults: usize,
-    /// How often faults of two kinds overlapped.
+    /// The number of overlaps in time, by the kinds of the two faults.
     pub overlaps: BTreeMap<FaultPair, usize>,
-    /// Breaches of rules, in the order of time.
+    /// The violations of rules, ordered by time.
     pub violations: Vec<Violation>,
     events: Vec<(Time, Event)>,
 }
 
 impl Report {
-    /// Counts what a record shows.
+    /// Creates the report from the violations and the recorded events of a run.
     pub(crate) fn new(violations: Vec<Violation>, events: Vec<(Time, Event)>) -> Report {
         let count = |matches: fn(&Event) -> bool| events.iter().filter(|(_, event)| matches(event)).count();
         Report {
@@ -54,10 +54,12 @@
         }
     }
 
-    /// One line of JSON: counts, and violations by rule.
+    /// Returns the counts, and the number of violations of each rule, as one line of JSON.
     pub fn json(&self) -> String {
-        let by_rule: serde_json::Map<String, serde_json::Value> =
-            RULES.iter().map(|(rule, name)| ((*name).to_owned(), self.of_rule(*rule).len().into())).collect();
+        let by_rule: serde_json::Map<String, serde_json::Value> = RULES
+            .iter()
+            .map(|(rule, name)| ((*name).to_owned(), self.violations_of(*rule).len().into()))
+            .collect();
         serde_json::json!({
             "requests": self.requests,
             "served": self.served,
@@ -68,18 +70,18 @@
         .to_string()
     }
 
-    /// The first violations of each rule, with a timeline of what led to the first.
+    /// Returns a text with the first violations of each rule and a timeline of the events around the first violation.
     pub fn explain(&self, seed: u64, folder: &Path) -> String {
         let mut text = String::new();
         for (rule, name) in RULES {
-            let violations = self.of_rule(rule);
+            let violations = self.violations_of(rule);
             let Some(first) = violations.first() else { continue };
             text.push_str(&format!(
                 "{name}: {} times; seed {seed}, logs in {}\n",
                 violations.len(),
                 folder.display()
             ));
-            for violation in violations.iter().take(MAX_VIOLATIONS) {
+            for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
                 text.push_str(&format!(
                     "  at {:?}, request {}, {:?}: {}\n",
                     violation.at,
@@ -93,11 +95,11 @@
         text
     }
 
-    fn of_rule(&self, rule: Rule) -> Vec<&Violation> {
+    fn violations_of(&self, rule: Rule) -> Vec<&Violation> {
         self.violations.iter().filter(|violation| violation.rule == rule).collect()
     }
 
-    /// What happened to a violation's request, and the faults around it.
+    /// Returns the timeline around a violation: the events of the violation's request, and faults.
     fn timeline(&self, violation: &Violation) -> String {
         let from = violation.at.saturating_sub(TIMELINE_BEFORE);
         let to = violation.at + TIMELINE_AFTER;
@@ -139,7 +141,7 @@
     }
 }
 
-/// An event in the words that reports use.
+/// Returns the text of an event in reports.
 fn timeline_entry(event: &Event) -> String {
     match event {
         Event::RequestSent { request, process, class, deadline, started_at } => format!(
@@ -175,7 +177,7 @@
     }
 }
 
-/// How often faults of two kinds overlapped in time.
+/// Counts the overlaps in time between faults, by the kinds of the two faults.
 fn overlaps(events: &[(Time, Event)]) -> BTreeMap<FaultPair, usize> {
     let mut active: BTreeMap<usize, &String> = BTreeMap::new();
     let mut pairs = BTreeMap::new();
