--- a/grpc-api/build.rs
+++ b/grpc-api/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the service definition, in Rust alone: no protoc is needed.
+//! Compiles the service definition with a compiler written in Rust, so that protoc is not needed.
 
 use prost::Message;
 use std::path::PathBuf;
--- a/grpc-api/examples/ask.py
+++ b/grpc-api/examples/ask.py
@@ -1,7 +1,9 @@
-"""Asks a gateway by gRPC; everything about the service is found by reflection.
+"""Sends one chat request to a gateway by gRPC, and prints the streamed answer.
+
+The definition of the service comes from the gateway's reflection service.
 
     pip install grpcio grpcio-reflection
-    python3 grpc/examples/ask.py ADDRESS
+    python3 grpc-api/examples/ask.py ADDRESS
 """
 
 import sys, grpc
@@ -15,8 +17,8 @@
 stream = service.methods_by_name["Stream"]
 Request, Event = GetMessageClass(stream.input_type), GetMessageClass(stream.output_type)
 call = channel.unary_stream(f"/{service.full_name}/Stream", Request.SerializeToString, Event.FromString)
-asked = Request(model="rider-query", max_tokens=20)
-asked.messages.add(role="ROLE_USER", text="Why did my unlock fail?")
-for event in call(asked, timeout=10):
+request = Request(model="rider-query", max_tokens=20)
+request.messages.add(role="ROLE_USER", text="Why did my unlock fail?")
+for event in call(request, timeout=10):
     print(event.text, end="", flush=True)
 print()
--- a/grpc-api/src/chat.rs
+++ b/grpc-api/src/chat.rs
@@ -1,4 +1,4 @@
-//! One chat call: received, decoded, admitted by the gateway, answered.
+//! Handles a chat call: receives and decodes its request, passes the request to the gateway and sends the answer.
 
 use crate::error::RpcError;
 use crate::message::{self, RequestStream};
@@ -16,7 +16,7 @@
 use petrelshore_ingress::metadata;
 use v1::chat_event::Event;
 
-/// Answers a chat call, streamed or buffered.
+/// Answers a chat call with a streamed or a buffered answer.
 pub async fn chat(
     responder: &mut Responder,
     arrived_at: Nanos,
@@ -33,13 +33,14 @@
     let request: v1::ChatRequest = responder.receive_only(&mut requests).await?;
     let call = request::decode(request, relay)?;
     let client = responder.connection().client.client;
-    let ask = CallContext { settings, metadata: &metadata, tenant, client, arrived_at }.prepare(call)?;
+    let generation_request =
+        CallContext { settings, metadata: &metadata, tenant, client, arrived_at }.prepare(call)?;
     drop(requests);
-    // A reset that came with the request must be seen before the call causes any work.
+    // The connection's task must process a reset that arrived with the request before the call causes any work.
     future::yield_now().await;
     responder.ensure_connected()?;
-    let model = ask.request.model.to_string();
-    let answer = gateway.accept(ask)?;
+    let model = generation_request.request.model.to_string();
+    let answer = gateway.accept(generation_request)?;
     let id = format!("{:016x}", answer.id().0);
     let begun = v1::Begun { id, model, created: unix_seconds(arrived_at) as i64 };
     match relay {
@@ -48,16 +49,16 @@
     }
 }
 
-/// Sends texts as they come; those that are there together go out together.
+/// Sends texts as they arrive. Texts that are available at the same time are sent together.
 async fn send_streamed(
     responder: &mut Responder,
     mut answer: Answer,
     begun: v1::Begun,
 ) -> Result<(), RpcError> {
-    // The head waits for the first token: a call that is rejected must not look as if it had begun.
+    // The head waits for the first token, since a rejected call must not look as if its answer had begun.
     let mut next = responder.unless_disconnected(answer.next()).await?;
-    if let Some(AnswerItem::FinalAnswer(last)) = &next
-        && let Some(response) = ErrorResponse::from_final_answer(last)
+    if let Some(AnswerItem::FinalAnswer(final_answer)) = &next
+        && let Some(response) = ErrorResponse::from_final_answer(final_answer)
     {
         return Err(response.into());
     }
@@ -65,10 +66,10 @@
     let mut buffer = BytesMut::new();
     message::append(&mut buffer, &event(Event::Begun(begun)));
     loop {
-        let last = encode_available(&mut buffer, next, &mut answer);
+        let final_answer = encode_available(&mut buffer, next, &mut answer);
         responder.send(buffer.split().freeze(), Some(&mut answer)).await?;
-        if let Some(last) = last {
-            return match ErrorResponse::from_final_answer(&last) {
+        if let Some(final_answer) = final_answer {
+            return match ErrorResponse::from_final_answer(&final_answer) {
                 Some(response) => Err(response.into()),
                 None => Ok(()),
             };
@@ -80,7 +81,7 @@
     }
 }
 
-/// Encodes `next` and whatever else has been received by now. Returns the final answer if that was among it.
+/// Encodes `next` and all further items that are available. Returns the final answer if it is among them.
 fn encode_available(
     buffer: &mut BytesMut,
     mut next: Option<AnswerItem>,
@@ -89,13 +90,13 @@
     while let Some(received) = next {
         match received {
             AnswerItem::Text(text) => message::append(buffer, &event(Event::Text(text))),
-            AnswerItem::FinalAnswer(last) => {
-                if let FinalAnswer::Completed { finish_reason, usage } = &last {
+            AnswerItem::FinalAnswer(final_answer) => {
+                if let FinalAnswer::Completed { finish_reason, usage } = &final_answer {
                     let usage = Some(usage_message(*usage));
                     let end = v1::End { finish_reason: finish_reason.clone(), usage };
                     message::append(buffer, &event(Event::End(end)));
                 }
-                return Some(last);
+                return Some(final_answer);
             }
         }
         next = answer.try_next();
@@ -103,7 +104,7 @@
     None
 }
 
-/// Collects the complete answer before anything of it is sent.
+/// Collects the complete answer before any of it is sent.
 async fn send_buffered(
     responder: &mut Responder,
     mut answer: Answer,
@@ -120,7 +121,7 @@
                 let answer = v1::ChatAnswer { id, model, created, text, finish_reason, usage };
                 return responder.send(message::encode(&answer), None).await;
             }
-            Some(AnswerItem::FinalAnswer(last)) => return Err(RpcError::from_final_answer(&last)),
+            Some(AnswerItem::FinalAnswer(failure)) => return Err(RpcError::from_final_answer(&failure)),
             None => return Err(RpcError::aborted(FailureReason::StreamBroken)),
         }
     }
--- a/grpc-api/src/connection.rs
+++ b/grpc-api/src/connection.rs
@@ -1,4 +1,5 @@
-//! One client's HTTP/2 connection: calls accepted, abuse and idleness acted on, shut down gracefully.
+//! Serves the HTTP/2 connections of clients: accepts calls, closes a connection on abuse or when it is idle, and shuts
+//! it down gracefully when the gateway drains.
 
 use crate::dispatch;
 use crate::frame_observer::{FrameObserver, PeerState};
@@ -23,17 +24,17 @@
 use tracing::debug;
 
 const MAX_HEADER_LIST_BYTES: u32 = 32 << 10;
-/// What a client may send on a connection before it is read, over all its calls.
+/// The maximum number of unread bytes that a client may send on a connection, over all its calls.
 const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
-/// What is buffered of one call for a client that does not read.
+/// The maximum number of bytes buffered for one call whose client does not read.
 const MAX_SEND_BUFFER_BYTES: usize = 16 << 10;
-/// The last frames of a connection must be written within this.
+/// The maximum time to write the last frames of a connection.
 const GOAWAY_TIMEOUT: Duration = Duration::from_secs(2);
 
 type Socket = Compat<FrameObserver<StallGuard>>;
 type Http2Connection = Connection<Socket, Bytes>;
 
-/// Serves clients for as long as it is polled. Connections run on the gateway's executor.
+/// Serves clients for as long as the future is polled. Connections run on the gateway's executor.
 pub async fn serve(listener: Listener, ingress: Ingress) {
     let (gateway, descriptors) = (ingress.gateway.clone(), Rc::new(DescriptorIndex::new()));
     let connected =
@@ -41,7 +42,8 @@
     ingress.serve(listener, connected, reject).await;
 }
 
-/// Rejects a connection over the limit: a GOAWAY before any call, so that the client knows that none was processed.
+/// Rejects a connection that exceeds the limit, with a GOAWAY frame before any call. The frame tells the client that no
+/// call was processed.
 async fn reject(mut stream: TcpStream) {
     const SETTINGS: [u8; 9] = [0, 0, 0, 4, 0, 0, 0, 0, 0];
     const ENHANCE_YOUR_CALM: u8 = 11;
@@ -80,7 +82,7 @@
     future::or(handshake, expired).await
 }
 
-/// What happens next on a connection.
+/// An event of a connection, which `run` handles.
 enum ConnectionEvent {
     Call(Box<Request<RecvStream>>, SendResponse<Bytes>),
     DrainingStarted,
@@ -109,7 +111,7 @@
                 context.gateway.spawner().run(dispatch::handle(stream, *request, respond));
             }
             ConnectionEvent::DrainingStarted => {
-                // Calls in flight are completed; a GOAWAY sends new ones to another gateway.
+                // Calls in flight are completed. The GOAWAY frame makes the client send new calls to another gateway.
                 draining = true;
                 http2.graceful_shutdown();
             }
@@ -127,7 +129,7 @@
     }
 }
 
-/// Drives the connection until something has to be done.
+/// Drives the connection until the next event.
 async fn next_event(
     context: &ConnectionContext,
     http2: &mut Http2Connection,
@@ -138,7 +140,7 @@
     let mut timer = Timer::at(clock.instant(deadline));
     std::future::poll_fn(|task| {
         if let Some(pings) = pings {
-            // The frame observer notes that the peer answered.
+            // The pong is dropped here, since the frame observer has recorded the peer's answer.
             let _ = pings.poll_pong(task);
         }
         let accepted = http2.poll_accept(task);
@@ -169,7 +171,7 @@
     if action == Some(KeepaliveAction::Ping)
         && let Some(pings) = pings
     {
-        // This fails while an earlier ping is unanswered, which serves as well as a new one.
+        // Sending fails while an earlier ping is unanswered, and that ping serves as well as a new one.
         let _ = pings.send_ping(Ping::opaque());
     }
     action
--- a/grpc-api/src/dispatch.rs
+++ b/grpc-api/src/dispatch.rs
@@ -65,6 +65,6 @@
 }
 
 fn unknown_method(path: &str) -> RpcError {
-    let message = format!("there is nothing at {}", truncated(path));
+    let message = format!("unknown method: {}", truncated(path));
     RequestError::new(RequestErrorKind::UnknownMethod, message).into()
 }
--- a/grpc-api/src/error.rs
+++ b/grpc-api/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call fails.
+//! The error that ends a call.
 
 use petrelshore_chat_gateway::FinalAnswer;
 use petrelshore_gateway_core::FailureReason;
@@ -7,24 +7,24 @@
 use std::fmt;
 use tonic::Status;
 
-/// Why a call ends without an answer.
+/// The reason that a call ends without a complete answer.
 #[derive(Debug)]
 pub enum RpcError {
-    /// It is invalid, or the gateway did not answer it.
+    /// The request is invalid, or the gateway rejected or aborted the call.
     Call(CallError),
-    /// An error that only this protocol has.
+    /// An error that exists only in gRPC.
     Status(Status),
-    /// The client has reset the stream or disconnected: no status can be sent.
+    /// The client has reset the stream or disconnected, so no status can be sent.
     ClientDisconnected,
 }
 
 impl RpcError {
-    /// The gateway gave up a call that may have run.
+    /// The error of a call that was aborted after it may have run.
     pub fn aborted(reason: FailureReason) -> Self {
         ErrorResponse { cause: ErrorCause::Aborted(reason), retry: Retry::Never }.into()
     }
 
-    /// The error of a final answer that came in place of a complete one.
+    /// The error of a final answer that is a rejection or an abort.
     pub fn from_final_answer(answer: &FinalAnswer) -> Self {
         ErrorResponse::from_final_answer(answer)
             .map_or_else(|| RpcError::aborted(FailureReason::StreamBroken), RpcError::from)
--- a/grpc-api/src/frame_observer.rs
+++ b/grpc-api/src/frame_observer.rs
@@ -1,7 +1,7 @@
 //! A socket that observes which HTTP/2 frames the peer sends, for abuse detection and flow control.
 //!
-//! The HTTP/2 library answers pings and settings by itself and reports none of it. Only frame headers are parsed here,
-//! and the few bytes of window updates; the library parses everything again and validates it.
+//! The HTTP/2 library answers pings and settings without reporting them. The observer parses only frame headers and the
+//! increments of window updates. The library itself parses and validates all frames.
 
 use event_listener::Event;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -15,12 +15,12 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The connection preface: a client's first bytes, before any frame.
+/// Length of the connection preface, which a client sends before its first frame.
 const PREFACE_BYTES: usize = 24;
 const FRAME_HEADER_BYTES: usize = 9;
 const WINDOW_INCREMENT_BYTES: usize = 4;
-/// Stream ids and window increments have 31 bits; the highest is reserved.
-const RESERVED_BIT_MASK: u32 = 0x7fff_ffff;
+/// Stream ids and window increments have 31 bits; the highest of the 32 bits is reserved.
+const U31_MASK: u32 = 0x7fff_ffff;
 
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
@@ -28,22 +28,22 @@
 const SETTINGS: u8 = 4;
 const PING: u8 = 6;
 const WINDOW_UPDATE: u8 = 8;
-const ACK: u8 = 1;
+const ACK_FLAG: u8 = 1;
 
-/// What is known of one connection's peer.
+/// The abuse detection and flow control of one connection, which the frames from its peer update.
 pub struct PeerState {
-    /// Tells the time of each frame.
+    /// The clock that gives the time of each frame.
     pub clock: Clock,
-    /// Judges which frames the peer sends, and how often.
+    /// Limits how often the peer may send each kind of frame.
     pub abuse: RefCell<AbuseDetector>,
-    /// How the connection's window is shared among its streams.
+    /// Limits each stream's share of the connection's flow-control window.
     pub flow_control: RefCell<FlowControl>,
     /// Notified when the peer has sent a window update.
     pub window_updated: Event,
 }
 
 impl PeerState {
-    /// The state of a new connection that may have so many streams.
+    /// Creates the state of a new connection that may have up to `max_streams` streams.
     pub fn new(clock: Clock, max_streams: usize) -> Self {
         PeerState {
             clock,
@@ -63,19 +63,19 @@
 }
 
 fn classify(frame: &Frame) -> PeerFrame {
-    match (frame.kind, frame.flags & ACK) {
+    match (frame.kind, frame.flags & ACK_FLAG) {
         (DATA, _) if frame.length > 0 => PeerFrame::Call,
         (HEADERS, _) => PeerFrame::Call,
         (RST_STREAM, _) => PeerFrame::Reset,
-        // Acknowledging our own frames is no abuse.
-        (SETTINGS | PING, ACK) => PeerFrame::Call,
+        // Acknowledgements of the gateway's own frames are not limited.
+        (SETTINGS | PING, ACK_FLAG) => PeerFrame::Call,
         (SETTINGS, _) => PeerFrame::Settings,
         (PING, _) => PeerFrame::Ping,
         _ => PeerFrame::Small,
     }
 }
 
-/// A socket that updates a connection's [`PeerState`] by the frames read from it.
+/// A socket that updates a connection's [`PeerState`] from the frames that are read from the peer.
 pub struct FrameObserver<S> {
     stream: S,
     peer_state: Rc<PeerState>,
@@ -83,7 +83,7 @@
 }
 
 impl<S> FrameObserver<S> {
-    /// Observes a socket from which nothing has been read.
+    /// Wraps a socket from which nothing has been read yet.
     pub fn new(stream: S, peer_state: Rc<PeerState>) -> Self {
         FrameObserver { stream, peer_state, parser: FrameParser::new() }
     }
@@ -93,7 +93,7 @@
     fn poll_read(mut self: Pin<&mut Self>, context: &mut Context<'_>, buf: &mut [u8]) -> Poll<Result<usize>> {
         let peer_state = self.peer_state.clone();
         if peer_state.abuse.borrow().detected().is_some() {
-            // Nothing more is read: the connection's task is about to close it.
+            // Nothing more is read, since the connection's task is about to close the connection.
             return Poll::Pending;
         }
         let read = Pin::new(&mut self.stream).poll_read(context, buf);
@@ -119,7 +119,7 @@
     }
 }
 
-/// A frame's header, and the increment of a window update.
+/// The header of a frame and, for a window update, its increment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Frame {
     length: usize,
@@ -129,9 +129,9 @@
     increment: Option<u32>,
 }
 
-/// Finds frames in bytes that arrive in pieces of any size.
+/// Parses frames from bytes that arrive in chunks of any size.
 struct FrameParser {
-    /// Bytes to skip before the next frame header.
+    /// Number of bytes to skip before the next frame header.
     skip: usize,
     buffer: [u8; FRAME_HEADER_BYTES + WINDOW_INCREMENT_BYTES],
     buffered: usize,
@@ -146,7 +146,7 @@
         }
     }
 
-    fn parse(&mut self, mut bytes: &[u8], mut found: impl FnMut(&Frame)) {
+    fn parse(&mut self, mut bytes: &[u8], mut on_frame: impl FnMut(&Frame)) {
         while !bytes.is_empty() {
             if self.skip > 0 {
                 let skipped = self.skip.min(bytes.len());
@@ -156,14 +156,15 @@
             }
             bytes = self.fill(bytes);
             if let Some(frame) = self.frame() {
-                found(&frame);
+                on_frame(&frame);
                 self.skip = if frame.increment.is_some() { 0 } else { frame.length };
                 self.buffered = 0;
             }
         }
     }
 
-    /// Takes what is missing of a frame header, or of the increment after it; returns the rest.
+    /// Copies the missing bytes of a frame header, or of the increment after the header, to the buffer. Returns the
+    /// remaining bytes.
     fn fill<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let wanted = if self.buffered < FRAME_HEADER_BYTES { FRAME_HEADER_BYTES } else { self.buffer.len() };
         let (taken, rest) = bytes.split_at((wanted - self.buffered).min(bytes.len()));
@@ -172,7 +173,7 @@
         rest
     }
 
-    /// The frame in the buffer, once as much of it is there as is needed.
+    /// The frame in the buffer; none until its header and, for a window update, its increment are complete.
     fn frame(&self) -> Option<Frame> {
         let buffer = &self.buffer;
         let length = usize::from(buffer[0]) << 16 | usize::from(buffer[1]) << 8 | usize::from(buffer[2]);
@@ -186,14 +187,14 @@
             length,
             kind,
             flags: buffer[4],
-            stream: self.number_at(5),
-            increment: is_window_update.then(|| self.number_at(FRAME_HEADER_BYTES)),
+            stream: self.u31_at(5),
+            increment: is_window_update.then(|| self.u31_at(FRAME_HEADER_BYTES)),
         })
     }
 
-    fn number_at(&self, at: usize) -> u32 {
+    fn u31_at(&self, at: usize) -> u32 {
         let bytes = [self.buffer[at], self.buffer[at + 1], self.buffer[at + 2], self.buffer[at + 3]];
-        u32::from_be_bytes(bytes) & RESERVED_BIT_MASK
+        u32::from_be_bytes(bytes) & U31_MASK
     }
 }
 
--- a/grpc-api/src/frame_observer/tests.rs
+++ b/grpc-api/src/frame_observer/tests.rs
@@ -20,7 +20,11 @@
         let mut seen = Vec::new();
         bytes.chunks(size).for_each(|part| parser.parse(part, |frame| seen.push(*frame)));
         let kinds: Vec<(u8, u32, usize)> = seen.iter().map(|f| (f.kind, f.stream, f.length)).collect();
-        assert_eq!(kinds, [(4, 0, 12), (8, 3, 4), (0, 3, 300), (6, 0, 8), (3, 3, 4)], "in pieces of {size}");
+        assert_eq!(
+            kinds,
+            [(4, 0, 12), (8, 3, 4), (0, 3, 300), (6, 0, 8), (3, 3, 4)],
+            "in chunks of {size} bytes"
+        );
         assert_eq!(seen[1].increment, Some(500));
     }
 }
--- a/grpc-api/src/health.rs
+++ b/grpc-api/src/health.rs
@@ -1,4 +1,4 @@
-//! The published health service: whether this gateway accepts calls.
+//! The standard gRPC health service, which reports whether this gateway can serve calls.
 
 use crate::SERVICE;
 use async_io::Timer;
@@ -9,10 +9,10 @@
 use tonic_health::pb::HealthCheckResponse;
 use tonic_health::pb::health_check_response::ServingStatus;
 
-/// Changes without a notification, as of the list of servers, are polled for this often.
+/// Interval at which the status is polled, since changes of the list of servers send no notification.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The status of a service: of the gateway itself, by the empty name, or of the chat service.
+/// The status of the gateway itself, under the empty name, or of the chat service; none for any other service.
 fn serving_status(gateway: &Gateway, service: &str) -> Option<ServingStatus> {
     match service {
         "" | SERVICE if gateway.is_draining() || gateway.servers() == 0 => Some(ServingStatus::NotServing),
@@ -21,24 +21,27 @@
     }
 }
 
-/// The status of a service now.
+/// The current status of a service, or an error if the service is unknown.
 pub fn check(gateway: &Gateway, service: &str) -> Result<HealthCheckResponse, Status> {
-    let status =
-        serving_status(gateway, service).ok_or_else(|| Status::not_found("there is no such service here"))?;
+    let status = serving_status(gateway, service).ok_or_else(|| Status::not_found("unknown service"))?;
     Ok(HealthCheckResponse { status: status.into() })
 }
 
-/// Returns once the status of a service differs from `last`.
-pub async fn next_change(gateway: &Gateway, service: &str, last: Option<ServingStatus>) -> ServingStatus {
+/// Returns the status of a service once it differs from `last_status`.
+pub async fn next_change(
+    gateway: &Gateway,
+    service: &str,
+    last_status: Option<ServingStatus>,
+) -> ServingStatus {
     loop {
         let status = serving_status(gateway, service).unwrap_or(ServingStatus::ServiceUnknown);
-        if Some(status) != last {
+        if Some(status) != last_status {
             return status;
         }
         let poll_timer = async {
             Timer::after(STATUS_POLL_INTERVAL).await;
         };
-        // Once the gateway is draining, waiting for that returns at once.
+        // While the gateway is draining, `wait_until_draining` returns at once and would make this a busy loop.
         match gateway.is_draining() {
             true => poll_timer.await,
             false => future::or(gateway.wait_until_draining(), poll_timer).await,
--- a/grpc-api/src/message.rs
+++ b/grpc-api/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages on a stream, each with a prefix: a compression flag and its length.
+//! gRPC messages on a stream. Each message has a prefix of a compression flag and the message's length.
 
 use crate::error::RpcError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -11,7 +11,7 @@
 const PREFIX_BYTES: usize = 5;
 const NOT_COMPRESSED: u8 = 0;
 
-/// A message ready to be sent.
+/// Encodes a message with its prefix.
 pub fn encode(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
     let mut bytes = BytesMut::with_capacity(PREFIX_BYTES + length);
@@ -19,17 +19,17 @@
     bytes.freeze()
 }
 
-/// Adds a message to others that are sent together.
+/// Appends a message with its prefix to `bytes`, so that several messages can be sent together.
 pub fn append(bytes: &mut BytesMut, message: &impl Message) {
     let length = message.encoded_len();
     bytes.reserve(PREFIX_BYTES + length);
     bytes.put_u8(NOT_COMPRESSED);
     bytes.put_u32(length as u32);
-    // This can't fail: the capacity was just reserved.
+    // Encoding can't fail, since the capacity has just been reserved.
     let _ = message.encode(bytes);
 }
 
-/// The messages that a client sends on one stream, within their size limit and the memory that is available.
+/// Receives the messages of one stream, within their size limit and the available memory.
 pub struct RequestStream {
     stream: RecvStream,
     buffer: BytesMut,
@@ -37,12 +37,12 @@
 }
 
 impl RequestStream {
-    /// The messages of a stream, their memory reserved by `reservation`.
+    /// Creates a receiver that reserves the memory for messages in `reservation`.
     pub fn new(stream: RecvStream, reservation: BodyReservation) -> Self {
         RequestStream { stream, buffer: BytesMut::new(), reservation }
     }
 
-    /// The next message; none where the client has ended its side before one began.
+    /// Receives the next message; none if the client has ended its side of the stream before the message began.
     pub async fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, RpcError> {
         while self.buffer.len() < PREFIX_BYTES {
             if self.read_more().await? {
@@ -50,19 +50,19 @@
             }
             return match self.buffer.is_empty() {
                 true => Ok(None),
-                false => Err(malformed("the stream ended within a message").into()),
+                false => Err(malformed("the stream ended before the message was complete").into()),
             };
         }
         let compressed = self.buffer[0] != NOT_COMPRESSED;
         let length = (&self.buffer[1..PREFIX_BYTES]).get_u32() as usize;
         if compressed {
-            return Err(RpcError::Status(Status::unimplemented("messages can't be compressed here")));
+            return Err(RpcError::Status(Status::unimplemented("compressed messages are not supported")));
         }
-        // The length is checked before any of the message is read.
+        // The reservation checks the length before the message is received.
         self.reservation.grow_to(PREFIX_BYTES + length).map_err(CallError::from)?;
         while self.buffer.len() < PREFIX_BYTES + length {
             if !self.read_more().await? {
-                return Err(malformed("the stream ended within a message").into());
+                return Err(malformed("the stream ended before the message was complete").into());
             }
         }
         self.buffer.advance(PREFIX_BYTES);
@@ -70,13 +70,13 @@
         M::decode(message.freeze()).map(Some).map_err(|error| malformed(&error.to_string()).into())
     }
 
-    /// Reads what comes next; false at the end of the stream.
+    /// Receives more bytes. Returns false at the end of the stream.
     async fn read_more(&mut self) -> Result<bool, RpcError> {
         match self.stream.data().await {
             Some(Ok(bytes)) => {
                 self.reservation.grow_to(self.buffer.len() + bytes.len()).map_err(CallError::from)?;
                 self.buffer.extend_from_slice(&bytes);
-                // The client may send as much again: the reservation limits what it sends, not the window.
+                // The window is released at once, since the reservation limits how much the client sends.
                 let _ = self.stream.flow_control().release_capacity(bytes.len());
                 Ok(true)
             }
@@ -87,6 +87,6 @@
 }
 
 fn malformed(message: &str) -> CallError {
-    let message = format!("the request message can't be read: {message}");
+    let message = format!("the request message can't be decoded: {message}");
     RequestError::new(RequestErrorKind::Malformed, message).into()
 }
--- a/grpc-api/src/reflection.rs
+++ b/grpc-api/src/reflection.rs
@@ -1,4 +1,4 @@
-//! The published reflection service: describes what is served, for clients that explore.
+//! The standard gRPC reflection service, by which clients discover the served services and their messages.
 
 use prost::Message;
 use prost_types::{DescriptorProto, FileDescriptorProto, FileDescriptorSet};
@@ -13,18 +13,18 @@
 
 const CHAT_DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/chat.bin"));
 
-/// Descriptors of everything that is served, by file and by symbol.
+/// The descriptors of all served services and their messages, by file and by symbol.
 #[derive(Default)]
 pub struct DescriptorIndex {
-    /// Encoded files by their names.
+    /// Encoded file descriptors by file name.
     files: BTreeMap<String, Vec<u8>>,
-    /// The file that defines each symbol.
+    /// The name of the file that defines each symbol.
     symbols: BTreeMap<String, String>,
     services: Vec<String>,
 }
 
 impl DescriptorIndex {
-    /// Indexes the chat service and the services beside it.
+    /// Indexes the chat, health and reflection services.
     pub fn new() -> Self {
         let mut index = DescriptorIndex::default();
         let sets = [
@@ -33,7 +33,7 @@
             tonic_reflection::pb::v1::FILE_DESCRIPTOR_SET,
             tonic_reflection::pb::v1alpha::FILE_DESCRIPTOR_SET,
         ];
-        // All are built in; the tests of this module decode them.
+        // Decoding can't fail: all sets are compiled in, and the tests of this module decode each of them.
         let sets = sets.into_iter().filter_map(|set| FileDescriptorSet::decode(set).ok());
         sets.flat_map(|set| set.file).for_each(|file| index.add_file(file));
         index
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Answers one request of the reflection service.
+    /// Returns the response to one request of the reflection service.
     pub fn respond(&self, request: ServerReflectionRequest) -> ServerReflectionResponse {
         let response = match &request.message_request {
             Some(MessageRequest::ListServices(_)) => self.list_services(),
@@ -77,8 +77,8 @@
             Some(MessageRequest::FileContainingSymbol(symbol)) => {
                 self.file_response(self.symbols.get(symbol.trim_start_matches('.')))
             }
-            Some(_) => error_response(Code::NotFound, "there are no extensions here"),
-            None => error_response(Code::InvalidArgument, "nothing was asked"),
+            Some(_) => error_response(Code::NotFound, "extensions are not supported"),
+            None => error_response(Code::InvalidArgument, "'message_request' is missing"),
         };
         ServerReflectionResponse {
             valid_host: request.host.clone(),
@@ -97,7 +97,7 @@
             Some(file) => MessageResponse::FileDescriptorResponse(FileDescriptorResponse {
                 file_descriptor_proto: vec![file.clone()],
             }),
-            None => error_response(Code::NotFound, "nothing of this name is served here"),
+            None => error_response(Code::NotFound, "no file or symbol of this name is served"),
         }
     }
 }
--- a/grpc-api/src/reflection/tests.rs
+++ b/grpc-api/src/reflection/tests.rs
@@ -9,7 +9,7 @@
 fn every_service_is_listed_and_resolves_to_its_defining_file() {
     let MessageResponse::ListServicesResponse(list) = respond(MessageRequest::ListServices(String::new()))
     else {
-        panic!("no list");
+        panic!("the response is not a list of services");
     };
     let names: Vec<&str> = list.service.iter().map(|service| service.name.as_str()).collect();
     assert_eq!(
@@ -25,8 +25,8 @@
         let found = respond(MessageRequest::FileContainingSymbol(name.to_owned()));
         let MessageResponse::FileDescriptorResponse(found) = found else { panic!("{name} is not found") };
         let file = FileDescriptorProto::decode(&found.file_descriptor_proto[0][..]).unwrap();
-        assert!(name.starts_with(file.package()), "{name} in {}", file.name());
-        assert!(file.dependency.is_empty(), "{} needs files that are not sent", file.name());
+        assert!(name.starts_with(file.package()), "{name} is not in the package of {}", file.name());
+        assert!(file.dependency.is_empty(), "{} depends on files that the response lacks", file.name());
     }
     let unknown = respond(MessageRequest::FileContainingSymbol("petrelshore.chat.v2.ChatService".to_owned()));
     assert!(
--- a/grpc-api/src/request.rs
+++ b/grpc-api/src/request.rs
@@ -1,4 +1,4 @@
-//! From a request's metadata and message to a call. Errors name the field to blame.
+//! Converts a request's metadata and message to a call. An error names the invalid field.
 
 use crate::error::RpcError;
 use crate::v1;
@@ -13,25 +13,25 @@
 
 const MAX_TIMEOUT_DIGITS: usize = 8;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Reads a call's metadata. Its timeout bounds the first token as well as the complete answer.
+/// Reads a call's metadata. The gRPC timeout bounds the first token as well as the complete answer.
 pub fn call_metadata(headers: &HeaderMap) -> Result<CallMetadata<'_>, RpcError> {
-    let timeout = text(headers, "grpc-timeout").map(parse_timeout).transpose()?;
-    let compressed = text(headers, "grpc-encoding").is_some_and(|encoding| encoding != "identity");
+    let timeout = header_text(headers, "grpc-timeout").map(parse_timeout).transpose()?;
+    let compressed = header_text(headers, "grpc-encoding").is_some_and(|encoding| encoding != "identity");
     if compressed {
-        return Err(RpcError::Status(Status::unimplemented("messages can't be compressed here")));
+        return Err(RpcError::Status(Status::unimplemented("compressed messages are not supported")));
     }
-    let metadata = CallMetadata::from_fields(|name| text(headers, name));
+    let metadata = CallMetadata::from_fields(|name| header_text(headers, name));
     Ok(CallMetadata { first_token_budget: timeout, completion_budget: timeout, ..metadata })
 }
 
-/// A timeout as the protocol gives it: up to eight digits and a unit.
+/// Parses a gRPC timeout of up to eight digits and a unit. Returns nanoseconds.
 fn parse_timeout(text: &str) -> Result<Nanos, RequestError> {
     let invalid = || {
-        let message = "must be 1 to 8 digits and one of H, M, S, m, u, n";
+        let message = "'grpc-timeout' must be 1 to 8 digits followed by one of the units H, M, S, m, u, n";
         RequestError::invalid_field("grpc-timeout", message)
     };
     let (digits, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or_else(invalid)?;
@@ -50,7 +50,7 @@
     digits.parse::<Nanos>().map(|number| number.saturating_mul(unit)).map_err(|_| invalid())
 }
 
-/// Checks a chat request's fields and makes a call of it.
+/// Validates the fields of a chat request and converts it to a call.
 pub fn decode(request: v1::ChatRequest, relay: Relay) -> Result<Call, RequestError> {
     if request.model.is_empty() {
         return Err(RequestError::invalid_field("model", "'model' is missing"));
@@ -89,7 +89,7 @@
     Ok(ChatMessage { role: role.to_owned(), text: message.text })
 }
 
-/// The sampling parameters by their names in the chat API.
+/// The sampling parameters, by their names in the chat API.
 fn sampling(request: &v1::ChatRequest) -> Result<Map<String, Value>, RequestError> {
     let mut sampling = Map::new();
     let numbers = [
@@ -101,7 +101,7 @@
     for (name, number) in numbers {
         let Some(number) = number else { continue };
         let value = Number::from_f64(number)
-            .ok_or_else(|| RequestError::invalid_field(name, format!("'{name}' must be a number")))?;
+            .ok_or_else(|| RequestError::invalid_field(name, format!("'{name}' must be a finite number")))?;
         sampling.insert(name.to_owned(), Value::Number(value));
     }
     if let Some(seed) = request.seed {
--- a/grpc-api/src/responder.rs
+++ b/grpc-api/src/responder.rs
@@ -1,4 +1,4 @@
-//! The client's side of one call: its request received, its response sent as far as the client reads.
+//! Receives the request of one call, and sends its response as fast as the client reads.
 
 use crate::error::RpcError;
 use crate::frame_observer::PeerState;
@@ -19,26 +19,26 @@
 use std::task::{Context, Poll, Waker};
 use tonic::Status;
 
-/// The content type of the protocol.
+/// The content type of gRPC.
 pub const CONTENT_TYPE: &str = "application/grpc";
 
 /// Receives the request of one call and sends its response.
 pub struct Responder {
     stream: StreamGuard,
     respond: SendResponse<Bytes>,
-    /// The response's body, once its head has been sent.
+    /// The body of the response, once the head has been sent.
     body: Option<SendStream<Bytes>>,
-    /// When the complete answer is given up, where the client said so.
+    /// The time at which a call without a complete answer is aborted; none if the client has set no timeout.
     pub completion_deadline: Option<Nanos>,
 }
 
 impl Responder {
-    /// A responder that has sent nothing.
+    /// Creates a responder that has sent nothing yet.
     pub fn new(stream: StreamGuard, respond: SendResponse<Bytes>) -> Self {
         Responder { stream, respond, body: None, completion_deadline: None }
     }
 
-    /// What the calls of this connection share.
+    /// The state that the calls of this connection share.
     pub fn connection(&self) -> &ConnectionContext {
         &self.stream.connection
     }
@@ -48,23 +48,23 @@
         &self.stream.connection.gateway
     }
 
-    /// Receives the one message of a unary request, within the time that a request may take.
+    /// Receives the only message of a unary request, within the body timeout and before the client's deadline.
     pub async fn receive_only<M: Message + Default>(
         &mut self,
         requests: &mut RequestStream,
     ) -> Result<M, RpcError> {
         let clock = self.connection().peer_state.clock;
         let body_deadline = clock.now() + self.gateway().settings().limits.body_time;
-        let deadline = self.completion_deadline.map_or(body_deadline, |by| by.min(body_deadline));
+        let deadline =
+            self.completion_deadline.map_or(body_deadline, |completion| completion.min(body_deadline));
         let deadline = clock.instant(deadline);
         let expired = async {
             Timer::at(deadline).await;
-            let message = "the request was not whole in time";
+            let message = "the request was not complete in time";
             Err(RequestError::new(RequestErrorKind::ReceiveTimeout, message).into())
         };
         let message = self.unless_disconnected(future::or(requests.next_message(), expired)).await??;
-        message
-            .ok_or_else(|| RequestError::new(RequestErrorKind::Malformed, "the call has no message").into())
+        message.ok_or_else(|| RequestError::new(RequestErrorKind::Malformed, "the message is missing").into())
     }
 
     fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
@@ -75,7 +75,7 @@
         reset.map(|_| ())
     }
 
-    /// Fails if the client has reset the stream or disconnected by now.
+    /// Returns an error if the client has reset the stream or disconnected.
     pub fn ensure_connected(&mut self) -> Result<(), RpcError> {
         let mut context = Context::from_waker(Waker::noop());
         match self.poll_disconnected(&mut context) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The outcome of some work, unless the client disconnects before it.
+    /// Returns the output of `work`, or an error if the client disconnects first.
     pub async fn unless_disconnected<T>(&mut self, work: impl Future<Output = T>) -> Result<T, RpcError> {
         let disconnected = async {
             std::future::poll_fn(|context| self.poll_disconnected(context)).await;
@@ -93,7 +93,7 @@
         future::or(async { Ok(work.await) }, disconnected).await
     }
 
-    /// Sends the head of a response, with the request's id if it has one.
+    /// Sends the head of a response, with the request's id if there is one.
     pub fn send_head(&mut self, request_id: Option<&str>) -> Result<(), RpcError> {
         let mut response = Response::new(());
         response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(CONTENT_TYPE));
@@ -105,13 +105,14 @@
         Ok(())
     }
 
-    /// Sends the head and the one message of a unary response.
+    /// Sends the head and the only message of a unary response.
     pub async fn send_only(&mut self, message: &impl Message) -> Result<(), RpcError> {
         self.send_head(None)?;
         self.send(message::encode(message), None).await
     }
 
-    /// Sends bytes as flow control allows. If the gateway gives up `answer` while they wait, they are dropped.
+    /// Sends bytes as flow control allows. If `answer` fails while bytes wait for flow control, these bytes are dropped
+    /// and the failure is returned.
     pub async fn send(&mut self, mut bytes: Bytes, mut answer: Option<&mut Answer>) -> Result<(), RpcError> {
         while !bytes.is_empty() {
             let capacity = self.capacity(bytes.len(), answer.as_deref_mut()).await?;
@@ -126,7 +127,7 @@
         Ok(())
     }
 
-    /// How many of so many bytes may be sent now; at least one.
+    /// Waits until flow control allows at least one byte. Returns how many of `bytes` bytes may be sent.
     async fn capacity(&mut self, bytes: usize, answer: Option<&mut Answer>) -> Result<usize, RpcError> {
         let body = self.body.as_mut().ok_or(RpcError::ClientDisconnected)?;
         let sendable = self.stream.connection.peer_state.flow_control.borrow().sendable(self.stream.id);
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Waits for capacity in the client's windows. A client that never gives any gets its status all the same, since
-    /// trailers are not subject to flow control.
+    /// Waits for capacity in the client's flow-control windows. A client that never grants any capacity still gets its
+    /// status, since trailers are not subject to flow control.
     async fn wait_for_capacity(
         &mut self,
         bytes: usize,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Waits for the capacity that was reserved, or a part of it.
+    /// Waits for the reserved capacity or a part of it. Returns its size in bytes.
     async fn reserved_capacity(&mut self) -> Result<usize, RpcError> {
         let body = self.body.as_mut().ok_or(RpcError::ClientDisconnected)?;
         let poll_capacity = |context: &mut Context<'_>| {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Rejects what is not a call of this protocol, with an HTTP status.
+    /// Rejects a request that is not a gRPC call, with an HTTP status.
     pub fn reject(mut self, status: StatusCode) {
         let mut response = Response::new(());
         *response.status_mut() = status;
@@ -237,14 +238,14 @@
 fn trailers(status: &Status) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     if status.add_header(&mut trailers).is_err() {
-        // Its message could not be put into a header; its code always can.
+        // The message can't be encoded in a header, so only the code is sent.
         let code = HeaderValue::from(status.code() as i32);
         trailers = HeaderMap::from_iter([(HeaderName::from_static("grpc-status"), code)]);
     }
     trailers
 }
 
-/// When a response that makes no progress is given up, and why.
+/// The time at which a response without progress is aborted, and the reason.
 struct SendTimeout {
     deadline: Nanos,
     reason: FailureReason,
--- a/grpc-api/src/services.rs
+++ b/grpc-api/src/services.rs
@@ -9,7 +9,7 @@
 use tonic_health::pb::{HealthCheckRequest, HealthCheckResponse};
 use tonic_reflection::pb::v1::ServerReflectionRequest;
 
-/// Lists the models that are served.
+/// Lists the served models.
 pub async fn list_models(
     responder: &mut Responder,
     headers: &HeaderMap,
@@ -22,33 +22,33 @@
     responder.send_only(&v1::ListModelsResponse { models: models.collect() }).await
 }
 
-/// Answers with the health of a service.
+/// Responds with the health of a service.
 pub async fn check_health(responder: &mut Responder, mut requests: RequestStream) -> Result<(), RpcError> {
-    let asked: HealthCheckRequest = responder.receive_only(&mut requests).await?;
-    let response = health::check(responder.gateway(), &asked.service).map_err(RpcError::Status)?;
+    let request: HealthCheckRequest = responder.receive_only(&mut requests).await?;
+    let response = health::check(responder.gateway(), &request.service).map_err(RpcError::Status)?;
     responder.send_only(&response).await
 }
 
-/// Sends the health of a service now and at each change, until the gateway drains.
+/// Sends the health of a service at once and after each change, until the gateway drains.
 pub async fn watch_health(responder: &mut Responder, mut requests: RequestStream) -> Result<(), RpcError> {
-    let asked: HealthCheckRequest = responder.receive_only(&mut requests).await?;
+    let request: HealthCheckRequest = responder.receive_only(&mut requests).await?;
     let gateway = responder.gateway().clone();
     responder.send_head(None)?;
-    let mut last = None;
+    let mut last_status = None;
     loop {
-        let changed = health::next_change(&gateway, &asked.service, last);
+        let changed = health::next_change(&gateway, &request.service, last_status);
         let status = responder.unless_disconnected(changed).await?;
         let message = HealthCheckResponse { status: status.into() };
         responder.send(message::encode(&message), None).await?;
         if gateway.is_draining() {
-            // The watch would keep the connection open for nothing: this gateway will not serve again.
+            // A longer watch would only keep the connection open: a draining gateway never serves again.
             return Ok(());
         }
-        last = Some(status);
+        last_status = Some(status);
     }
 }
 
-/// Describes what is served, one answer for each request on the stream.
+/// Describes the served services, with one response to each request on the stream.
 pub async fn reflect(responder: &mut Responder, mut requests: RequestStream) -> Result<(), RpcError> {
     let descriptors = responder.connection().descriptors.clone();
     responder.send_head(None)?;
--- a/grpc-api/src/status.rs
+++ b/grpc-api/src/status.rs
@@ -1,8 +1,8 @@
-//! Status codes and details of failed calls. `docs/grpc-api.md` has the same table.
+//! Maps failed calls to status codes and error details. `docs/grpc-api.md` has the same table.
 //!
-//! Clients of this protocol retry by themselves after the codes that their service configuration names, most often
-//! UNAVAILABLE and RESOURCE_EXHAUSTED. Those two are given with RetryInfo only where nothing ran; everything else
-//! carries a pushback that forbids a retry, which clients obey whatever the code.
+//! gRPC clients retry automatically after the codes that their service configuration names, usually UNAVAILABLE and
+//! RESOURCE_EXHAUSTED. The gateway sends RetryInfo, with one of these two codes, only if nothing ran. A status without
+//! RetryInfo carries a pushback that forbids a retry, which clients obey whatever the code is.
 
 use petrelshore_gateway_core::FailureReason;
 use petrelshore_gateway_core::error_response::{ErrorCause, ErrorResponse, Retry};
@@ -14,7 +14,7 @@
 
 const ERROR_DOMAIN: &str = "petrelshore";
 const RETRY_PUSHBACK: &str = "grpc-retry-pushback-ms";
-/// A pushback below zero forbids a retry.
+/// A negative pushback forbids a retry.
 const NO_RETRY: i64 = -1;
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
@@ -31,7 +31,7 @@
         RequestErrorKind::Unauthenticated => (Code::Unauthenticated, "INVALID_API_KEY"),
         RequestErrorKind::UnknownModel => (Code::NotFound, "MODEL_NOT_FOUND"),
         RequestErrorKind::InvalidField => (Code::InvalidArgument, "INVALID_FIELD"),
-        // As the protocol has it for messages that can't be parsed.
+        // gRPC specifies INTERNAL for messages that can't be parsed.
         RequestErrorKind::Malformed => (Code::Internal, "MALFORMED"),
         RequestErrorKind::ReceiveTimeout => (Code::DeadlineExceeded, "REQUEST_LATE"),
         RequestErrorKind::UnknownPath | RequestErrorKind::UnknownMethod => {
@@ -42,7 +42,12 @@
     if let Some(field) = &error.field {
         details.set_bad_request(vec![FieldViolation::new(field, &error.message)]);
     }
-    Status::with_error_details_and_metadata(code, &error.message, details, pushback(Retry::AfterCorrection))
+    Status::with_error_details_and_metadata(
+        code,
+        &error.message,
+        details,
+        retry_pushback(Retry::AfterCorrection),
+    )
 }
 
 fn from_error_response(response: &ErrorResponse) -> Status {
@@ -55,11 +60,11 @@
     if let Some(field) = response.cause.field() {
         details.set_bad_request(vec![FieldViolation::new(field, &message)]);
     }
-    let metadata = pushback(response.retry);
-    Status::with_error_details_and_metadata(code_of(response.cause), message, details, metadata)
+    let metadata = retry_pushback(response.retry);
+    Status::with_error_details_and_metadata(status_code(response.cause), message, details, metadata)
 }
 
-fn code_of(cause: ErrorCause) -> Code {
+fn status_code(cause: ErrorCause) -> Code {
     match cause {
         ErrorCause::Rejected(_)
         | ErrorCause::GatewayAtCapacity
@@ -73,14 +78,14 @@
             Code::DeadlineExceeded
         }
         ErrorCause::Aborted(FailureReason::AlreadyRan) => Code::AlreadyExists,
-        // Not ABORTED: that code tells callers to retry.
+        // The code is not ABORTED, since ABORTED tells callers to retry.
         ErrorCause::Aborted(_) => Code::Internal,
         ErrorCause::KeyReused => Code::InvalidArgument,
     }
 }
 
-/// After how many milliseconds a client may retry by itself.
-fn pushback(retry: Retry) -> MetadataMap {
+/// Metadata with the delay after which a client may retry automatically, in milliseconds, or with `NO_RETRY`.
+fn retry_pushback(retry: Retry) -> MetadataMap {
     let millis = match retry {
         Retry::After(delay) => i64::try_from(delay.div_ceil(NANOS_PER_MILLISECOND)).unwrap_or(i64::MAX),
         Retry::AfterCorrection | Retry::Never => NO_RETRY,
--- a/grpc-api/src/stream.rs
+++ b/grpc-api/src/stream.rs
@@ -1,4 +1,4 @@
-//! What the calls of one connection share, and the place of one call among them.
+//! The state that the calls of a connection share, and the guard that registers a call with its connection.
 
 use crate::frame_observer::PeerState;
 use crate::reflection::DescriptorIndex;
@@ -12,21 +12,21 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// What the calls of a connection share.
+/// The state that the calls of a connection share.
 pub struct ConnectionContext {
-    /// The gateway that answers them.
+    /// The gateway that answers the calls.
     pub gateway: Gateway,
-    /// The client, as the ingress counts it.
+    /// The client, which the ingress counts against its limits.
     pub client: ClientGuard,
     /// Abuse detection and flow control of the connection.
     pub peer_state: Rc<PeerState>,
-    /// What the reflection service describes.
+    /// The descriptors that the reflection service returns.
     pub descriptors: Rc<DescriptorIndex>,
     streams: RefCell<BTreeMap<StreamId, Rc<ResetSignal>>>,
 }
 
 impl ConnectionContext {
-    /// The context of a connection that has no calls yet.
+    /// Creates the context of a connection without calls.
     pub fn new(
         gateway: Gateway,
         client: ClientGuard,
@@ -36,13 +36,13 @@
         ConnectionContext { gateway, client, peer_state, descriptors, streams: RefCell::default() }
     }
 
-    /// When the connection has to be looked at again without any event.
+    /// The time at which the connection must be checked even if no event has occurred.
     pub fn next_timeout(&self) -> Nanos {
         let flow_control = self.peer_state.flow_control.borrow().next_timeout().unwrap_or(Nanos::MAX);
         self.peer_state.abuse.borrow().next_timeout().min(flow_control)
     }
 
-    /// Ends the call that blocks the connection's window, if one does, so that the others can continue.
+    /// Ends the call that blocks the connection's window, if any, so that the other calls can continue.
     pub fn reset_blocking_stream(&self, now: Nanos) {
         let Some(id) = self.peer_state.flow_control.borrow_mut().stream_to_reset(now) else { return };
         if let Some(reset) = self.streams.borrow().get(&id) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Tells one call to end, so that the others on its connection can continue.
+/// Signals one call to end, so that the other calls on its connection can continue.
 #[derive(Default)]
 pub struct ResetSignal {
     sent: Cell<bool>,
@@ -65,7 +65,7 @@
         self.event.notify(usize::MAX);
     }
 
-    /// Returns once the call is to end.
+    /// Returns once the call has been signalled to end.
     pub async fn notified(&self) {
         let event = self.event.listen();
         if !self.sent.get() {
@@ -74,18 +74,18 @@
     }
 }
 
-/// A call that is open on its connection until this is dropped.
+/// Registers a call with its connection until the guard is dropped.
 pub struct StreamGuard {
-    /// Its connection.
+    /// The state that the calls of the connection share.
     pub connection: Rc<ConnectionContext>,
-    /// Its HTTP/2 stream.
+    /// The id of the call's HTTP/2 stream.
     pub id: StreamId,
-    /// Tells it to end early.
+    /// Signals the call to end early.
     pub reset: Rc<ResetSignal>,
 }
 
 impl StreamGuard {
-    /// Opens a call on its connection.
+    /// Registers a new call with its connection.
     pub fn new(connection: Rc<ConnectionContext>, id: StreamId) -> Self {
         let reset = Rc::new(ResetSignal::default());
         connection.peer_state.abuse.borrow_mut().call_started();
