--- a/inventory/src/cached_list.rs
+++ b/inventory/src/cached_list.rs
@@ -1,7 +1,7 @@
-//! The last good list on disk: what a gateway that was killed starts from.
+//! The last valid endpoint list on disk, from which a gateway starts after it was killed.
 //!
-//! One line of JSON and one with its checksum, written beside the old file and renamed over it, so that a kill at
-//! any byte leaves the old list or the new one, never half of either.
+//! The file has a line of JSON and a line with the checksum of the JSON. It is written to a temporary file and then
+//! renamed over the old file, so that a kill at any byte leaves the old list or the new list, but no partial list.
 
 use crate::endpoint_list::EndpointList;
 use petrelshore::interface::{Nanos, ServerId};
@@ -16,33 +16,34 @@
 const VERSION: u32 = 1;
 const INITIAL_STORE_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_STORE_BACKOFF: Duration = Duration::from_secs(5);
-/// More doublings would not change the backoff, and must not overflow it.
+/// The maximum number of times that the backoff doubles. More doublings would not change the capped backoff, and could
+/// overflow it.
 const MAX_STORE_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// When each server is known to have started; zero: long ago.
+/// The known start time of each server, in nanoseconds; zero for a server that started long ago.
 pub type StartTimes = BTreeMap<ServerId, Nanos>;
 
-/// A list of an earlier run.
+/// An endpoint list that was stored by an earlier run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedList {
-    /// The servers.
+    /// The endpoint list.
     pub list: EndpointList,
-    /// When they started, by the clock of now.
+    /// The start times of the servers, converted to the current clock.
     pub start_times: StartTimes,
 }
 
-/// Why a text is not a cached list, or its file can't be read.
+/// The reason why a text is not a cached list, or why its file can't be read.
 #[derive(Debug)]
 pub enum CachedListError {
-    /// The text has no line for the checksum.
+    /// The text has no line end after the JSON, and thus no checksum line.
     Truncated,
-    /// The checksum is not a number.
+    /// The checksum line is not a hexadecimal number.
     MalformedChecksum,
-    /// The checksum is that of another text.
+    /// The checksum does not match the JSON.
     ChecksumMismatch,
-    /// The text is not the JSON of a list.
+    /// The JSON is malformed or does not represent a list.
     Json(serde_json::Error),
-    /// The text has a version that this program does not know.
+    /// The format version is not supported by this program.
     UnknownVersion(u32),
     /// The file can't be read.
     Io(std::io::Error),
@@ -51,11 +52,13 @@
 impl fmt::Display for CachedListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CachedListError::Truncated => f.write_str("it is cut short"),
-            CachedListError::MalformedChecksum => f.write_str("its checksum is malformed"),
-            CachedListError::ChecksumMismatch => f.write_str("its checksum does not fit"),
+            CachedListError::Truncated => f.write_str("the file is truncated: it has no checksum line"),
+            CachedListError::MalformedChecksum => f.write_str("the checksum is not a hexadecimal number"),
+            CachedListError::ChecksumMismatch => f.write_str("the checksum does not match the contents"),
             CachedListError::Json(error) => error.fmt(f),
-            CachedListError::UnknownVersion(version) => write!(f, "version {version} is not known here"),
+            CachedListError::UnknownVersion(version) => {
+                write!(f, "format version {version} is not supported")
+            }
             CachedListError::Io(error) => error.fmt(f),
         }
     }
@@ -63,12 +66,12 @@
 
 impl std::error::Error for CachedListError {}
 
-/// Why the list of an earlier run can't be used.
+/// The error for a stored list that can't be used.
 #[derive(Debug)]
 pub struct LoadError {
-    /// The file that was to be read.
+    /// The path of the stored list.
     pub file: PathBuf,
-    /// What is wrong with it.
+    /// The reason why the file can't be used.
     pub error: CachedListError,
 }
 
@@ -84,22 +87,22 @@
     }
 }
 
-/// The stored file's line of JSON. Its keys are read by other versions of the program.
+/// The JSON line of the stored file. Other versions of the program read its keys.
 #[derive(serde::Serialize, serde::Deserialize)]
 struct StoredList {
     version: u32,
     list: EndpointList,
     #[serde(rename = "since")]
     start_times: BTreeMap<u64, Nanos>,
-    /// By the clock that the start times are by. Files of older versions lack it.
+    /// The time at which the list was stored, on the same clock as the start times. Files of older versions lack it.
     #[serde(default, rename = "kept_at")]
     stored_at: Option<Nanos>,
 }
 
-/// The text of a list that is stored now.
+/// Returns the text to store for a list: the JSON line and the checksum line. `now` is recorded as the time of storage.
 ///
 /// # Errors
-/// A list that JSON can't represent.
+/// Returns an error if JSON can't represent the list.
 pub fn encode(
     list: &EndpointList,
     start_times: &StartTimes,
@@ -112,11 +115,12 @@
     Ok(format!("{text}\n{checksum:016x}\n"))
 }
 
-/// The list of a text, with start times by the clock of now. The wall clock may have been stepped since the list was
-/// stored, so servers count as no older than they were then.
+/// Returns the list that a text represents, with start times converted to the current clock. The wall clock may have
+/// been stepped since the list was stored, so each server counts as no older than it was when the list was stored.
+/// If the text lacks the time of storage, start times after `now` are replaced by `now`.
 ///
 /// # Errors
-/// What is wrong with the text.
+/// Returns an error if the text is truncated, does not match its checksum or has an unsupported format.
 pub fn decode(text: &str, now: Nanos) -> Result<CachedList, CachedListError> {
     let (body, checksum) = text.split_once('\n').ok_or(CachedListError::Truncated)?;
     let checksum =
@@ -128,42 +132,44 @@
     if stored.version != VERSION {
         return Err(CachedListError::UnknownVersion(stored.version));
     }
-    let by_now = |at: Nanos| match stored.stored_at {
+    let rebase = |at: Nanos| match stored.stored_at {
         _ if at == 0 => 0,
         Some(stored_at) => now.saturating_sub(stored_at.saturating_sub(at)),
         None => at.min(now),
     };
-    let start_times = stored.start_times.into_iter().map(|(id, at)| (ServerId(id), by_now(at))).collect();
+    let start_times = stored.start_times.into_iter().map(|(id, at)| (ServerId(id), rebase(at))).collect();
     Ok(CachedList { list: stored.list, start_times })
 }
 
-/// The backoff before the list is stored again, after so many failures in a row: the disk may be full for long, and a
-/// kill may come at any time.
+/// Returns the delay before the list is stored again after a number of consecutive failures. Storing is retried with a
+/// capped delay because the disk may be full for a long time and the gateway may be killed at any time.
 pub fn store_backoff(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(MAX_STORE_BACKOFF_DOUBLINGS);
     (INITIAL_STORE_BACKOFF * 2_u32.saturating_pow(doublings)).min(MAX_STORE_BACKOFF)
 }
 
-/// Stores the list where a later run finds it, durable before it replaces the old one.
+/// Stores the list for a later run. The new file is synced to disk before it replaces the old file.
 ///
 /// # Errors
-/// Whatever the file system reports; the old file is then still there.
+/// Returns the error of the file system or of the JSON encoding. The old file is then still in place, unless only the
+/// sync of the directory after the rename failed.
 pub fn store(file: &Path, list: &EndpointList, start_times: &StartTimes, now: Nanos) -> std::io::Result<()> {
     let text = encode(list, start_times, now).map_err(std::io::Error::other)?;
-    let mut temporary = file.as_os_str().to_owned();
-    temporary.push(".new");
-    let mut written = File::create(&temporary)?;
-    written.write_all(text.as_bytes())?;
-    written.sync_all()?;
-    std::fs::rename(&temporary, file)?;
-    let folder = file.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+    let mut temporary_path = file.as_os_str().to_owned();
+    temporary_path.push(".new");
+    let mut temporary_file = File::create(&temporary_path)?;
+    temporary_file.write_all(text.as_bytes())?;
+    temporary_file.sync_all()?;
+    std::fs::rename(&temporary_path, file)?;
+    let directory =
+        file.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    File::open(directory)?.sync_all()
 }
 
-/// The list of an earlier run; none where there was no run.
+/// Loads the list that an earlier run stored. Returns `None` if there is no file.
 ///
 /// # Errors
-/// Why the file that is there can't be used.
+/// Returns an error if the file exists but can't be read or does not contain a valid list.
 pub fn load(file: &Path, now: Nanos) -> Result<Option<CachedList>, LoadError> {
     let decoded = match std::fs::read_to_string(file) {
         Ok(text) => decode(&text, now),
--- a/inventory/src/change_guard.rs
+++ b/inventory/src/change_guard.rs
@@ -1,39 +1,39 @@
-//! Whether a list that reads well is plausible, compared with the one before.
+//! Compares a valid endpoint list with the current list and rejects a change that is too large to be routine.
 //!
-//! Configuration tools write lists that are complete, valid and wrong: an empty group, a template that gave every server
-//! the same role. Taking such a list would drain the fleet. So a change that is too large to be routine is rejected the
-//! first time, with its reason; offering the same list again confirms it.
+//! Configuration tools can write lists that are complete and valid but wrong, for example with an empty group, or from
+//! a template that gave every server the same role. Applying such a list would drain the fleet. A suspicious list is
+//! therefore rejected the first time, with the reason; offering the same list again confirms it.
 
 use crate::endpoint_list::{EndpointList, Server};
 use petrelshore_gateway_core::fingerprint::stable_id;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Lists with fewer serving servers are not checked.
+/// The minimum number of serving servers on the current list; with fewer, changes are not checked.
 const MIN_CHECKED_SERVERS: usize = 4;
-/// At most one server in so many may leave, or change what it is, at once.
+/// At most the number of serving servers divided by this value may leave at once, and as many may move at once.
 const MAX_CHANGE_DIVISOR: usize = 2;
 
-/// Why a list is not taken the first time.
+/// The reason why a list is rejected the first time. A serving server is a listed server that is not draining.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SuspiciousChange {
-    /// Most servers would be gone or draining.
+    /// More than half of the serving servers would be removed or draining.
     MostLeave {
-        /// How many would be gone or draining.
+        /// The number of serving servers that would be removed or draining.
         leaving: usize,
-        /// Out of how many that serve.
-        of: usize,
+        /// The number of serving servers on the current list.
+        total: usize,
     },
-    /// Most would change their kind, cell or zone while they serve.
+    /// More than half of the serving servers would change their kind, cell or zone and go on serving.
     MostMove {
-        /// How many would change.
+        /// The number of serving servers that would change their kind, cell or zone.
         moving: usize,
-        /// Out of how many that serve.
-        of: usize,
+        /// The number of serving servers on the current list.
+        total: usize,
     },
-    /// No server of this kind would be left to serve.
+    /// No serving server of a kind would be left.
     KindEmpty {
-        /// The kind's name.
+        /// The name of the kind.
         kind: String,
     },
 }
@@ -41,11 +41,11 @@
 impl fmt::Display for SuspiciousChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SuspiciousChange::MostLeave { leaving, of } => {
-                write!(f, "{leaving} of {of} servers would leave at once")?;
+            SuspiciousChange::MostLeave { leaving, total } => {
+                write!(f, "{leaving} of {total} servers would leave at once")?;
             }
-            SuspiciousChange::MostMove { moving, of } => {
-                write!(f, "{moving} of {of} servers would change their kind, cell or zone at once")?;
+            SuspiciousChange::MostMove { moving, total } => {
+                write!(f, "{moving} of {total} servers would change their kind, cell or zone at once")?;
             }
             SuspiciousChange::KindEmpty { kind } => {
                 write!(f, "no server of the kind '{kind}' would be left")?;
@@ -57,50 +57,50 @@
 
 impl std::error::Error for SuspiciousChange {}
 
-/// Checks lists one after another.
+/// Checks each new list, and remembers the last rejected list so that it is accepted when it is offered again.
 #[derive(Debug, Default)]
 pub struct ChangeGuard {
-    /// A fingerprint of the list that was rejected last.
-    rejected: Option<u64>,
+    /// The fingerprint of the last rejected list, until a list is accepted.
+    last_rejected: Option<u64>,
 }
 
 impl ChangeGuard {
-    /// Whether `next` may replace `before`.
+    /// Checks whether `next` may replace `current`.
     ///
     /// # Errors
-    /// The suspicious change, unless this list was the last one rejected.
-    pub fn check(&mut self, before: &EndpointList, next: &EndpointList) -> Result<(), SuspiciousChange> {
+    /// Returns the suspicious change, unless `next` is the last rejected list.
+    pub fn check(&mut self, current: &EndpointList, next: &EndpointList) -> Result<(), SuspiciousChange> {
         let fingerprint = stable_id(&format!("{next:?}"));
-        match suspicious_change(before, next) {
-            Some(change) if self.rejected != Some(fingerprint) => {
-                self.rejected = Some(fingerprint);
+        match suspicious_change(current, next) {
+            Some(change) if self.last_rejected != Some(fingerprint) => {
+                self.last_rejected = Some(fingerprint);
                 Err(change)
             }
             _ => {
-                self.rejected = None;
+                self.last_rejected = None;
                 Ok(())
             }
         }
     }
 }
 
-fn suspicious_change(before: &EndpointList, next: &EndpointList) -> Option<SuspiciousChange> {
-    let serving: Vec<&Server> = serving(before).collect();
-    let of = serving.len();
-    if of < MIN_CHECKED_SERVERS {
+fn suspicious_change(current: &EndpointList, next: &EndpointList) -> Option<SuspiciousChange> {
+    let serving: Vec<&Server> = serving(current).collect();
+    let total = serving.len();
+    if total < MIN_CHECKED_SERVERS {
         return None;
     }
-    let max_changed = of / MAX_CHANGE_DIVISOR;
+    let max_changed = total / MAX_CHANGE_DIVISOR;
     let next: BTreeMap<&str, &Server> =
         self::serving(next).map(|server| (server.name.as_str(), server)).collect();
     let leaving = serving.iter().filter(|server| !next.contains_key(server.name.as_str())).count();
     if leaving > max_changed {
-        return Some(SuspiciousChange::MostLeave { leaving, of });
+        return Some(SuspiciousChange::MostLeave { leaving, total });
     }
     let moves = |server: &&&Server| next.get(server.name.as_str()).is_some_and(|next| is_moved(server, next));
     let moving = serving.iter().filter(moves).count();
     if moving > max_changed {
-        return Some(SuspiciousChange::MostMove { moving, of });
+        return Some(SuspiciousChange::MostMove { moving, total });
     }
     let is_served = |kind: &str| next.values().any(|server| server.kind == kind);
     let empty = serving.iter().map(|server| &server.kind).find(|kind| !is_served(kind));
@@ -111,6 +111,6 @@
     list.servers.iter().filter(|server| !server.draining)
 }
 
-fn is_moved(before: &Server, next: &Server) -> bool {
-    (&next.kind, &next.cell, &next.zone) != (&before.kind, &before.cell, &before.zone)
+fn is_moved(current: &Server, next: &Server) -> bool {
+    (&next.kind, &next.cell, &next.zone) != (&current.kind, &current.cell, &current.zone)
 }
--- a/inventory/src/endpoint_list.rs
+++ b/inventory/src/endpoint_list.rs
@@ -4,38 +4,38 @@
 use petrelshore_gateway_core::fingerprint::stable_id;
 use std::net::SocketAddr;
 
-/// A model server as the endpoint list has it. The field names are those of the cached list's file.
+/// A model server on the endpoint list. The field names are the keys of the cached list's JSON.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Server {
-    /// The name, unique in a list.
+    /// The name, unique within a list.
     pub name: String,
-    /// Where the server listens, unique in a list.
+    /// The address at which the server listens, unique within a list.
     pub address: SocketAddr,
-    /// The server kind, one of those that the settings define.
+    /// The name of the server kind, which the settings define.
     pub kind: String,
-    /// The cell; empty for a server that is a cell of its own.
+    /// The name of the cell; empty for a server that is a cell of its own.
     pub cell: String,
-    /// The zone that the server runs in.
+    /// The name of the zone in which the server runs.
     pub zone: String,
-    /// The capacity relative to other servers of the kind.
+    /// The capacity relative to other servers of the same kind.
     pub weight: f64,
-    /// Whether the server takes no new work.
+    /// Whether the server is draining: it receives no new requests.
     pub draining: bool,
 }
 
 impl Server {
-    /// An id derived from the name, the same at every gateway.
+    /// Returns the id, which is derived from the name and thus the same at every gateway.
     pub fn id(&self) -> ServerId {
         ServerId(stable_id(&self.name))
     }
 
-    /// The state that the scheduler sees.
+    /// Returns the state that is reported to the scheduler.
     pub fn state(&self) -> EndpointState {
         if self.draining { EndpointState::Draining } else { EndpointState::Ready }
     }
 }
 
-/// A full list, ordered by name, each name and address once.
+/// A full endpoint list. Names and addresses are unique.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct EndpointList {
     /// The servers, ordered by name.
--- a/inventory/src/entry_validation.rs
+++ b/inventory/src/entry_validation.rs
@@ -1,6 +1,6 @@
-//! The checks that entries of every format go through.
+//! Validates the entries of an inventory file, whatever its format.
 //!
-//! All problems of a file are collected, so that an operator mends it once.
+//! All problems of a file are collected, so that an operator can correct them in one edit.
 
 use crate::endpoint_list::{EndpointList, Server};
 use crate::entry::{Entry, REQUIRED_FIELDS};
@@ -13,7 +13,7 @@
 const READY: &str = "ready";
 const DRAINING: &str = "draining";
 
-/// The list that the entries of a file make up, or every problem in them.
+/// Returns the endpoint list that the entries of a file make up, or every problem in the entries.
 pub(crate) fn validate(
     file: &Path,
     kinds: &[String],
@@ -25,11 +25,11 @@
     for entry in entries {
         let Some(server) = validation.server(entry) else { continue };
         if let Some((first, other)) = names.get(&server.name) {
-            let differs = if other.kind != server.kind { ", with another kind" } else { "" };
-            let message = format!("'{}' stands on line {first} already{differs}", server.name);
+            let differs = if other.kind != server.kind { " with another kind" } else { "" };
+            let message = format!("'{}' is already used on line {first}{differs}", server.name);
             validation.reject(entry, "name", message);
         } else if let Some(first) = addresses.insert(server.address, entry.line) {
-            let message = format!("{} stands on line {first} already", server.address);
+            let message = format!("{} is already used on line {first}", server.address);
             validation.reject(entry, "address", message);
         } else {
             names.insert(server.name.clone(), (entry.line, server));
@@ -55,7 +55,7 @@
         self.problems.push(Problem::in_file(self.file, message).at_line(entry.line).of_field(field));
     }
 
-    /// The server of an entry; none where anything is wrong with it.
+    /// Returns the server of an entry, or `None` after recording at least one problem with the entry.
     fn server(&mut self, entry: &Entry) -> Option<Server> {
         let problems_before = self.problems.len();
         self.check_required_fields(entry);
@@ -87,7 +87,7 @@
         let text = entry.field("address")?;
         let address = text.parse().ok();
         if address.is_none() {
-            self.reject(entry, "address", format!("'{text}' is not an address with a port"));
+            self.reject(entry, "address", format!("'{text}' is not an IP address with a port"));
         }
         address
     }
@@ -96,7 +96,7 @@
         let Some(kind) = entry.field("kind") else { return };
         if !self.kinds.iter().any(|known| known == kind) {
             let known = self.kinds.join(", ");
-            self.reject(entry, "kind", format!("'{kind}' is not a kind of the settings: {known}"));
+            self.reject(entry, "kind", format!("unknown kind '{kind}'; the settings define: {known}"));
         }
     }
 
--- a/inventory/src/lib.rs
+++ b/inventory/src/lib.rs
@@ -1,8 +1,9 @@
-//! The inventory of model servers: read from a file, checked as one list, and merged with what connections show.
+//! The inventory of model servers: read from a file, validated as a whole, and merged with observed server restarts.
 //!
 //! [`read_list`] turns the text of a CSV or YAML file into an [`EndpointList`], or reports every problem with its file,
-//! line and field. [`Membership`] holds the last good list and reports changes to the scheduler. [`cached_list`] is how
-//! that list survives a kill. Only [`cached_list::store`] and [`cached_list::load`] touch the disk.
+//! line and field. [`ChangeGuard`] rejects a valid list that differs too much from the current list. [`Membership`]
+//! holds the last accepted list and returns the changes for the scheduler. [`cached_list`] stores that list on disk for
+//! the next run. Only [`cached_list::store`] and [`cached_list::load`] access the file system.
 
 pub mod cached_list;
 mod change_guard;
--- a/inventory/src/list_file.rs
+++ b/inventory/src/list_file.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists as configuration tools write them: CSV with named columns, or YAML.
+//! Reads endpoint lists from the files that configuration tools write: CSV with named columns, or YAML.
 
 use crate::csv_entries::csv_entries;
 use crate::endpoint_list::EndpointList;
@@ -12,12 +12,12 @@
 pub enum Format {
     /// CSV whose first line names the columns.
     Csv,
-    /// YAML with the sequence `servers`.
+    /// YAML: a mapping with the sequence `servers`.
     Yaml,
 }
 
 impl Format {
-    /// The format by the file name's extension.
+    /// Returns the format that the extension of the file name indicates, or `None` for any other extension.
     pub fn from_path(file: &Path) -> Option<Format> {
         match file.extension()?.to_str()?.to_ascii_lowercase().as_str() {
             "csv" => Some(Format::Csv),
@@ -27,7 +27,8 @@
     }
 }
 
-/// Reads a list completely, or reports all that is wrong with it. `kinds` are those that the settings define.
+/// Reads a complete list, or returns every problem that was found in the file. `kinds` are the names of the server
+/// kinds that the settings define.
 pub fn read_list(
     file: &Path,
     format: Format,
--- a/inventory/src/problem.rs
+++ b/inventory/src/problem.rs
@@ -1,33 +1,33 @@
-//! What is wrong with an inventory file.
+//! A problem found in an inventory file.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with an endpoint list, and where.
+/// A problem found in an inventory file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file as the caller named it.
+    /// The path of the file, as passed by the caller.
     pub file: PathBuf,
-    /// The line, where one is at fault.
+    /// The line, unless the problem concerns the whole file or its line is unknown.
     pub line: Option<u64>,
-    /// The field, where one is at fault.
+    /// The field, if the problem concerns a single field.
     pub field: Option<&'static str>,
-    /// The finding in words.
+    /// A description of the problem.
     pub message: String,
 }
 
 impl Problem {
-    /// A problem of the whole file.
+    /// Creates a problem that concerns the whole file.
     pub(crate) fn in_file(file: &Path, message: impl Into<String>) -> Self {
         Problem { file: file.to_owned(), line: None, field: None, message: message.into() }
     }
 
-    /// The same problem at a line, where that is known.
+    /// Sets the line of the problem, or clears it if the line is unknown.
     pub(crate) fn at_line(self, line: impl Into<Option<u64>>) -> Self {
         Problem { line: line.into(), ..self }
     }
 
-    /// The same problem of a field.
+    /// Sets the field that the problem concerns.
     pub(crate) fn of_field(self, field: &'static str) -> Self {
         Problem { field: Some(field), ..self }
     }
--- a/inventory/src/yaml_entries.rs
+++ b/inventory/src/yaml_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of a YAML file: a mapping with the sequence `servers`.
+//! Parses the entries of a YAML file: a mapping with the sequence `servers`.
 
 use crate::entry::{Entry, FIELDS};
 use crate::problem::Problem;
@@ -22,12 +22,12 @@
     state: Option<String>,
 }
 
-/// The entries of a YAML text. Unknown fields are skipped.
+/// Returns the entries of a YAML text. Unknown fields are skipped.
 pub(crate) fn yaml_entries(file: &Path, text: &str) -> Result<Vec<Entry>, Problem> {
     let parsed: YamlFile = serde_saphyr::from_str(text).map_err(|error| {
         let line = error.location().map(|location| location.line());
         let message = error.to_string();
-        Problem::in_file(file, message.lines().next().unwrap_or("is not YAML")).at_line(line)
+        Problem::in_file(file, message.lines().next().unwrap_or("is not valid YAML")).at_line(line)
     })?;
     Ok(parsed.servers.into_iter().map(entry).collect())
 }
@@ -36,7 +36,7 @@
     let line = server.referenced.line();
     let YamlServer { name, address, kind, cell, zone, weight, state } = server.value;
     let weight = weight.map(|weight| weight.to_string());
-    // In the order of `FIELDS`.
+    // The values are in the order of `FIELDS`.
     let values = [name, address, kind, cell, zone, weight, state];
     let named = FIELDS.iter().zip(values).filter_map(|(name, value)| Some((*name, value?)));
     Entry { line, fields: named.collect() }
--- a/inventory/tests/lists.rs
+++ b/inventory/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Good and bad lists, servers that join, leave and restart, and suspicious changes.
+//! Tests of valid and invalid lists, of servers that join and restart, and of suspicious changes.
 
 use petrelshore::interface::{EndpointState, ServerId};
 use petrelshore_inventory::cached_list::CachedList;
@@ -20,13 +20,14 @@
 
 fn read(format: Format, text: &str) -> Result<EndpointList, String> {
     let file = Path::new("inventory");
-    let lines = |problems: Vec<Problem>| problems.iter().map(|problem| format!("{problem}\n")).collect();
-    read_list(file, format, text, &kinds()).map_err(lines)
+    let to_lines = |problems: Vec<Problem>| problems.iter().map(|problem| format!("{problem}\n")).collect();
+    read_list(file, format, text, &kinds()).map_err(to_lines)
 }
 
-fn assert_rejected(format: Format, text: &str, named: &[&str]) {
-    let message = read(format, text).expect_err("the list was taken");
-    assert!(named.iter().all(|name| message.contains(name)), "{message} lacks one of {named:?}");
+/// Asserts that the list is rejected with a message that contains all of `expected`.
+fn assert_rejected(format: Format, text: &str, expected: &[&str]) {
+    let message = read(format, text).expect_err("the list was accepted");
+    assert!(expected.iter().all(|part| message.contains(part)), "'{message}' lacks one of {expected:?}");
 }
 
 #[test]
@@ -68,7 +69,10 @@
 fn truncated_list_is_rejected_or_read_as_full_lines() {
     for cut in 0..CSV.len() {
         if let Ok(list) = read(Format::Csv, &CSV[..cut]) {
-            assert!(CSV[..cut].ends_with('\n'), "a half line was taken at byte {cut}: {list:?}");
+            assert!(
+                CSV[..cut].ends_with('\n'),
+                "a list truncated within a line, at byte {cut}, was accepted: {list:?}"
+            );
         }
     }
 }
@@ -76,21 +80,22 @@
 #[test]
 fn joined_and_unreachable_servers_warm_up_but_a_first_list_does_not() {
     let full = read(Format::Csv, CSV).unwrap();
-    let one = EndpointList { servers: full.servers[..1].to_vec() };
+    let without_writer = EndpointList { servers: full.servers[..1].to_vec() };
     let (reader, writer) = (full.servers[0].id(), full.servers[1].id());
     let mut membership = Membership::new(&kinds(), "here");
-    let first = membership.replace(100, one);
+    let first = membership.replace(100, without_writer);
     assert_eq!((first.entries.len(), first.entries[0].started_at), (1, 0));
     let joined = membership.replace(200, full.clone());
-    let since = |id| joined.entries.iter().find(|entry| entry.server == id).map(|entry| entry.started_at);
-    assert_eq!((since(reader), since(writer)), (Some(0), Some(200)));
-    let gone = membership.unreachable(300, reader).unwrap();
-    assert_eq!((gone.entries[0].server, gone.entries[0].started_at), (reader, 300));
+    let started_at =
+        |id| joined.entries.iter().find(|entry| entry.server == id).map(|entry| entry.started_at);
+    assert_eq!((started_at(reader), started_at(writer)), (Some(0), Some(200)));
+    let restarted = membership.unreachable(300, reader).unwrap();
+    assert_eq!((restarted.entries[0].server, restarted.entries[0].started_at), (reader, 300));
     assert!(membership.unreachable(300, ServerId(9)).is_none());
     let start_times = membership.start_times().clone();
-    let mut later = Membership::new(&kinds(), "here");
-    let remembered = later.restore(CachedList { list: full, start_times });
-    assert!(remembered.entries.iter().any(|entry| entry.server == reader && entry.started_at == 300));
+    let mut next_run = Membership::new(&kinds(), "here");
+    let restored = next_run.restore(CachedList { list: full, start_times });
+    assert!(restored.entries.iter().any(|entry| entry.server == reader && entry.started_at == 300));
 }
 
 #[test]
@@ -101,8 +106,8 @@
     let second = 1_000_000_000;
     assert!(membership.start_reported(50 * second, id, 10 * second).is_none());
     assert!(membership.start_reported(51 * second, id, 11 * second).is_none());
-    let again = membership.start_reported(60 * second, id, 59 * second).unwrap();
-    assert_eq!(again.entries[0].started_at, 59 * second);
+    let restarted = membership.start_reported(60 * second, id, 59 * second).unwrap();
+    assert_eq!(restarted.entries[0].started_at, 59 * second);
     assert!(membership.start_reported(61 * second, id, 59 * second).is_none());
 }
 
@@ -113,18 +118,21 @@
         let mut membership = Membership::new(&["reader".to_owned(), "writer".to_owned()], "here");
         membership.replace(0, read(Format::Csv, CSV).unwrap());
         let id = membership.list().servers[0].id();
-        let (now, before) = (10_000 * second, 5_000 * second);
-        assert!(membership.start_reported(now, id, before).is_none());
-        let told = (now + 9 * second).saturating_add_signed(stepped * second as i64);
-        let again = membership.start_reported(now + 10 * second, id, told).unwrap();
-        let since = again.entries[0].started_at;
-        assert!(since >= now && since <= now + 10 * second, "stepped by {stepped} s: {since}");
+        let (now, first_start) = (10_000 * second, 5_000 * second);
+        assert!(membership.start_reported(now, id, first_start).is_none());
+        let reported = (now + 9 * second).saturating_add_signed(stepped * second as i64);
+        let restarted = membership.start_reported(now + 10 * second, id, reported).unwrap();
+        let started_at = restarted.entries[0].started_at;
+        assert!(
+            started_at >= now && started_at <= now + 10 * second,
+            "server clock stepped by {stepped} s: started at {started_at}"
+        );
     }
 }
 
 #[test]
 fn suspicious_change_is_rejected_once_and_taken_when_offered_again() {
-    let names: String = (1..=8)
+    let rows: String = (1..=8)
         .map(|n| {
             format!(
                 "{n},b{n},{},127.0.0.1:90{n:02},c{},here,1,ready\n",
@@ -133,29 +141,32 @@
             )
         })
         .collect();
-    let text = format!("{}\n{names}", CSV.lines().next().unwrap());
-    let before = read(Format::Csv, &text).unwrap();
-    let keep = |count| EndpointList { servers: before.servers[..count].to_vec() };
+    let text = format!("{}\n{rows}", CSV.lines().next().unwrap());
+    let current = read(Format::Csv, &text).unwrap();
+    let first = |count| EndpointList { servers: current.servers[..count].to_vec() };
     let mut guard = ChangeGuard::default();
-    assert_eq!(guard.check(&before, &before), Ok(()));
-    assert_eq!(guard.check(&before, &keep(5)), Ok(()));
-    assert_eq!(guard.check(&before, &keep(2)), Err(SuspiciousChange::MostLeave { leaving: 6, of: 8 }));
-    let other = EndpointList { servers: before.servers[6..].to_vec() };
-    assert!(guard.check(&before, &other).is_err(), "another list is not the same list offered again");
-    assert_eq!(guard.check(&before, &other), Ok(()));
+    assert_eq!(guard.check(&current, &current), Ok(()));
+    assert_eq!(guard.check(&current, &first(5)), Ok(()));
+    assert_eq!(guard.check(&current, &first(2)), Err(SuspiciousChange::MostLeave { leaving: 6, total: 8 }));
+    let different = EndpointList { servers: current.servers[6..].to_vec() };
     assert!(
-        matches!(guard.check(&before, &other), Err(SuspiciousChange::MostLeave { .. })),
-        "each change is confirmed anew"
+        guard.check(&current, &different).is_err(),
+        "a different list does not confirm the rejected list"
+    );
+    assert_eq!(guard.check(&current, &different), Ok(()));
+    assert!(
+        matches!(guard.check(&current, &different), Err(SuspiciousChange::MostLeave { .. })),
+        "a list that was accepted once needs a new confirmation"
     );
     let moved = read(Format::Csv, &text.replace(",c1,", ",c9,").replace(",c0,", ",c8,")).unwrap();
-    assert_eq!(guard.check(&before, &moved), Err(SuspiciousChange::MostMove { moving: 8, of: 8 }));
-    let no_readers = EndpointList { servers: before.servers[3..].to_vec() };
+    assert_eq!(guard.check(&current, &moved), Err(SuspiciousChange::MostMove { moving: 8, total: 8 }));
+    let no_readers = EndpointList { servers: current.servers[3..].to_vec() };
     assert_eq!(
-        guard.check(&before, &no_readers),
+        guard.check(&current, &no_readers),
         Err(SuspiciousChange::KindEmpty { kind: "reader".to_owned() })
     );
     let draining = read(Format::Csv, &text.replace("ready", "draining")).unwrap();
-    assert!(matches!(guard.check(&before, &draining), Err(SuspiciousChange::MostLeave { leaving: 8, .. })));
-    let few = EndpointList { servers: before.servers[..2].to_vec() };
-    assert_eq!(guard.check(&few, &keep(1)), Ok(()));
+    assert!(matches!(guard.check(&current, &draining), Err(SuspiciousChange::MostLeave { leaving: 8, .. })));
+    let few = EndpointList { servers: current.servers[..2].to_vec() };
+    assert_eq!(guard.check(&few, &first(1)), Ok(()));
 }
