--- a/prefix-index/src/index.rs
+++ b/prefix-index/src/index.rs
@@ -1,8 +1,9 @@
-//! From block hashes to the servers that have them cached.
+//! A hash table that maps each block hash to the set of servers that have the block cached.
 //!
-//! Most blocks are cached by the same few servers as their neighbours, so a block stores the id of a set, and each set is
-//! stored once: 12 bytes for each block and its hash, at the load that the table has. A server that restarts gets a new
-//! slot in the sets; what it had under the old one is out of sight at once, and swept later.
+//! Most blocks are cached by the same few servers as their neighbours, so an entry stores the id of a set, and each
+//! distinct set is stored once. An entry takes 12 bytes, for the hash and the set id; the free positions of the table
+//! come on top. A server that is cleared gets a new slot in the sets when it caches blocks again. Lookups ignore the
+//! old slot at once, and a sweep removes it from the sets later.
 
 use crate::BlockHash;
 use crate::server_sets::{EMPTY_SET, ServerSets, ServerSlot, SetChange, SetId};
@@ -10,69 +11,74 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Marks a block that was looked up; it is spared once when room is needed.
+/// Bit of an entry's set id that marks a block as looked up. The eviction spares a marked block once and clears
+/// the mark.
 const REFERENCED: SetId = 1 << 31;
 const INITIAL_CAPACITY: usize = 1 << 10;
-/// The highest load of the table, in eighths.
+/// The maximum load factor of the table, in eighths.
 const MAX_LOAD_EIGHTHS: usize = 6;
-/// Entries looked at for each one that is evicted, at most.
+/// The maximum number of entries that are examined to evict one.
 const MAX_EVICTION_PROBES: usize = 64;
-/// A multiplier that spreads hashes over all bits: the golden ratio as a fraction of 2^64.
+/// Multiplier of Fibonacci hashing, which spreads hashes over all bits: 2^64 divided by the golden ratio.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The size of an index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Blocks in the index.
+    /// The number of blocks in the index.
     pub blocks: usize,
-    /// Different sets of servers.
+    /// The number of distinct sets of servers.
     pub sets: usize,
-    /// Memory of the table; sets come on top.
+    /// The memory of the table in bytes, without the sets.
     pub bytes: usize,
-    /// Blocks that were evicted for want of room.
+    /// The number of blocks evicted so far because the index was full.
     pub evicted: u64,
 }
 
-/// How much of a prompt a server has cached.
+/// The cached prefix of a prompt on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PrefixMatch {
-    /// The server.
+    /// The server that has the prefix cached.
     pub server: ServerId,
-    /// Blocks of the prompt, from the first on without a gap.
+    /// The length of the cached prefix, in blocks.
     pub blocks: usize,
 }
 
-/// The blocks of all servers.
+/// The cached blocks of all servers.
 #[derive(Debug)]
 pub struct Index {
-    /// Open addressing with linear probing. A hash of zero is stored as one: at worst one more collision.
+    /// The hash at each position of the table, which uses open addressing with linear probing. Zero marks a free
+    /// position. A hash of zero is stored as one, which causes at most one additional collision.
     hashes: Vec<u64>,
-    sets_of: Vec<SetId>,
-    count: usize,
+    /// The set id at each position of the table, with the mark [`REFERENCED`].
+    set_ids: Vec<SetId>,
+    block_count: usize,
     max_blocks: usize,
-    /// Mixed into positions in the table, so that nobody can choose hashes that collide.
+    /// Mixed into the home position of each hash, so that nobody can choose hashes that collide.
     hash_seed: u64,
     sets: ServerSets,
     slots: BTreeMap<ServerId, ServerSlot>,
-    /// By slot; none for one that is being swept.
+    /// The server of each slot; `None` for a slot that is free or still has to be swept.
     servers: Vec<Option<ServerId>>,
     free_slots: Vec<ServerSlot>,
-    /// Slots to be swept, by this sweep and by the next.
+    /// Slots that the current sweep removes from the sets.
     sweeping: Vec<ServerSlot>,
-    swept_next: Vec<ServerSlot>,
-    sweep_at: usize,
-    /// The hand of the clock algorithm by which blocks are evicted.
+    /// Slots that were cleared since the current sweep began, for the next sweep.
+    next_sweep: Vec<ServerSlot>,
+    /// The position of the table that the current sweep examines next.
+    sweep_position: usize,
+    /// The position of the hand of the clock algorithm, which selects the blocks to evict.
     clock_hand: usize,
     evicted: u64,
 }
 
 impl Index {
-    /// An index of at most so many blocks; `seed` is the gateway's own.
+    /// Creates an index of at most `max_blocks` blocks. `seed` is specific to the gateway.
     pub fn new(max_blocks: usize, seed: u64) -> Self {
         Index {
             hashes: vec![0; INITIAL_CAPACITY],
-            sets_of: vec![EMPTY_SET; INITIAL_CAPACITY],
-            count: 0,
+            set_ids: vec![EMPTY_SET; INITIAL_CAPACITY],
+            block_count: 0,
             max_blocks: max_blocks.max(1),
             hash_seed: seed | 1,
             sets: ServerSets::default(),
@@ -80,29 +86,29 @@
             servers: Vec::new(),
             free_slots: Vec::new(),
             sweeping: Vec::new(),
-            swept_next: Vec::new(),
-            sweep_at: 0,
+            next_sweep: Vec::new(),
+            sweep_position: 0,
             clock_hand: 0,
             evicted: 0,
         }
     }
 
-    /// A server has cached a block. False where there are more servers than the index can tell apart.
+    /// Records that a server has cached a block. Returns false if all server slots are in use.
     pub fn insert(&mut self, server: ServerId, block: BlockHash) -> bool {
-        let Some(slot) = self.slot(server) else { return false };
+        let Some(slot) = self.slot_or_assign(server) else { return false };
         let hash = stored_hash(block);
         let at = self.find(hash).unwrap_or_else(|_| self.insert_entry(hash));
-        let before = self.sets_of[at];
+        let before = self.set_ids[at];
         let set = self.sets.changed(before & !REFERENCED, SetChange::Insert(slot));
         self.set_servers(at, set, before & REFERENCED);
         true
     }
 
-    /// A server has evicted a block.
+    /// Records that a server has evicted a block.
     pub fn remove(&mut self, server: ServerId, block: BlockHash) {
         let Some(slot) = self.slots.get(&server).copied() else { return };
         let Ok(at) = self.find(stored_hash(block)) else { return };
-        let before = self.sets_of[at];
+        let before = self.set_ids[at];
         let set = self.sets.changed(before & !REFERENCED, SetChange::Remove(slot));
         self.set_servers(at, set, before & REFERENCED);
         if set == EMPTY_SET {
@@ -110,18 +116,18 @@
         }
     }
 
-    /// A server has nothing cached any more: it cleared its cache, restarted, or left. Costs the same however much it
-    /// had.
+    /// Records that a server has nothing cached any more, because it cleared its cache, restarted or left. The cost
+    /// does not depend on the number of blocks that the server had cached.
     pub fn clear(&mut self, server: ServerId) {
         if let Some(slot) = self.slots.remove(&server) {
             self.servers[usize::from(slot)] = None;
-            self.swept_next.push(slot);
+            self.next_sweep.push(slot);
         }
     }
 
-    /// For each server that has the first block cached, how many of the chain's blocks it has without a gap, as far as
-    /// the blocks looked up show: a server that has a block is taken to have all before it. In no order of servers, but
-    /// the same one for the same history.
+    /// Returns the length of the cached prefix for each server that has the first block of the chain cached. The search
+    /// does not look up every block: it assumes that a server that has a block also has all blocks before it. The order
+    /// of the servers is unspecified, but is the same for the same sequence of calls.
     pub fn matches(&mut self, chain: &[BlockHash]) -> Vec<PrefixMatch> {
         let mut matches = Vec::new();
         if let Some(first) = chain.first() {
@@ -131,8 +137,9 @@
         matches
     }
 
-    /// `holders` have the block at the start of `range`; finds for each the last block of the range that it has. Halves
-    /// the range as long as holders differ, so that a long chain costs few lookups.
+    /// Finds the last block of `range` that each of `holders` has. All `holders` have the block at the start of
+    /// `range`. The search is binary and splits the holders where their prefixes differ, so that a long chain needs few
+    /// lookups.
     fn match_range(
         &mut self,
         chain: &[BlockHash],
@@ -157,45 +164,47 @@
         if middle_holders.is_empty() {
             return self.match_range(chain, start..middle, holders, matches);
         }
-        let (reaching, short) = partition_by_membership(holders, middle_holders);
-        self.match_range(chain, start..middle, short, matches);
-        self.match_range(chain, middle..end, reaching, matches);
+        let (holding, lacking) = partition_by_membership(holders, middle_holders);
+        self.match_range(chain, start..middle, lacking, matches);
+        self.match_range(chain, middle..end, holding, matches);
     }
 
-    /// The slots of the servers that have a block.
+    /// Returns the slots of the servers that have a block, and marks the block as looked up.
     fn holders(&mut self, block: BlockHash) -> &[ServerSlot] {
         let Ok(at) = self.find(stored_hash(block)) else { return &[] };
-        self.sets_of[at] |= REFERENCED;
-        self.sets.members(self.sets_of[at] & !REFERENCED)
+        self.set_ids[at] |= REFERENCED;
+        self.sets.members(self.set_ids[at] & !REFERENCED)
     }
 
-    /// Sweeps what cleared servers had, looking at so many entries. True while there is more to do.
+    /// Removes the slots of cleared servers from the sets of at most `max_entries` table positions. Returns whether
+    /// there is more to sweep.
     pub fn sweep(&mut self, max_entries: usize) -> bool {
         if self.sweeping.is_empty() {
-            if self.swept_next.is_empty() {
+            if self.next_sweep.is_empty() {
                 return false;
             }
-            (self.sweeping, self.sweep_at) = (std::mem::take(&mut self.swept_next), 0);
+            (self.sweeping, self.sweep_position) = (std::mem::take(&mut self.next_sweep), 0);
         }
         for _ in 0..max_entries {
-            if self.sweep_at >= self.hashes.len() {
+            if self.sweep_position >= self.hashes.len() {
                 self.free_slots.append(&mut self.sweeping);
-                return !self.swept_next.is_empty();
+                return !self.next_sweep.is_empty();
             }
-            // Where an entry is erased another may move to its position, which is looked at next.
-            if !self.sweep_entry(self.sweep_at) {
-                self.sweep_at += 1;
+            // After an entry is erased, another entry may have moved to its position, so the position is examined
+            // again.
+            if !self.sweep_entry(self.sweep_position) {
+                self.sweep_position += 1;
             }
         }
         true
     }
 
-    /// Takes slots that are swept out of an entry. True where it was erased.
+    /// Removes the slots of the current sweep from the set of an entry. Returns whether the entry was erased.
     fn sweep_entry(&mut self, at: usize) -> bool {
         if self.hashes[at] == 0 {
             return false;
         }
-        let before = self.sets_of[at];
+        let before = self.set_ids[at];
         let mut set = before & !REFERENCED;
         for &slot in &self.sweeping {
             set = self.sets.changed(set, SetChange::Remove(slot));
@@ -209,19 +218,19 @@
         set == EMPTY_SET
     }
 
-    /// The size that the index has come to.
+    /// Returns the current size of the index.
     pub fn size(&self) -> Size {
         let entry_bytes = size_of::<u64>() + size_of::<SetId>();
         Size {
-            blocks: self.count,
+            blocks: self.block_count,
             sets: self.sets.len(),
             bytes: self.hashes.len() * entry_bytes,
             evicted: self.evicted,
         }
     }
 
-    /// The slot of a server, a new one where it has none; none where all are in use.
-    fn slot(&mut self, server: ServerId) -> Option<ServerSlot> {
+    /// Returns the slot of a server, and assigns a slot if the server has none. Returns `None` if all slots are in use.
+    fn slot_or_assign(&mut self, server: ServerId) -> Option<ServerSlot> {
         if let Some(slot) = self.slots.get(&server) {
             return Some(*slot);
         }
@@ -238,72 +247,74 @@
         Some(slot)
     }
 
-    /// Gives an entry another set, with the mark of a lookup or without.
+    /// Replaces the set of an entry. `referenced` is [`REFERENCED`] or zero.
     fn set_servers(&mut self, at: usize, set: SetId, referenced: SetId) {
-        let before = self.sets_of[at] & !REFERENCED;
+        let before = self.set_ids[at] & !REFERENCED;
         if before != set {
             self.sets.acquire(set);
             self.sets.release(before);
         }
-        self.sets_of[at] = set | referenced;
+        self.set_ids[at] = set | referenced;
     }
 
-    /// Where the search for a hash begins.
+    /// Returns the position at which the search for a hash begins.
     fn home_position(&self, hash: u64) -> usize {
         let mixed = (hash ^ self.hash_seed).wrapping_mul(HASH_MULTIPLIER);
         (mixed >> 32) as usize & (self.hashes.len() - 1)
     }
 
-    /// Where a hash is, or where it would go.
+    /// Returns the position of a hash, or as an error the free position at which it would be inserted.
     fn find(&self, hash: u64) -> Result<usize, usize> {
         let mut at = self.home_position(hash);
         loop {
             match self.hashes[at] {
                 0 => return Err(at),
-                there if there == hash => return Ok(at),
+                stored if stored == hash => return Ok(at),
                 _ => at = (at + 1) & (self.hashes.len() - 1),
             }
         }
     }
 
-    /// Takes an entry out and closes the gap, so that every other is still found.
+    /// Erases an entry and moves later entries back to close the gap, so that every other entry is still found.
     fn erase(&mut self, at: usize) {
         let mask = self.hashes.len() - 1;
         let (mut gap, mut next) = (at, (at + 1) & mask);
         self.set_servers(at, EMPTY_SET, 0);
         while self.hashes[next] != 0 {
             let home = self.home_position(self.hashes[next]);
-            // It may move back unless its home is after the gap.
+            // The entry may move back into the gap unless its home position is after the gap.
             if (next.wrapping_sub(home) & mask) >= (next.wrapping_sub(gap) & mask) {
-                (self.hashes[gap], self.sets_of[gap]) = (self.hashes[next], self.sets_of[next]);
-                // An entry that moves back past the sweep must not be missed by it: its slots are given out again.
-                self.sweep_at = self.sweep_at.min(gap);
+                (self.hashes[gap], self.set_ids[gap]) = (self.hashes[next], self.set_ids[next]);
+                // The sweep must not miss an entry that moves back past its position: the swept slots are reassigned to
+                // other servers.
+                self.sweep_position = self.sweep_position.min(gap);
                 gap = next;
             }
             next = (next + 1) & mask;
         }
-        (self.hashes[gap], self.sets_of[gap]) = (0, EMPTY_SET);
-        self.count -= 1;
+        (self.hashes[gap], self.set_ids[gap]) = (0, EMPTY_SET);
+        self.block_count -= 1;
     }
 
-    /// Adds an entry without servers, and returns its position.
+    /// Inserts an entry with the empty set and returns its position.
     fn insert_entry(&mut self, hash: u64) -> usize {
         self.make_room();
         let at = self.find(hash).unwrap_or_else(|free| free);
-        (self.hashes[at], self.sets_of[at]) = (hash, EMPTY_SET);
-        self.count += 1;
+        (self.hashes[at], self.set_ids[at]) = (hash, EMPTY_SET);
+        self.block_count += 1;
         at
     }
 
     fn make_room(&mut self) {
-        if self.count >= self.max_blocks {
+        if self.block_count >= self.max_blocks {
             self.evict_one();
-        } else if (self.count + 1) * 8 > self.hashes.len() * MAX_LOAD_EIGHTHS {
+        } else if (self.block_count + 1) * 8 > self.hashes.len() * MAX_LOAD_EIGHTHS {
             self.grow();
         }
     }
 
-    /// Evicts a block that nobody has looked up since the hand last passed it.
+    /// Evicts a block that was not looked up since the clock hand last passed it, or any block after
+    /// [`MAX_EVICTION_PROBES`] probes.
     fn evict_one(&mut self) {
         let mut probes = 0;
         loop {
@@ -312,8 +323,8 @@
                 continue;
             }
             probes += 1;
-            if self.sets_of[self.clock_hand] & REFERENCED != 0 && probes < MAX_EVICTION_PROBES {
-                self.sets_of[self.clock_hand] &= !REFERENCED;
+            if self.set_ids[self.clock_hand] & REFERENCED != 0 && probes < MAX_EVICTION_PROBES {
+                self.set_ids[self.clock_hand] &= !REFERENCED;
                 continue;
             }
             self.erase(self.clock_hand);
@@ -323,24 +334,24 @@
     }
 
     fn grow(&mut self) {
-        let size = self.hashes.len() * 2;
-        let hashes = std::mem::replace(&mut self.hashes, vec![0; size]);
-        let sets = std::mem::replace(&mut self.sets_of, vec![EMPTY_SET; size]);
+        let capacity = self.hashes.len() * 2;
+        let hashes = std::mem::replace(&mut self.hashes, vec![0; capacity]);
+        let sets = std::mem::replace(&mut self.set_ids, vec![EMPTY_SET; capacity]);
         for (hash, set) in hashes.into_iter().zip(sets).filter(|(hash, _)| *hash != 0) {
             let at = self.find(hash).unwrap_or_else(|free| free);
-            (self.hashes[at], self.sets_of[at]) = (hash, set);
+            (self.hashes[at], self.set_ids[at]) = (hash, set);
         }
-        // Positions have changed: a sweep under way starts over.
-        self.sweep_at = 0;
+        // Entries have moved to other positions, so the current sweep starts over.
+        self.sweep_position = 0;
     }
 }
 
-/// The hash by which a block is stored: zero marks a free position.
+/// Returns the hash under which a block is stored, which is never zero because zero marks a free position.
 fn stored_hash(block: BlockHash) -> u64 {
     block.0.max(1)
 }
 
-/// The slots that are among others, and those that are not; all are in ascending order.
+/// Splits `slots` into the slots that are in `others` and the slots that are not. All lists are in ascending order.
 fn partition_by_membership(
     slots: Vec<ServerSlot>,
     others: &[ServerSlot],
--- a/prefix-index/src/lib.rs
+++ b/prefix-index/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which model server has which prompt prefix cached, as the servers' own cache events report.
+//! Tracks which model server has which prompt prefix cached, based on the cache events that the servers report.
 //!
-//! [`index`] stores it block by block; [`event_feed`] puts one server's batches of events in order and says when its
-//! reports can't be relied on; [`trust`] compares what was promised with what prefills found. No I/O and no clock.
+//! [`index`] maps each block to the servers that have it cached. [`event_feed`] puts the event batches of one server in
+//! order and tells when the index of that server may be wrong. [`trust`] compares the cached tokens that the index
+//! predicts with the cached tokens that prefills find. The package does no I/O and reads no clock.
 //!
-//! A block is identified by a hash that is chained over all blocks before it, so that it stands for a whole prefix.
+//! The hash of a block covers the block and all blocks before it, so that a block hash identifies a whole prefix.
 
 pub mod event_feed;
 pub mod index;
 mod server_sets;
 pub mod trust;
 
-/// Identifies a block of a prompt and everything before it.
+/// The hash of a block of a prompt and all blocks before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BlockHash(pub u64);
--- a/prefix-index/src/server_sets.rs
+++ b/prefix-index/src/server_sets.rs
@@ -1,25 +1,25 @@
-//! Sets of servers, each stored once however many blocks use it.
+//! Interned sets of servers: each distinct set is stored once, regardless of the number of blocks that use it.
 
 use std::collections::HashMap;
 
-/// The place of a server in sets. Those of servers that were cleared are free again after a full sweep.
+/// Represents a server in sets. The slot of a cleared server is free again after a full sweep of the index.
 pub(crate) type ServerSlot = u16;
-/// Identifies a set.
+/// The id of a set.
 pub(crate) type SetId = u32;
 
-/// The set without members.
+/// The id of the empty set.
 pub(crate) const EMPTY_SET: SetId = 0;
 
-/// What is done to a set to get another one.
+/// A change that derives one set from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SetChange {
-    /// Put a slot in.
+    /// Insert a slot.
     Insert(ServerSlot),
-    /// Take a slot out.
+    /// Remove a slot.
     Remove(ServerSlot),
 }
 
-/// A change of a set and the set it led to.
+/// A change of a set, with the resulting set.
 #[derive(Debug)]
 struct Transition {
     from: SetId,
@@ -27,33 +27,35 @@
     to: SetId,
 }
 
-/// Sets of slots, with how many blocks use each.
+/// Sets of slots, each with the number of blocks that use it.
 #[derive(Debug, Default)]
 pub(crate) struct ServerSets {
+    /// The slots of each set in ascending order, by set id.
     members: Vec<Box<[ServerSlot]>>,
+    /// The number of blocks that use each set, by set id.
     use_counts: Vec<u64>,
-    free: Vec<SetId>,
+    free_ids: Vec<SetId>,
     by_members: HashMap<Box<[ServerSlot]>, SetId>,
-    /// The last change: neighbouring blocks change alike.
+    /// The last change, cached because neighbouring blocks usually change in the same way.
     last_transition: Option<Transition>,
 }
 
 impl ServerSets {
-    /// The slots of a set, in order.
+    /// Returns the slots of a set, in ascending order.
     pub(crate) fn members(&self, set: SetId) -> &[ServerSlot] {
         self.members.get(set as usize).map_or(&[], |members| members)
     }
 
-    /// How many sets are in use.
+    /// Returns the number of nonempty sets in use.
     pub(crate) fn len(&self) -> usize {
         self.by_members.len()
     }
 
-    /// The set that a change leads to.
+    /// Returns the set that results from a change of `set`, which itself stays as it is.
     pub(crate) fn changed(&mut self, set: SetId, change: SetChange) -> SetId {
         if let Some(last) = &self.last_transition
             && (last.from, last.change) == (set, change)
-            && self.is_alive(last.to)
+            && self.is_in_use(last.to)
         {
             return last.to;
         }
@@ -73,11 +75,11 @@
         to
     }
 
-    fn is_alive(&self, set: SetId) -> bool {
+    fn is_in_use(&self, set: SetId) -> bool {
         self.use_counts.get(set as usize).is_some_and(|uses| set == EMPTY_SET || *uses > 0)
     }
 
-    /// The one set with these members.
+    /// Returns the id of the set with these members, and creates the set if there is none.
     fn intern(&mut self, members: Box<[ServerSlot]>) -> SetId {
         if members.is_empty() {
             return EMPTY_SET;
@@ -86,10 +88,10 @@
             return *known;
         }
         if self.members.is_empty() {
-            // The empty set.
+            // The id of the empty set has to be the first.
             self.push(Box::default());
         }
-        let id = self.free.pop().unwrap_or(self.members.len() as SetId);
+        let id = self.free_ids.pop().unwrap_or(self.members.len() as SetId);
         if id as usize == self.members.len() {
             self.push(members.clone());
         } else {
@@ -104,14 +106,14 @@
         self.use_counts.push(0);
     }
 
-    /// One more block uses a set.
+    /// Increments the number of blocks that use a set.
     pub(crate) fn acquire(&mut self, set: SetId) {
         if set != EMPTY_SET {
             self.use_counts[set as usize] += 1;
         }
     }
 
-    /// One block less uses a set, which is freed with its last.
+    /// Decrements the number of blocks that use a set, and frees the set when no block uses it.
     pub(crate) fn release(&mut self, set: SetId) {
         if set == EMPTY_SET {
             return;
@@ -121,7 +123,7 @@
         if *uses == 0 {
             let members = std::mem::take(&mut self.members[set as usize]);
             self.by_members.remove(&members);
-            self.free.push(set);
+            self.free_ids.push(set);
             self.last_transition = None;
         }
     }
