--- a/bench-adapter/src/endpoints.rs
+++ b/bench-adapter/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists on the wire, and the names of servers behind their ids.
+//! Decodes the endpoint lists of the wire, and maps server ids back to the names that the wire uses.
 
 use crate::error::WireError;
 use crate::line::Line;
@@ -9,14 +9,14 @@
 
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The names that the wire calls servers by.
+/// The names that the wire uses for servers, by server id.
 #[derive(Default)]
 pub(crate) struct ServerNames {
     names: HashMap<ServerId, String>,
 }
 
 impl ServerNames {
-    /// The id of a name, which is known from now on.
+    /// Stores the name of a server and returns its id. Fails if another name has the same id.
     fn register(&mut self, name: &str) -> Result<ServerId, WireError> {
         let server = ServerId(stable_id(name));
         if self.names.entry(server).or_insert_with(|| name.to_owned()) != name {
@@ -25,7 +25,7 @@
         Ok(server)
     }
 
-    /// The name of a server that was listed.
+    /// Returns the name of a server that an endpoint list contained.
     pub(crate) fn name(&self, server: ServerId) -> &str {
         &self.names[&server]
     }
--- a/bench-adapter/src/error.rs
+++ b/bench-adapter/src/error.rs
@@ -1,46 +1,48 @@
-//! Why the adapter stops: input that is malformed, or pipes that fail.
+//! The errors that stop the adapter: malformed input, or pipes that fail.
 
 use petrelshore_platform_protocol::DecodeError;
 use std::error::Error;
 use std::fmt;
 
-/// What is wrong with the input. Nothing malformed is guessed at.
+/// An error in the input. The adapter never guesses the meaning of malformed input.
 #[derive(Debug)]
 pub(crate) enum WireError {
-    /// A part of a line is not a field.
+    /// A part of a line does not have the form `name=value`.
     NotNameValue { message: String, text: String },
-    /// A field is not there.
+    /// A required field is missing.
     Missing { message: String, field: &'static str },
-    /// A field has another form than it should, or a value out of range.
+    /// A field's value is malformed or out of range.
     Invalid { message: String, field: &'static str, value: String },
-    /// A number is one that has no meaning here.
+    /// A field's value is a number that the field does not allow.
     OutOfRange { message: String, field: &'static str, value: String },
-    /// The options of a gateway are not JSON.
+    /// The options of a gateway are not valid JSON.
     Options(serde_json::Error),
-    /// The options of a gateway are not settings.
+    /// The options of a gateway are not valid settings.
     Settings(DecodeError),
-    /// A message is for an instance that was never configured.
+    /// A message addresses an instance that is not configured.
     UnknownInstance { message: String, instance: u64 },
-    /// Two servers' names have the same id.
+    /// The names of two servers have the same id.
     AmbiguousServer { name: String },
-    /// A batch begins with another message.
+    /// A batch begins with a message other than `SYNC`.
     NotABatch { message: String },
-    /// An endpoint list has an entry of another kind.
+    /// An entry of an endpoint list is a message other than `SERVER`.
     NotAnEntry { message: String },
-    /// The message is unknown.
+    /// The kind of a message is unknown.
     UnknownMessage { message: String },
     /// The input ended within a line.
     TruncatedLine,
     /// The input ended within a batch.
     TruncatedBatch,
-    /// The input can't be read.
+    /// The input could not be read.
     Input(std::io::Error),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::NotNameValue { message, text } => write!(f, "{message}: '{text}' is not name=value"),
+            WireError::NotNameValue { message, text } => {
+                write!(f, "{message}: '{text}' does not have the form name=value")
+            }
             WireError::Missing { message, field } => write!(f, "{message}: field {field} is missing"),
             WireError::Invalid { message, field, value } => {
                 write!(f, "{message}: field {field} is malformed or out of range: '{value}'")
@@ -54,15 +56,19 @@
                 write!(f, "{message}: field i: instance {instance} is not configured")
             }
             WireError::AmbiguousServer { name } => {
-                write!(f, "SERVER: field server: '{name}' cannot be told from another name")
+                write!(f, "SERVER: field server: the id of '{name}' is also the id of another server's name")
+            }
+            WireError::NotABatch { message } => {
+                write!(f, "a batch has to begin with SYNC, not with '{message}'")
             }
-            WireError::NotABatch { message } => write!(f, "a batch begins with SYNC, not '{message}'"),
             WireError::NotAnEntry { message } => {
-                write!(f, "MEMBERS: an entry begins with SERVER, not '{message}'")
+                write!(f, "MEMBERS: an entry has to begin with SERVER, not with '{message}'")
+            }
+            WireError::UnknownMessage { message } => {
+                write!(f, "'{message}' is not a message that a gateway accepts")
             }
-            WireError::UnknownMessage { message } => write!(f, "'{message}' is not a message of this wire"),
-            WireError::TruncatedLine => f.write_str("the line is cut short"),
-            WireError::TruncatedBatch => f.write_str("the batch is cut short"),
+            WireError::TruncatedLine => f.write_str("the input ended within a line"),
+            WireError::TruncatedBatch => f.write_str("the input ended within a batch"),
             WireError::Input(error) => error.fmt(f),
         }
     }
@@ -79,12 +85,12 @@
     }
 }
 
-/// Why the adapter stops before its input ends.
+/// The reason why the adapter stops before its input ends.
 #[derive(Debug)]
 pub(crate) enum AdapterError {
-    /// The input is malformed in this line, counted from one.
+    /// The input is malformed, or could not be read, at this line. Line numbers begin with 1.
     Input { line: usize, error: WireError },
-    /// The replies can't be written.
+    /// The replies could not be written.
     Output(std::io::Error),
 }
 
--- a/bench-adapter/src/event.rs
+++ b/bench-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Messages of the wire to one gateway, as typed events.
+//! Decodes the messages of the wire to one gateway into typed events.
 
 use crate::endpoints::{ServerNames, decode_endpoints};
 use crate::error::WireError;
@@ -11,12 +11,12 @@
 use petrelshore_gateway_core::{NewSequence, Relay};
 use petrelshore_platform_protocol::settings::{self, Names};
 
-/// The mark of the timer for the next poll of the endpoint list. Other marks are the ids of sequences.
+/// The mark of the timer for the next poll of the endpoint list. The marks of other timers are sequence ids.
 pub(crate) const POLL_MARK: &str = "list";
-/// The wire's number for the tenant of requests without one.
+/// The value of the field `team` in a request without a tenant.
 const NO_TENANT: &str = "0";
 
-/// What a gateway is started with.
+/// The settings and the random seed that a gateway is started with.
 pub(crate) struct Configuration {
     pub(crate) deployment: Deployment,
     pub(crate) names: Names,
@@ -31,18 +31,18 @@
     }
 }
 
-/// A timer that has fired.
+/// A timer that fired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Timer {
-    /// The endpoint list is to be polled.
+    /// The time to poll the endpoint list has come.
     PollEndpoints,
-    /// A sequence may be scheduled again.
+    /// The time to schedule a sequence again has come.
     RetryScheduling(SequenceId),
-    /// A mark that this adapter never set.
+    /// The timer has a mark that the adapter never sets.
     Unknown,
 }
 
-/// What a server reported of its load, if it did.
+/// A server and its load report; the report is `None` if the message carries none.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerLoad {
     pub(crate) server: ServerId,
@@ -51,28 +51,28 @@
 
 /// An event for one gateway.
 pub(crate) enum Event {
-    /// A client's request.
+    /// A client sent a request.
     Request(NewSequence),
-    /// An attempt's first token has come.
+    /// The first token of an attempt arrived.
     FirstToken { id: SequenceId, attempt: usize },
-    /// An attempt has ended. `is_last` where none will follow it.
+    /// An attempt ended. `is_last` if no further attempt of the sequence may follow.
     AttemptFinished { id: SequenceId, attempt: usize, outcome: Outcome, is_last: bool, load: ServerLoad },
-    /// A client has cancelled its request.
+    /// A client cancelled its request.
     ClientCancelled(SequenceId),
-    /// A timer has fired.
+    /// A timer fired.
     TimerFired(Timer),
-    /// A server was asked for its load.
+    /// The reply to a request for a server's load arrived.
     LoadReported(ServerLoad),
-    /// The endpoint list, or what has changed in it.
+    /// The endpoint list, or the changes to it, arrived.
     EndpointList { scope: SnapshotKind, endpoints: Vec<Endpoint> },
     /// The endpoint list could not be polled.
     EndpointPollFailed,
-    /// A message that means nothing to this gateway.
+    /// The message has no effect on the gateway.
     Ignored,
 }
 
 impl Event {
-    /// Decodes a message that comes on a line of its own.
+    /// Decodes a message that consists of a single line.
     pub(crate) fn decode(line: &Line, names: &Names, now: Nanos) -> Result<Self, WireError> {
         match line.kind {
             "REQ" => decode_request(line, names, now).map(Event::Request),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Decodes an endpoint list with the lines of its entries.
+    /// Decodes an endpoint list from its first line and the lines of its entries.
     pub(crate) fn decode_list(
         line: &Line,
         entries: &[Line],
--- a/bench-adapter/src/event/tests.rs
+++ b/bench-adapter/src/event/tests.rs
@@ -19,7 +19,7 @@
     Event::decode(&line, &names(), 1_000).map_err(|error| error.to_string())
 }
 
-fn error(text: &str) -> String {
+fn error_of(text: &str) -> String {
     decode(text).err().unwrap_or_default()
 }
 
@@ -32,10 +32,10 @@
     assert!(new.tenant.is_some());
     let without =
         |field: &str| text.split(' ').filter(|part| !part.starts_with(field)).collect::<Vec<_>>().join(" ");
-    assert_eq!(error(&without("budget")), "REQ: field budget is missing");
-    assert_eq!(error(&without("ticket")), "REQ: field ticket is missing");
+    assert_eq!(error_of(&without("budget")), "REQ: field budget is missing");
+    assert_eq!(error_of(&without("ticket")), "REQ: field ticket is missing");
     let unknown = text.replace("isles", "nobody");
-    assert_eq!(error(&unknown), "REQ: field team is malformed or out of range: 'nobody'");
+    assert_eq!(error_of(&unknown), "REQ: field team is malformed or out of range: 'nobody'");
 }
 
 #[test]
@@ -54,7 +54,7 @@
         assert_eq!((attempt, outcome, is_last, load.report.is_none()), (2, expected, true, true));
     }
     let other = "CLOSED_ATTEMPT ticket=00000000000000aa n=2 server=a disposition=8";
-    assert_eq!(error(other), "CLOSED_ATTEMPT: field disposition is out of range: '8'");
+    assert_eq!(error_of(other), "CLOSED_ATTEMPT: field disposition is out of range: '8'");
 }
 
 #[test]
@@ -68,6 +68,6 @@
 #[test]
 fn unknown_messages_are_rejected_and_some_known_ones_ignored() {
     assert!(matches!(decode("WHISPER i=3 message=a=b c"), Ok(Event::Ignored)));
-    assert_eq!(error("nonsense i=3"), "'nonsense' is not a message of this wire");
-    assert_eq!(error("REQ i"), "REQ: 'i' is not name=value");
+    assert_eq!(error_of("nonsense i=3"), "'nonsense' is not a message that a gateway accepts");
+    assert_eq!(error_of("REQ i"), "REQ: 'i' does not have the form name=value");
 }
--- a/bench-adapter/src/input.rs
+++ b/bench-adapter/src/input.rs
@@ -1,4 +1,4 @@
-//! Input by lines, counted for messages about what is malformed.
+//! Reads the input line by line and counts the lines, for error messages.
 
 use crate::error::WireError;
 use std::io::BufRead;
@@ -14,12 +14,12 @@
         Lines { input, number: 0 }
     }
 
-    /// The number of the line that was read last, counted from one.
+    /// Returns the number of the line that was read last. Line numbers begin with 1.
     pub(crate) fn number(&self) -> usize {
         self.number
     }
 
-    /// The next line; none where the input has ended.
+    /// Reads the next line; `None` if the input has ended.
     pub(crate) fn next(&mut self) -> Result<Option<String>, WireError> {
         let mut text = String::new();
         self.number += 1;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The next line of a batch, which ends with a line of its own.
+    /// Reads the next line of a batch. The end of the input is an error, because the line `GO` has to end the batch.
     pub(crate) fn next_in_batch(&mut self) -> Result<String, WireError> {
         self.next()?.ok_or(WireError::TruncatedBatch)
     }
--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One gateway on the wire: a request manager and what it needs to speak the wire. It decides nothing itself.
+//! One gateway on the wire: a request manager, and the names that translate between the manager and the wire. The
+//! request manager makes all decisions.
 
 use crate::endpoints::ServerNames;
 use crate::error::WireError;
@@ -10,7 +11,7 @@
 use petrelshore_platform_protocol::settings::Names;
 use std::fmt::Write;
 
-/// A gateway that was configured.
+/// A configured gateway.
 pub(crate) struct Instance {
     number: u64,
     manager: RequestManager,
@@ -20,7 +21,7 @@
 }
 
 impl Instance {
-    /// Starts a gateway, whose first replies are added to `replies`.
+    /// Starts a gateway and appends its first replies to `replies`.
     pub(crate) fn start(number: u64, now: Nanos, configuration: Configuration, replies: &mut String) -> Self {
         let Configuration { deployment, names, seed } = configuration;
         if deployment.discovery == Discovery::Polled {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Decodes a message for this gateway; `entries` are the further lines of an endpoint list.
+    /// Decodes a message for this gateway; `entries` are the entries of an endpoint list.
     pub(crate) fn decode(&mut self, line: &Line, entries: &[Line], now: Nanos) -> Result<Event, WireError> {
         match line.kind {
             "MEMBERS" => Event::decode_list(line, entries, &self.names, &mut self.servers),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Handles an event, and adds the replies that follow from it.
+    /// Handles an event and appends the resulting replies to `replies`.
     pub(crate) fn handle(&mut self, now: Nanos, event: Event, replies: &mut String) {
         match event {
             Event::Request(new) => self.manager.accept(now, new, &mut self.actions),
@@ -82,8 +83,9 @@
         }
     }
 
-    /// Writes the actions that are this wire's to apply. The bench itself keeps the timeouts, breaks off what its
-    /// clients have cancelled, and gives the last outcomes as final answers.
+    /// Writes the actions as replies, except those that have no message on the wire: the bench itself enforces the
+    /// attempt timeouts, ends the attempts of cancelled requests, and takes the outcome of the last attempt as the
+    /// final answer.
     fn write_actions(&mut self, replies: &mut String) {
         for action in self.actions.drain(..) {
             let command = match action {
--- a/bench-adapter/src/main.rs
+++ b/bench-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Drives the scheduler over the bench's wire: batches on standard input, replies on standard output.
+//! Connects the scheduler to the bench: reads batches of messages from standard input and writes the replies to
+//! standard output.
 
 mod endpoints;
 mod error;
--- a/bench-adapter/src/reply.rs
+++ b/bench-adapter/src/reply.rs
@@ -1,28 +1,28 @@
-//! Messages of the wire from a gateway.
+//! The messages of the wire that a gateway sends to the bench.
 
 use crate::event::POLL_MARK;
 use petrelshore::interface::{Nanos, SequenceId};
 use std::fmt;
 
-/// What a gateway asks the bench to do, without the gateway's number.
+/// A request of a gateway to the bench, without the gateway's number.
 pub(crate) enum Command<'a> {
     /// Send the endpoint list.
     PollEndpoints,
-    /// Send a sequence to a server, and break it off after the timeout.
+    /// Send a sequence to a server, and end the attempt after the timeout, in nanoseconds.
     Forward { id: SequenceId, timeout: Nanos, server: &'a str },
-    /// Report when it is time to schedule a sequence again.
+    /// Send a timer message at the given time, to schedule a sequence again.
     WakeAt { id: SequenceId, at: Nanos },
-    /// Report when it is time to poll the endpoint list.
+    /// Send a timer message at the given time, to poll the endpoint list.
     PollAt { at: Nanos },
-    /// Reject a sequence, perhaps with a time to come back.
+    /// Reject a sequence; `retry_after` is the time until the client may retry it, in nanoseconds.
     Reject { id: SequenceId, retry_after: Option<Nanos> },
-    /// Give a sequence up that has begun.
+    /// Abort a sequence that may have run.
     Abort { id: SequenceId },
-    /// Release a sequence's KV cache.
+    /// Release the KV caches of a sequence.
     Release { id: SequenceId },
 }
 
-/// A command of one gateway, as a line.
+/// A command of one gateway, displayed as a line of the wire.
 pub(crate) struct Reply<'a> {
     pub(crate) instance: u64,
     pub(crate) command: Command<'a>,
@@ -38,8 +38,8 @@
             }
             Command::WakeAt { id, at } => write!(f, "REMIND i={i} mark={:016x} fireAt={at}", id.0),
             Command::PollAt { at } => write!(f, "REMIND i={i} mark={POLL_MARK} fireAt={at}"),
-            Command::Reject { id, retry_after: Some(pause) } => {
-                write!(f, "NOT_NOW i={i} ticket={:016x} coolDown={pause}", id.0)
+            Command::Reject { id, retry_after: Some(delay) } => {
+                write!(f, "NOT_NOW i={i} ticket={:016x} coolDown={delay}", id.0)
             }
             Command::Reject { id, retry_after: None } => write!(f, "NOT_NOW i={i} ticket={:016x}", id.0),
             Command::Abort { id } => write!(f, "GIVE_UP i={i} ticket={:016x}", id.0),
--- a/bench-adapter/src/session.rs
+++ b/bench-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! A run of the adapter: batches of messages in, replies out.
+//! A run of the adapter: reads batches of messages and writes the replies to each.
 
 use crate::error::{AdapterError, WireError};
 use crate::event::Configuration;
@@ -9,14 +9,15 @@
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
-/// Later times are mistakes: sums with them must not overflow.
+/// The latest time that the adapter accepts, in nanoseconds. A later time is an error; the limit keeps sums of
+/// times from overflowing.
 const MAX_CLOCK: Nanos = Nanos::MAX / 4;
 
-/// Answers each batch of the input until it ends.
+/// Reads batches and writes their replies until the input ends.
 pub(crate) fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session { lines: Lines::new(input), instances: HashMap::new(), clock: 0 };
     loop {
-        let replies = session.batch();
+        let replies = session.process_batch();
         match replies.map_err(|error| AdapterError::Input { line: session.lines.number(), error })? {
             Some(replies) => {
                 let written = output.write_all(replies.as_bytes()).and_then(|()| output.flush());
@@ -34,8 +35,8 @@
 }
 
 impl<R: BufRead> Session<R> {
-    /// Reads one batch and returns its replies; none where the input has ended.
-    fn batch(&mut self) -> Result<Option<String>, WireError> {
+    /// Processes one batch and returns its replies; `None` if the input has ended.
+    fn process_batch(&mut self) -> Result<Option<String>, WireError> {
         let Some(text) = self.lines.next()? else { return Ok(None) };
         self.advance_clock(&Line::split(&text)?)?;
         let mut replies = String::new();
@@ -45,13 +46,13 @@
             if line.kind == "GO" {
                 break;
             }
-            self.message(&line, &mut replies)?;
+            self.process_message(&line, &mut replies)?;
         }
         replies.push_str("READY\n");
         Ok(Some(replies))
     }
 
-    /// A batch begins with the time, which never goes back.
+    /// Sets the clock to the time in the first line of a batch. Time never goes back.
     fn advance_clock(&mut self, line: &Line) -> Result<(), WireError> {
         if line.kind != "SYNC" {
             return Err(WireError::NotABatch { message: line.kind.to_owned() });
@@ -64,7 +65,7 @@
         Ok(())
     }
 
-    fn message(&mut self, line: &Line, replies: &mut String) -> Result<(), WireError> {
+    fn process_message(&mut self, line: &Line, replies: &mut String) -> Result<(), WireError> {
         let number: u64 = line.parsed_required("i")?;
         match line.kind {
             "CONFIGURE" => {
@@ -80,16 +81,16 @@
         }
         let unknown = || WireError::UnknownInstance { message: line.kind.to_owned(), instance: number };
         let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
-        let texts = entry_texts(&mut self.lines, line)?;
-        let entries = entries(&texts)?;
+        let texts = read_entries(&mut self.lines, line)?;
+        let entries = split_entries(&texts)?;
         let event = instance.decode(line, &entries, self.clock)?;
         instance.handle(self.clock, event, replies);
         Ok(())
     }
 }
 
-/// The further lines of a message: the entries of an endpoint list.
-fn entry_texts(lines: &mut Lines<impl BufRead>, line: &Line) -> Result<Vec<String>, WireError> {
+/// Reads the lines that follow the first line of a message: the entries of an endpoint list.
+fn read_entries(lines: &mut Lines<impl BufRead>, line: &Line) -> Result<Vec<String>, WireError> {
     if line.kind != "MEMBERS" {
         return Ok(Vec::new());
     }
@@ -97,7 +98,7 @@
     (0..count).map(|_| lines.next_in_batch()).collect()
 }
 
-fn entries(texts: &[String]) -> Result<Vec<Line<'_>>, WireError> {
+fn split_entries(texts: &[String]) -> Result<Vec<Line<'_>>, WireError> {
     let entries = texts.iter().map(|text| Line::split(text)).collect::<Result<Vec<_>, _>>()?;
     match entries.iter().find(|entry| entry.kind != "SERVER") {
         Some(other) => Err(WireError::NotAnEntry { message: other.kind.to_owned() }),
