--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,43 +1,43 @@
-//! Why a command failed, as it is printed on standard error.
+//! The errors of the command, as they are printed on standard error.
 
 use petrelshore_chat_gateway::ReloadError;
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// Problems of a settings file.
+    /// A settings file has problems.
     Settings(Vec<petrelshore_settings::Problem>),
-    /// Problems of an inventory file.
+    /// An inventory file has problems.
     Inventory(Vec<petrelshore_inventory::Problem>),
-    /// An inventory file whose name ends in no known format.
+    /// The extension of an inventory file does not belong to a known format.
     UnknownInventoryFormat(PathBuf),
-    /// The platform's configuration could not be had.
+    /// The configuration of a platform gateway could not be read.
     Configuration(ConfigurationError),
     /// The gateway could not start from its inventory.
     Start(ReloadError),
-    /// The process could not catch its signals.
+    /// The process could not register its signal handlers.
     Signals(io::Error),
-    /// A file or an address, and what the system said of it.
+    /// The operating system reported an error about a file or an address.
     Io { subject: String, source: io::Error },
-    /// An emulated fleet could not be started or played against.
+    /// Emulated model servers, or a load or rehearsal against them, failed.
     Emulation(String),
-    /// A rehearsal broke rules so many times.
+    /// A rehearsal found this number of rule violations.
     RulesBroken(usize),
-    /// A rehearsal left so many sequences or KV caches behind.
+    /// This number of sequences and KV caches was still present after a rehearsal.
     LeftBehind(usize),
 }
 
 impl CommandError {
-    /// What the system said of a file or an address.
+    /// Returns a function that converts an I/O error about a file or an address.
     pub fn io(subject: impl fmt::Display) -> impl FnOnce(io::Error) -> CommandError {
         let subject = subject.to_string();
         move |source| CommandError::Io { subject, source }
     }
 
-    /// Why an emulated fleet could not be started or played against.
+    /// Converts an error of emulated model servers, or of a load or rehearsal against them.
     pub fn emulation(error: impl fmt::Display) -> CommandError {
         CommandError::Emulation(error.to_string())
     }
@@ -49,27 +49,33 @@
             CommandError::Settings(problems) => write_lines(f, problems),
             CommandError::Inventory(problems) => write_lines(f, problems),
             CommandError::UnknownInventoryFormat(file) => {
-                write!(f, "{}: is neither .csv nor .yaml", file.display())
+                write!(
+                    f,
+                    "{}: the name of an inventory file has to end in .csv, .yaml or .yml",
+                    file.display()
+                )
             }
             CommandError::Configuration(error) => error.fmt(f),
             CommandError::Start(error) => error.fmt(f),
             CommandError::Signals(error) => error.fmt(f),
             CommandError::Io { subject, source } => write!(f, "{subject}: {source}"),
             CommandError::Emulation(message) => f.write_str(message),
-            CommandError::RulesBroken(count) => write!(f, "rules were broken {count} times"),
-            CommandError::LeftBehind(count) => write!(f, "{count} sequences or states were left behind"),
+            CommandError::RulesBroken(count) => write!(f, "the rehearsal found {count} rule violations"),
+            CommandError::LeftBehind(count) => {
+                write!(f, "{count} sequences or KV caches were left after the rehearsal")
+            }
         }
     }
 }
 
 impl std::error::Error for CommandError {}
 
-/// Why a configuration could not be had.
+/// The reason why a configuration could not be read.
 #[derive(Debug)]
 pub enum ConfigurationError {
-    /// The file could not be read, which may pass.
+    /// The file could not be read. A later attempt may succeed.
     Unreadable(String),
-    /// The file, or the environment, does not say what it must.
+    /// The environment does not name the file, or the file's content is not a valid configuration.
     Malformed(String),
 }
 
--- a/cli/src/logs.rs
+++ b/cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Where log lines go.
+//! The output of log lines.
 
 use rustix::fs::{FileType, OFlags, fstat};
 use std::fs::File;
@@ -6,24 +6,25 @@
 use std::sync::Arc;
 use tracing_subscriber::fmt::writer::BoxMakeWriter;
 
-/// Standard error as it was inherited, by a name under which it can be opened again.
-const STANDARD_ERROR: &str = "/proc/self/fd/2";
+/// A path under which the inherited standard error can be opened again.
+const STANDARD_ERROR_PATH: &str = "/proc/self/fd/2";
 
-/// Standard error. Where it is a pipe whose reader has stopped, lines are dropped: one thread serves all requests, and
-/// waits for nobody who reads its log.
+/// Returns a writer to standard error. If standard error is a pipe and its buffer is full, log lines are dropped: a
+/// single thread serves all requests and must not block on a log reader that has stopped.
 pub fn writer() -> BoxMakeWriter {
-    match without_waiting() {
+    match open_nonblocking_pipe() {
         Some(pipe) => BoxMakeWriter::new(Arc::new(pipe)),
         None => BoxMakeWriter::new(std::io::stderr),
     }
 }
 
-/// The pipe that standard error is, opened again: what others write to the inherited one is not affected.
-fn without_waiting() -> Option<File> {
-    let told = fstat(std::io::stderr()).ok()?;
-    if FileType::from_raw_mode(told.st_mode) != FileType::Fifo {
+/// Opens the pipe of standard error again, in nonblocking mode; `None` if standard error is not a pipe or can't be
+/// opened. The mode of the inherited descriptor does not change for other processes that write to it.
+fn open_nonblocking_pipe() -> Option<File> {
+    let status = fstat(std::io::stderr()).ok()?;
+    if FileType::from_raw_mode(status.st_mode) != FileType::Fifo {
         return None;
     }
     let flags = OFlags::NONBLOCK.bits() as i32;
-    File::options().write(true).custom_flags(flags).open(STANDARD_ERROR).ok()
+    File::options().write(true).custom_flags(flags).open(STANDARD_ERROR_PATH).ok()
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `petrelshore` command: one gateway, and the means to try it out.
+//! The `petrelshore` command: runs a gateway, or tries gateways out with emulated model servers.
 
 mod error;
 mod logs;
@@ -28,10 +28,10 @@
 
 #[derive(Args)]
 struct Logs {
-    /// How log lines are written, on standard error
+    /// The format of the log lines on standard error
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     logs: LogFormat,
-    /// What is logged, such as "info" or "petrelshore_chat_gateway=debug"
+    /// The filter for log lines, such as "info" or "petrelshore_chat_gateway=debug"
     #[arg(long, global = true, default_value = "info")]
     log_filter: String,
 }
@@ -44,80 +44,80 @@
 
 #[derive(Subcommand)]
 enum Subcommands {
-    /// Run a gateway by a settings file until SIGTERM; SIGHUP reloads its inventory
+    /// Run a gateway with a settings file until SIGTERM; SIGHUP reloads the inventory
     Serve {
         /// The settings file
         settings: PathBuf,
     },
-    /// Run a gateway on the operators' platform, by the file that LB_CONFIG names, until SIGTERM
+    /// Run a gateway on the operators' platform until SIGTERM, with the configuration file that LB_CONFIG names
     Platform,
-    /// Check a settings file and the inventory that it names, and print every problem
+    /// Check a settings file and the inventory file that it names, and print every problem
     Check {
         /// The settings file
         settings: PathBuf,
     },
-    /// Run a gateway before emulated model servers, all in this process, ready for a client
+    /// Run a gateway in front of emulated model servers, all in this process, to try it with a client
     Try {
-        /// Where the chat API listens
+        /// Listen address of the chat API
         #[arg(long, default_value = "127.0.0.1:8080")]
         listen: SocketAddr,
     },
-    /// Play a script of faults on loopback, and judge the five rules from what passed on the sockets
+    /// Run a script of requests and faults on loopback, and check the five rules against the socket traffic
     Rehearse {
-        /// The script
+        /// The script file
         script: PathBuf,
-        /// Write every event on the sockets to this file, a JSON object a line
+        /// Write every event on the sockets to this file, one JSON object per line
         #[arg(long)]
         record: Option<PathBuf>,
-        /// Let the gateways choose servers at random, as a baseline
+        /// Let the gateways choose servers at random, as a baseline for comparison
         #[arg(long)]
         baseline: bool,
-        /// Which API all clients use, whatever the script says
+        /// The API that all clients use, instead of those in the script
         #[arg(long, value_enum)]
         front: Option<trial::FrontName>,
     },
     /// Run one emulated model server
     StandIn {
-        /// Its role
+        /// Role of the server
         #[arg(long, value_enum)]
         role: trial::RoleName,
-        /// Where it listens
+        /// Listen address
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Its name
+        /// Name of the server
         #[arg(long, default_value = "stand-in")]
         name: String,
-        /// Begin in slow start
+        /// Start the server in slow start
         #[arg(long)]
         cold: bool,
-        /// Answers decoded at once
+        /// Number of answers that are decoded concurrently
         #[arg(long, default_value_t = 64)]
         slots: usize,
-        /// Milliseconds between tokens while idle
+        /// Milliseconds between the tokens of an answer while the server is otherwise idle
         #[arg(long, default_value_t = 20)]
         token_ms: u64,
     },
-    /// Keep streams running, and measure the times to the first token and between tokens
+    /// Run concurrent streams, and measure the times to the first token and between tokens
     Load {
-        /// The chat API of a gateway
+        /// Address of a gateway's chat API
         #[arg(long, default_value = "127.0.0.1:8080")]
         to: SocketAddr,
-        /// Then the same by its gRPC API
+        /// Afterwards run the same load on the gRPC API at this address
         #[arg(long)]
         grpc: Option<SocketAddr>,
-        /// Then the same straight at this prefill server, with --writer
+        /// Afterwards run the same load directly on this prefill server; needs --writer
         #[arg(long, requires = "writer")]
         reader: Option<SocketAddr>,
-        /// Then the same straight at this decode server, with --reader
+        /// The decode server for the load without a gateway; needs --reader
         #[arg(long, requires = "reader")]
         writer: Option<SocketAddr>,
-        /// Streams at once
+        /// Number of concurrent streams
         #[arg(long, default_value_t = 100)]
         streams: usize,
-        /// Tokens of each answer
+        /// Number of tokens in each answer
         #[arg(long, default_value_t = 50)]
         tokens: u64,
-        /// Seconds for each of them
+        /// Duration of the load on each target, in seconds
         #[arg(long, default_value_t = 10)]
         seconds: u64,
         /// Model name
@@ -133,17 +133,17 @@
     let command = Command::parse();
     let filter = match EnvFilter::try_new(&command.logs.log_filter) {
         Ok(filter) => filter,
-        Err(error) => return failed(&format!("--log-filter: {error}")),
+        Err(error) => return report_failure(&format!("--log-filter: {error}")),
     };
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(logs::writer())
-        // A line that can't be written is dropped. It must not be reported on standard error either: that would panic.
+        // A log line that can't be written is dropped. Reporting that failure on standard error would panic.
         .log_internal_errors(false)
         .with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
     match command.logs.logs {
-        LogFormat::Text => lines.init(),
-        LogFormat::Json => lines.json().init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().init(),
     }
     let outcome = match command.subcommand {
         Subcommands::Serve { settings } => serve::serve(&settings),
@@ -164,11 +164,11 @@
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error.to_string()),
+        Err(error) => report_failure(&error.to_string()),
     }
 }
 
-fn failed(message: &str) -> ExitCode {
+fn report_failure(message: &str) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "petrelshore: {message}");
     ExitCode::FAILURE
 }
--- a/cli/src/platform/configuration.rs
+++ b/cli/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration file that the environment names, at the start and on SIGHUP.
+//! Reads the configuration file that an environment variable names, at the start and on SIGHUP.
 
 use crate::error::ConfigurationError;
 use async_io::Timer;
@@ -9,13 +9,16 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Names the file that a gateway starts from.
+/// The environment variable that names the configuration file.
 const CONFIGURATION_VARIABLE: &str = "LB_CONFIG";
-/// How often a file that is just being written is read, and the pause between two readings.
-const QUICK_READINGS: usize = 10;
+/// The number of read attempts at the short interval, for a file that is being written at this moment.
+const QUICK_READ_ATTEMPTS: usize = 10;
+/// The short interval between read attempts.
 const QUICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often it is read after those, and the longer pause then: its writer may have been killed, and write it again.
-const SLOW_READINGS: usize = 600;
+/// The number of further read attempts at the long interval, in case the process that wrote the file was killed and
+/// writes the file again after its restart.
+const SLOW_READ_ATTEMPTS: usize = 600;
+/// The long interval between read attempts.
 const SLOW_INTERVAL: Duration = Duration::from_secs(1);
 
 fn read() -> Result<Config, ConfigurationError> {
@@ -26,23 +29,23 @@
     config::decode(&text).map_err(|error| ConfigurationError::Malformed(format!("{file}: {error}")))
 }
 
-/// Reads the file at the start, again where it could not be read.
+/// Reads the configuration at the start, and tries again if the file could not be read.
 pub(super) fn read_at_start() -> Result<Config, ConfigurationError> {
-    for _ in 1..QUICK_READINGS {
+    for _ in 1..QUICK_READ_ATTEMPTS {
         match read() {
             Err(ConfigurationError::Unreadable(_)) => std::thread::sleep(QUICK_INTERVAL),
-            read => return read,
+            result => return result,
         }
     }
     read()
 }
 
-/// Counts the reloads that were asked for, so that an earlier one gives way to a later one.
+/// Counts the reloads that were requested, so that a later reload supersedes an earlier one.
 #[derive(Clone, Default)]
 pub(super) struct ReloadCounter(Rc<Cell<usize>>);
 
 impl ReloadCounter {
-    /// The number of a reload that is asked for now.
+    /// Returns the number of a new reload.
     pub(super) fn next(&self) -> usize {
         self.0.set(self.0.get() + 1);
         self.0.get()
@@ -53,18 +56,21 @@
     }
 }
 
-/// Takes discovery's address from the configuration as it is now. A malformed one changes nothing, and is read again
-/// until it is good, or until another reload is asked for.
+/// Sets the address of the discovery service to the one in the configuration file. An unreadable or malformed
+/// configuration changes nothing; the file is read again until it is valid, a later reload supersedes this one, or no
+/// read attempt is left.
 pub(super) async fn reload(gateway: PlatformGateway, number: usize, reloads: ReloadCounter) {
-    for reading in 1..=QUICK_READINGS + SLOW_READINGS {
+    for attempt in 1..=QUICK_READ_ATTEMPTS + SLOW_READ_ATTEMPTS {
         match read() {
             Ok(config) => {
                 info!(discovery = %config.discovery, "configuration reloaded");
                 return gateway.set_discovery_address(config.discovery);
             }
-            Err(error) => warn!(%error, reading, "configuration rejected, last good configuration stays"),
+            Err(error) => {
+                warn!(%error, reading = attempt, "configuration rejected, last good configuration stays")
+            }
         }
-        let interval = if reading < QUICK_READINGS { QUICK_INTERVAL } else { SLOW_INTERVAL };
+        let interval = if attempt < QUICK_READ_ATTEMPTS { QUICK_INTERVAL } else { SLOW_INTERVAL };
         Timer::after(interval).await;
         if !reloads.is_latest(number) {
             return;
--- a/cli/src/platform/mod.rs
+++ b/cli/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway on the operators' platform: start, reload, stop.
+//! Runs one gateway on the operators' platform: start, reload and shutdown.
 
 mod configuration;
 mod shutdown;
@@ -19,15 +19,15 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Descriptors that are neither a client's nor a model server's: discovery's requests, the listener, signals, the
-/// reactor, and connections of clients that are being rejected or evicted.
+/// The number of file descriptors that are reserved for other uses than connections of clients and model servers:
+/// discovery requests, the listener, signals, the reactor, and client connections that are being rejected or evicted.
 const RESERVED_DESCRIPTORS: usize = 36;
-/// Share of the other descriptors that clients may hold.
+/// The share of the remaining descriptors that clients may hold.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.6;
-/// How often what the gateway holds is logged.
+/// Interval between two log lines about the gateway's status.
 const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many connections clients and model servers may hold.
+/// The maximum numbers of connections with clients and with model servers.
 struct ConnectionLimits {
     clients: usize,
     servers: usize,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Serves until a stop signal.
+/// Runs a gateway until a stop signal, and then shuts it down gracefully.
 pub fn platform() -> Result<(), CommandError> {
     let config = read_at_start().map_err(CommandError::Configuration)?;
     let executor = Rc::new(LocalExecutor::new());
@@ -49,7 +49,8 @@
 }
 
 async fn run(config: Config, executor: &Rc<LocalExecutor<'static>>) -> Result<(), CommandError> {
-    // Signals are caught before anybody can connect: whoever sees the gateway ready may send one at once.
+    // The signal handlers are registered before the listener opens, because a process that can connect may send a
+    // signal at once.
     let signals = Signals::catch().await.map_err(CommandError::Signals)?;
     let bound = bind(config.listen).await;
     let listener = bound.map_err(CommandError::io(format_args!("listen: {}", config.listen)))?;
@@ -65,19 +66,19 @@
 
     let stop_signal = Rc::new(Event::new());
     let stopped = stop_signal.listen();
-    let following =
-        executor.spawn(follow_signals(signals, gateway.clone(), executor.clone(), stop_signal.clone()));
+    let signal_task =
+        executor.spawn(handle_signals(signals, gateway.clone(), executor.clone(), stop_signal.clone()));
     stopped.await;
     info!(in_flight = gateway.tracked(), "stopping");
     Shutdown::new(gateway.clone(), clients, longest_abandon, client_resumption).run().await;
-    drop((ingress, following));
+    drop((ingress, signal_task));
     info!(counts = ?gateway.counts(), violations = ?gateway.violations(), "stopped");
     Ok(())
 }
 
-/// Reloads the configuration and notifies of stop signals, up to the end: what is in flight during a shutdown must not go
-/// by an old endpoint list.
-async fn follow_signals(
+/// Reloads the configuration on SIGHUP and forwards stop signals, also during a shutdown: requests that are still in
+/// flight then must not be routed by an outdated endpoint list.
+async fn handle_signals(
     mut signals: Signals,
     gateway: PlatformGateway,
     executor: Rc<LocalExecutor<'static>>,
--- a/cli/src/platform/shutdown.rs
+++ b/cli/src/platform/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown of a platform gateway, by the plan that the core makes for it.
+//! The graceful shutdown of a platform gateway, which follows the plan of the gateway core.
 
 use async_io::Timer;
 use futures_lite::future;
@@ -10,22 +10,22 @@
 use tracing::info;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// Streams are migrated in steps of this.
+/// Time between two steps of the stream migration, in nanoseconds.
 const MIGRATION_INTERVAL: Nanos = 50 * MILLISECOND;
-/// Once nothing is left, clients that have connected meanwhile are waited for, for this long.
+/// Time that the gateway waits for late connections after all requests are answered and all connections are closed.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// A shutdown under way.
+/// A shutdown in progress.
 pub(super) struct Shutdown {
     gateway: PlatformGateway,
     clients: Clients,
     plan: ShutdownPlan,
-    /// When the stop signal came.
+    /// Time of the stop signal on the gateway's clock, in nanoseconds.
     signalled_at: Nanos,
 }
 
 impl Shutdown {
-    /// Plans the shutdown of a gateway whose stop signal has just come.
+    /// Plans the shutdown of a gateway that has just received its stop signal.
     pub(super) fn new(
         gateway: PlatformGateway,
         clients: Clients,
@@ -37,31 +37,31 @@
         Shutdown { gateway, clients, plan, signalled_at }
     }
 
-    /// Returns once everything is answered, or the plan's time is over.
+    /// Runs the shutdown. Returns once all requests are answered, or once the plan's time to exit has come.
     pub(super) async fn run(&self) {
         future::zip(self.migrate_streams(), self.stop_accepting()).await;
-        future::or(self.until_idle(), self.terminate()).await;
+        future::or(self.wait_until_finished(), self.terminate()).await;
     }
 
-    async fn until(&self, after_signal: Nanos) {
-        Timer::at(self.gateway.clock().instant(self.signalled_at + after_signal)).await;
+    async fn sleep_until(&self, since_signal: Nanos) {
+        Timer::at(self.gateway.clock().instant(self.signalled_at + since_signal)).await;
     }
 
     async fn migrate_streams(&self) {
         let Some(MigrationWindow { start, end }) = self.plan.migrate_streams else { return };
         info!(from_ms = start / MILLISECOND, until_ms = end / MILLISECOND, "migrating streams");
-        let mut after = start;
-        while after <= end {
-            self.until(after).await;
-            // What has come in this turn is forwarded first: a stream may have ended by itself.
+        let mut since_signal = start;
+        while since_signal <= end {
+            self.sleep_until(since_signal).await;
+            // Other tasks first forward the data that has already arrived, because a stream may have ended by itself.
             future::yield_now().await;
-            self.gateway.migrate_streams(&self.plan, after..after + MIGRATION_INTERVAL);
-            after += MIGRATION_INTERVAL;
+            self.gateway.migrate_streams(&self.plan, since_signal..since_signal + MIGRATION_INTERVAL);
+            since_signal += MIGRATION_INTERVAL;
         }
     }
 
     async fn stop_accepting(&self) {
-        self.until(self.plan.accept_until).await;
+        self.sleep_until(self.plan.accept_until).await;
         self.gateway.drain();
         self.clients.begin_shutdown();
     }
@@ -70,16 +70,17 @@
         let (Some(terminate_at), Some(exit_by)) = (self.plan.terminate_at, self.plan.exit_by) else {
             return future::pending().await;
         };
-        self.until(terminate_at).await;
+        self.sleep_until(terminate_at).await;
         future::yield_now().await;
         info!(in_flight = self.gateway.tracked(), "terminating requests in flight");
         self.gateway.terminate_all();
-        self.until(exit_by).await;
+        self.sleep_until(exit_by).await;
     }
 
-    /// A request that is still being read is owed its answer too, and so is one on a connection that waits to be
-    /// accepted: the listener is open to the end, and late requests are rejected with a Retry-After.
-    async fn until_idle(&self) {
+    /// Waits until every request is answered and every connection is closed. That includes requests that are still
+    /// being read and requests on connections that wait to be accepted: the listener stays open to the end, and late
+    /// requests are rejected with a Retry-After.
+    async fn wait_until_finished(&self) {
         loop {
             self.clients.until_empty().await;
             self.gateway.wait_until_idle().await;
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! One gateway by a settings file: check, start, reload, stop.
+//! Runs one gateway with a settings file: check, start, reload and shutdown.
 
 use crate::error::CommandError;
 use crate::operator;
@@ -19,10 +19,10 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Time after the last final answer for its bytes to reach the client.
+/// Time after the last final answer in which its bytes can still reach the client.
 const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Checks settings and inventory without starting anything.
+/// Checks a settings file and its inventory file without starting a gateway.
 pub fn check(file: &Path) -> Result<(), CommandError> {
     let settings = read(file).map_err(CommandError::Settings)?;
     let inventory = &settings.inventory;
@@ -31,7 +31,7 @@
     let text = std::fs::read_to_string(inventory).map_err(CommandError::io(inventory.display()))?;
     let list = read_list(inventory, format, &text, &settings.kinds).map_err(CommandError::Inventory)?;
     println!(
-        "{}: good; {} traffic types, {} tenants, {} model servers in {}",
+        "{}: valid; {} traffic types, {} tenants, {} model servers in {}",
         file.display(),
         settings.traffic.len(),
         settings.tenants.len(),
@@ -41,14 +41,15 @@
     Ok(())
 }
 
-/// Serves until a stop signal, and ends what runs within the drain time.
+/// Runs a gateway until a stop signal, and then ends the streams in flight within the drain time.
 pub fn serve(file: &Path) -> Result<(), CommandError> {
     let settings = read(file).map_err(CommandError::Settings)?;
     let executor = Rc::new(LocalExecutor::new());
     future::block_on(executor.run(run(settings, &executor)))
 }
 
-/// What listens beside the chat API, as the ready line tells it.
+/// The parts of the ready line for listeners other than that of the chat API. The part of a listener that is not
+/// configured is empty.
 #[derive(Default)]
 struct OtherListeners {
     grpc: String,
@@ -56,7 +57,8 @@
 }
 
 async fn run(settings: Settings, executor: &Rc<LocalExecutor<'static>>) -> Result<(), CommandError> {
-    // Signals are caught before the ready line: whoever waits for that line may send one at once.
+    // The signal handlers are registered before the ready line is printed, because a process that waits for that line
+    // may send a signal at once.
     let mut signals = Signals::catch().await.map_err(CommandError::Signals)?;
     let listener = chat::bind(settings.chat).await.map_err(CommandError::io(settings.chat))?;
     let (name, chat, operator) = (settings.name.clone(), listener.address, settings.operator);
@@ -81,7 +83,7 @@
     print_ready(&name, chat, &others, gateway.servers());
     reload_until_stopped(&mut signals, &gateway).await;
     info!(in_flight = gateway.unanswered(), "stopping");
-    // New connections are still answered, with a Retry-After, until the last stream has ended.
+    // Until the last stream has ended, new requests are still answered with a rejection and a Retry-After.
     let terminated = gateway.drain().await;
     Timer::after(FINAL_FLUSH_TIMEOUT).await;
     drop((chat_ingress, grpc_ingress));
@@ -89,7 +91,7 @@
     Ok(())
 }
 
-/// A gateway whose standard output can't be written serves all the same.
+/// Prints the ready line. The gateway also serves if standard output can't be written.
 fn print_ready(name: &str, chat: SocketAddr, others: &OtherListeners, servers: usize) {
     let OtherListeners { grpc, operator } = others;
     let _ = writeln!(
--- a/cli/src/signals.rs
+++ b/cli/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signals to the process. Each is remembered by a flag in its handler, so that none is lost where the call that wakes
-//! the process fails, or the one that reads what woke it.
+//! Signals to the process. A signal handler sets a flag and writes to a socket pair to wake the process. The flag keeps
+//! the signal if the write, or the read at the other end of the pair, fails.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -11,30 +11,32 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often the flags are polled where nothing wakes the process.
+/// Interval at which the flags are polled if the socket pair does not wake the process.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Attempts to catch signals where descriptors are short, and the pause between two.
+/// The maximum number of attempts to register the signal handlers. An attempt fails while file descriptors are short.
 const MAX_ATTEMPTS: usize = 50;
+/// Time between two attempts to register the signal handlers.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a signal asks of the process.
+/// The request that a signal makes to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM or SIGINT.
+    /// Stop the process, by SIGTERM or SIGINT.
     Stop,
-    /// SIGHUP.
+    /// Reload the inventory or the configuration, by SIGHUP.
     Reload,
 }
 
-/// The signals that have come and were not taken yet. Several of one kind may be taken as one.
+/// The signals that have arrived and that [`Signals::next`] has not returned yet. Several signals of one kind may be
+/// returned as one.
 pub struct Signals {
-    woken: Async<UnixStream>,
+    wake_receiver: Async<UnixStream>,
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Catches signals from now on.
+    /// Registers the signal handlers, and tries again if that fails.
     pub async fn catch() -> io::Result<Signals> {
         for _ in 1..MAX_ATTEMPTS {
             match Self::register() {
@@ -46,16 +48,16 @@
     }
 
     fn register() -> io::Result<Signals> {
-        let (woken, wakes) = UnixStream::pair()?;
+        let (wake_receiver, wake_sender) = UnixStream::pair()?;
         let (stop, reload) = (Arc::default(), Arc::default());
         for (signal, flag) in [(SIGTERM, &stop), (SIGINT, &stop), (SIGHUP, &reload)] {
             flag::register(signal, Arc::clone(flag))?;
-            pipe::register(signal, wakes.try_clone()?)?;
+            pipe::register(signal, wake_sender.try_clone()?)?;
         }
-        Ok(Signals { woken: Async::new(woken)?, stop, reload })
+        Ok(Signals { wake_receiver: Async::new(wake_receiver)?, stop, reload })
     }
 
-    /// The next signal.
+    /// Waits for the next signal and returns it.
     pub async fn next(&mut self) -> Signal {
         loop {
             if self.reload.swap(false, Ordering::SeqCst) {
@@ -64,17 +66,17 @@
             if self.stop.swap(false, Ordering::SeqCst) {
                 return Signal::Stop;
             }
-            let woken = async {
-                let read = self.woken.read_with(|mut woken| woken.read(&mut [0; 64]));
+            let wake_up = async {
+                let read = self.wake_receiver.read_with(|mut socket| socket.read(&mut [0; 64]));
                 if read.await.is_err() {
-                    // The flags are looked at now; what woke the process is read the next time.
+                    // The loop checks the flags next and then tries the read again.
                     Timer::after(Duration::from_millis(1)).await;
                 }
             };
-            let polled = async {
+            let poll_timeout = async {
                 Timer::after(POLL_INTERVAL).await;
             };
-            future::or(woken, polled).await;
+            future::or(wake_up, poll_timeout).await;
         }
     }
 }
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! Trying things out: an emulated fleet in this process, one emulated server, rehearsals, load.
+//! Sub-commands for trials: an emulated fleet in this process, one emulated server, rehearsals and load.
 
 use crate::error::CommandError;
 use crate::signals::{Signal, Signals};
@@ -16,7 +16,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The role of an emulated server, as the command line names it.
+/// The role of an emulated server, with the names that the command line uses.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum RoleName {
     Reader,
@@ -24,12 +24,12 @@
     Mixed,
 }
 
-/// The APIs that rehearsal clients speak, as the command line names them.
+/// The APIs that the clients of a rehearsal use, with the names that the command line uses.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum FrontName {
     Chat,
     Grpc,
-    /// Every second client each
+    /// Half of the clients use each API
     Both,
 }
 
@@ -39,21 +39,21 @@
     Ok(())
 }
 
-/// Serves an emulated fleet until a stop signal.
+/// Runs a gateway and an emulated fleet until a stop signal.
 pub fn try_out(listen: SocketAddr) -> Result<(), CommandError> {
     let folder = std::env::temp_dir().join(format!("petrelshore-try-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
         let (fleet, running) =
             fleet::try_out(executor.clone(), &folder, listen).await.map_err(CommandError::emulation)?;
-        let at = running.addresses.chat;
+        let address = running.addresses.chat;
         println!(
-            "petrelshore ready: chat on {at}, gRPC on {}, before {} stand-ins of this process",
+            "petrelshore ready: chat on {address}, gRPC on {}, in front of {} emulated model servers in this process",
             running.addresses.grpc,
             fleet.members.len()
         );
-        println!("try it:\n");
-        println!("  curl -N http://{at}/v1/chat/completions -H 'content-type: application/json' \\");
+        println!("send a request:\n");
+        println!("  curl -N http://{address}/v1/chat/completions -H 'content-type: application/json' \\");
         println!(
             "    -d '{{\"model\":\"rider-query\",\"stream\":true,\"max_tokens\":20,\"messages\":[{{\"role\":\"user\",\"content\":\"Why did my unlock fail?\"}}]}}'\n"
         );
@@ -65,16 +65,16 @@
     outcome
 }
 
-/// One emulated server, as the command line describes it.
+/// The command-line arguments of an emulated server.
 pub struct EmulatedServerArguments {
     pub role: RoleName,
     pub listen: SocketAddr,
     pub name: String,
-    /// Whether it starts in slow start.
+    /// Whether the server starts in slow start.
     pub cold: bool,
-    /// Answers decoded at once.
+    /// The number of answers that are decoded concurrently.
     pub slots: usize,
-    /// Milliseconds between tokens while idle.
+    /// Time between the tokens of an answer while the server is otherwise idle, in milliseconds.
     pub token_ms: u64,
 }
 
@@ -89,15 +89,15 @@
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
         let record = Record::default();
-        // Nobody reads what a lone emulated server writes down, and it may run for long.
+        // Nothing reads the record of a single emulated server, and the record would grow as long as the server runs.
         record.disable();
-        let usual = Profile::default_for(role);
+        let defaults = Profile::default_for(role);
         let profile = Profile {
             slots,
             token_interval: token_ms * 1_000_000,
-            memory_tokens: usual.memory_tokens.max(slots as u64 * 4_000),
-            queue: usual.queue.max(slots),
-            ..usual
+            memory_tokens: defaults.memory_tokens.max(slots as u64 * 4_000),
+            queue: defaults.queue.max(slots),
+            ..defaults
         };
         let identity = Identity { name: name.clone(), cell: String::new() };
         let start = if cold { StartState::Cold } else { StartState::Warm };
@@ -109,7 +109,8 @@
     future::block_on(executor.run(run))
 }
 
-/// Plays a script and prints its figures. An error where a rule was broken or something was left behind.
+/// Runs a rehearsal script and prints its results. Fails if a rule was violated, or if sequences or KV caches were left
+/// at the end.
 pub fn rehearse(
     file: &Path,
     record: Option<&Path>,
@@ -127,7 +128,7 @@
     }
     let folder = std::env::temp_dir().join(format!("petrelshore-rehearse-{}", std::process::id()));
     let executor = Rc::new(LocalExecutor::new());
-    println!("rehearsing {}: {} s and what follows", script.name, script.duration_ms / 1e3);
+    println!("rehearsing {}: clients send requests for {} s", script.name, script.duration_ms / 1e3);
     let policy_kind = if baseline { PolicyKind::Baseline } else { PolicyKind::Scheduler };
     let run = rehearse::rehearse(&executor, &folder, &script, "", policy_kind, |line| println!("{line}"));
     let outcome = future::block_on(executor.run(run));
@@ -136,11 +137,11 @@
     if let Some(file) = record {
         write_record(file, &outcome).map_err(CommandError::io(file.display()))?;
     }
-    print(&outcome);
+    print_outcome(&outcome);
     match (outcome.verdict.violations.len(), outcome.left_in_gateways + outcome.left_in_servers) {
         (0, 0) => Ok(()),
         (0, left) => Err(CommandError::LeftBehind(left)),
-        (breaks, _) => Err(CommandError::RulesBroken(breaks)),
+        (violations, _) => Err(CommandError::RulesBroken(violations)),
     }
 }
 
@@ -152,7 +153,7 @@
     out.flush()
 }
 
-fn print(outcome: &Outcome) {
+fn print_outcome(outcome: &Outcome) {
     let verdict = &outcome.verdict;
     println!("\nservice {:.3} (utility within the latency SLO over utility asked)", outcome.service);
     for (api, service) in &outcome.service_by_api {
@@ -161,52 +162,65 @@
     for (model, answers) in &outcome.outcomes {
         let counts: Vec<String> = answers.iter().map(|(answer, count)| format!("{answer} {count}")).collect();
         let times = outcome.first_tokens.get(model).map(|times| {
-            let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
-            format!("; first token p50 {:.1} ms, p90 {:.1}, p99 {:.1}", at(0.5), at(0.9), at(0.99))
+            let milliseconds = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
+            format!(
+                "; first token p50 {:.1} ms, p90 {:.1}, p99 {:.1}",
+                milliseconds(0.5),
+                milliseconds(0.9),
+                milliseconds(0.99)
+            )
         });
         println!("  {model}: {}{}", counts.join(", "), times.unwrap_or_default());
     }
     println!(
-        "judged from sockets: {} requests, {} arrivals at servers, {} held states, {} words to stop",
+        "judged from sockets: {} requests, {} arrivals at servers, {} KV caches reserved, {} drain notifications",
         verdict.requests, verdict.arrivals, verdict.reservations, verdict.drain_notifications
     );
     println!(
-        "left at the end: {} in gateways, {} states in boxes",
+        "left at the end: {} sequences in gateways, {} KV caches in servers",
         outcome.left_in_gateways, outcome.left_in_servers
     );
     for rule in 1..=5 {
-        let breaks: Vec<_> = verdict.violations.iter().filter(|found| found.rule == rule).collect();
+        let violations: Vec<_> =
+            verdict.violations.iter().filter(|violation| violation.rule == rule).collect();
         println!(
             "rule {rule}: {}",
-            if breaks.is_empty() { "kept".to_owned() } else { format!("BROKEN {} times", breaks.len()) }
+            if violations.is_empty() {
+                "kept".to_owned()
+            } else {
+                format!("BROKEN {} times", violations.len())
+            }
         );
-        for found in breaks.iter().take(5) {
-            println!("  {:.3} s: {}", found.at as f64 / 1e9, found.description);
+        for violation in violations.iter().take(5) {
+            println!("  {:.3} s: {}", violation.at as f64 / 1e9, violation.description);
         }
     }
 }
 
-/// Keeps streams running, through the gateway and then, if requested, straight at the servers.
+/// Runs a load on the chat API of a gateway, then, if requested, on a gRPC API and directly on a prefill and a decode
+/// server, and prints the results of each.
 pub fn load(
-    to: SocketAddr,
+    chat: SocketAddr,
     grpc: Option<SocketAddr>,
     direct: Option<(SocketAddr, SocketAddr)>,
     load: &load::Load,
 ) -> Result<(), CommandError> {
     let executor = Rc::new(LocalExecutor::new());
-    let targets = [("gateway", load::Target::Gateway(to))]
+    let targets = [("gateway", load::Target::Gateway(chat))]
         .into_iter()
-        .chain(grpc.map(|to| ("gateway by gRPC", load::Target::Grpc(to))))
-        .chain(
-            direct
-                .map(|(reader, writer)| ("direct", load::Target::Direct { prefill: reader, decode: writer })),
-        );
+        .chain(grpc.map(|address| ("gateway by gRPC", load::Target::Grpc(address))))
+        .chain(direct.map(|(prefill, decode)| ("direct", load::Target::Direct { prefill, decode })));
     for (name, target) in targets {
         let times = future::block_on(executor.run(load::run(&executor, target, load)))
             .map_err(CommandError::emulation)?;
-        let row = |times: &hdrhistogram::Histogram<u64>| {
-            let at = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
-            format!("p50 {:.2} ms, p90 {:.2}, p99 {:.2}", at(0.5), at(0.9), at(0.99))
+        let quantiles = |times: &hdrhistogram::Histogram<u64>| {
+            let milliseconds = |quantile| times.value_at_quantile(quantile) as f64 / 1e3;
+            format!(
+                "p50 {:.2} ms, p90 {:.2}, p99 {:.2}",
+                milliseconds(0.5),
+                milliseconds(0.9),
+                milliseconds(0.99)
+            )
         };
         println!(
             "{name}: {} streams, {} answers, {} tokens, {} failed; first token {}; between tokens {}",
@@ -214,8 +228,8 @@
             times.answers,
             times.tokens,
             times.failed,
-            row(&times.first_token),
-            row(&times.between_tokens)
+            quantiles(&times.first_token),
+            quantiles(&times.between_tokens)
         );
     }
     Ok(())
