--- a/emulator/src/model.rs
+++ b/emulator/src/model.rs
@@ -1,7 +1,7 @@
-//! A model server without I/O or clock: what it holds, how fast it works, and how it fails.
+//! A model server without I/O or clock: its memory, its speed and its faults.
 //!
-//! Prompts are processed one after another; answers are generated side by side, slower the more there are. The KV cache
-//! of a prompt stays in memory until it is fetched, released or dropped.
+//! The server processes one prompt at a time. It generates answers concurrently, and each answer slows down as more
+//! slots are in use. The KV cache of a prompt stays in memory until the cache is fetched or released, or expires.
 
 mod prefix_cache;
 
@@ -15,19 +15,19 @@
 
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The work that a request asks for.
+/// The part of a completion that a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Process the prompt and hold its KV cache.
     Prefill,
-    /// Generate the answer from a KV cache that is fetched elsewhere.
+    /// Generate the answer from a KV cache that is fetched from a prefill server.
     Decode,
     /// Process the prompt and generate the answer.
     Combined,
 }
 
 impl Step {
-    /// The name in records.
+    /// The step's name in records.
     pub fn name(self) -> &'static str {
         match self {
             Step::Prefill => "read",
@@ -37,25 +37,25 @@
     }
 }
 
-/// A request for work.
+/// A request to execute a step.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Identifies the job within its server.
     pub id: u64,
-    /// The work.
+    /// The step to execute.
     pub step: Step,
-    /// Hashes of the prompt's blocks, each chained to the one before.
+    /// Hashes of the prompt's blocks, each chained to the preceding hash.
     pub blocks: Vec<u64>,
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens to generate.
+    /// The number of tokens to generate.
     pub answer_tokens: u64,
 }
 
-/// Why a job was rejected.
+/// The reason for rejecting a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// No slot, queue place or memory is free.
+    /// The slots and the queue are full, or too little memory is free.
     AtCapacity,
     /// The server's role does not include the step.
     WrongRole,
@@ -65,7 +65,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Rejection::AtCapacity => "at capacity",
-            Rejection::WrongRole => "not a step of this role",
+            Rejection::WrongRole => "the server's role does not include the step",
         })
     }
 }
@@ -75,30 +75,30 @@
 /// Progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The prompt is processed; its KV cache is held.
+    /// The prompt is processed and the server holds its KV cache.
     PrefillDone {
         /// The job.
         id: u64,
-        /// Prompt tokens that were cached before.
+        /// The number of prompt tokens that were in the prefix cache.
         cached_tokens: u64,
     },
     /// A token was generated.
     Token {
         /// The job.
         id: u64,
-        /// Counts the answer's tokens from one.
+        /// The position of the token in the answer, starting at 1.
         number: u64,
-        /// Whether it is the last one.
+        /// True for the last token of the answer.
         last: bool,
     },
-    /// A KV cache was dropped: nobody fetched or released it in time.
+    /// The server dropped a KV cache that was not fetched or released within the profile's `cache_timeout`.
     CacheExpired {
         /// The job.
         id: u64,
     },
 }
 
-/// A prompt that waits or is being processed.
+/// A prompt that is queued or being processed.
 struct Prefill {
     job: Job,
     cached_tokens: u64,
@@ -111,16 +111,16 @@
     next_token: Nanos,
 }
 
-/// The KV cache of a prompt.
+/// The KV cache of a processed prompt.
 struct HeldCache {
     tokens: u64,
     since: Nanos,
 }
 
-/// Work that arrived while the server was warming up.
+/// A job that arrived while the server was warming up.
 struct WarmUpLoad {
     at: Nanos,
-    /// How long it takes at full speed.
+    /// The execution time of the job at full speed, in nanoseconds.
     nanos: f64,
 }
 
@@ -128,9 +128,9 @@
 pub struct Model {
     profile: Profile,
     fault: Fault,
-    /// When it started, if it started cold.
+    /// The start time of a server that started cold; `None` for a server that started warm.
     warming_up_since: Option<Nanos>,
-    /// Prompts in order; the first one is done at `prefill_done_at`.
+    /// Prompts in order of arrival. The first prompt is being processed and finishes at `prefill_done_at`.
     prefills: VecDeque<Prefill>,
     prefill_done_at: Option<Nanos>,
     decodes: BTreeMap<u64, Decode>,
@@ -142,7 +142,7 @@
 }
 
 impl Model {
-    /// A server that is warm.
+    /// Creates a server that runs at full speed from its start.
     pub fn new(profile: Profile) -> Self {
         Model {
             profile,
@@ -159,37 +159,37 @@
         }
     }
 
-    /// A server that starts cold.
+    /// Creates a server that starts cold at `started` and has to warm up.
     pub fn cold(profile: Profile, started: Nanos) -> Self {
         Model { warming_up_since: Some(started), ..Model::new(profile) }
     }
 
-    /// Changes how it misbehaves.
+    /// Sets the server's fault.
     pub fn set_fault(&mut self, fault: Fault) {
         self.fault = fault;
     }
 
-    /// How it misbehaves.
+    /// The server's current fault.
     pub fn fault(&self) -> Fault {
         self.fault
     }
 
-    /// Clears the prefix cache, unnoticed by gateways.
+    /// Clears the prefix cache. Gateways are not notified.
     pub fn clear_prefix_cache(&mut self) {
         self.prefix_cache.clear();
     }
 
-    /// Whether it failed for good, because it was overloaded while warming up.
+    /// Returns true if the server failed permanently because of an overload during its warm-up.
     pub fn overloaded(&self) -> bool {
         self.overloaded
     }
 
-    /// Accepts a job, or rejects it.
+    /// Starts or queues a job, or rejects it.
     pub fn accept(&mut self, now: Nanos, job: Job) -> Result<(), Rejection> {
         if !self.executes(job.step) {
             return Err(Rejection::WrongRole);
         }
-        self.note_load(now, &job);
+        self.track_warm_up_load(now, &job);
         if self.fault == Fault::Full || !self.has_capacity(&job) {
             return Err(Rejection::AtCapacity);
         }
@@ -218,10 +218,10 @@
             Step::Decode | Step::Combined => self.decodes.len() + self.waiting.len(),
         };
         jobs < self.profile.slots + self.profile.queue
-            && self.held_tokens() + job.prompt_tokens <= self.profile.memory_tokens
+            && self.used_tokens() + job.prompt_tokens <= self.profile.memory_tokens
     }
 
-    /// Drops a job whose client has disconnected.
+    /// Cancels a job, for example because its client has disconnected.
     pub fn cancel(&mut self, now: Nanos, id: u64) {
         if self.prefills.front().is_some_and(|prefill| prefill.job.id == id) {
             self.prefill_done_at = None;
@@ -233,17 +233,17 @@
         self.start_decodes(now);
     }
 
-    /// Releases the KV cache of a job; whether there was one.
+    /// Releases the KV cache of a job. Returns false if the server held none.
     pub fn release(&mut self, id: u64) -> bool {
         self.held.remove(&id).is_some()
     }
 
-    /// How many KV caches it holds.
+    /// The number of KV caches that the server holds.
     pub fn held_caches(&self) -> usize {
         self.held.len()
     }
 
-    /// When `on_timeout` is to be called next.
+    /// The time of the next call of `on_timeout`; `None` if the server is idle or no longer works.
     pub fn next_timeout(&self) -> Option<Nanos> {
         if self.overloaded || matches!(self.fault, Fault::Silent | Fault::Hangs) {
             return None;
@@ -253,7 +253,7 @@
         tokens.chain(self.prefill_done_at).chain(expiries).min()
     }
 
-    /// Does what is due by now and returns the progress.
+    /// Processes the prefill, the tokens and the cache expiries that are due at `now`. Returns the resulting progress.
     pub fn on_timeout(&mut self, now: Nanos) -> Vec<Progress> {
         let mut progress = Vec::new();
         if self.next_timeout().is_none() {
@@ -303,22 +303,22 @@
         });
     }
 
-    /// The used share of its memory.
+    /// The used share of the server's memory.
     pub fn memory_share(&self) -> f64 {
-        self.held_tokens() as f64 / self.profile.memory_tokens.max(1) as f64
+        self.used_tokens() as f64 / self.profile.memory_tokens.max(1) as f64
     }
 
-    /// Prompt tokens that are still to be processed.
+    /// The number of prompt tokens that the server still has to process, without those in the prefix cache.
     pub fn queued_prompt_tokens(&self) -> u64 {
         self.prefills.iter().map(|prefill| prefill.job.prompt_tokens - prefill.cached_tokens).sum()
     }
 
-    /// Jobs that wait or are being executed.
+    /// The number of jobs that are queued or being executed.
     pub fn in_flight(&self) -> usize {
         self.prefills.len() + self.decodes.len() + self.waiting.len()
     }
 
-    fn held_tokens(&self) -> u64 {
+    fn used_tokens(&self) -> u64 {
         let prefills: u64 = self.prefills.iter().map(|prefill| prefill.job.prompt_tokens).sum();
         let held: u64 = self.held.values().map(|held| held.tokens).sum();
         let decodes: u64 =
@@ -326,25 +326,25 @@
         prefills + held + decodes
     }
 
-    /// The share of its full speed that it has by now.
+    /// The current speed as a share of full speed, reduced by warm-up and by `Fault::Slow`.
     fn speed(&self, now: Nanos) -> f64 {
-        let warm = self.warming_up_since.map_or(1.0, |since| {
+        let warm_up_share = self.warming_up_since.map_or(1.0, |since| {
             let progress = now.saturating_sub(since) as f64 / self.profile.warm_up.max(1) as f64;
             let initial = self.profile.initial_capacity;
             initial + (1.0 - initial) * progress.min(1.0)
         });
         match self.fault {
-            Fault::Slow(factor) => warm / factor.max(1.0),
-            _ => warm,
+            Fault::Slow(factor) => warm_up_share / factor.max(1.0),
+            _ => warm_up_share,
         }
     }
 
-    /// Notes the work that arrives while it warms up; too much of it overloads the server for good.
-    fn note_load(&mut self, now: Nanos, job: &Job) {
+    /// Tracks the load that arrives during warm-up. Too much load makes the server fail permanently.
+    fn track_warm_up_load(&mut self, now: Nanos, job: &Job) {
         if self.warming_up_since.is_none_or(|since| now >= since + self.profile.warm_up) {
             return self.recent_load.clear();
         }
-        self.recent_load.push_back(WarmUpLoad { at: now, nanos: self.nanos_at_full_speed(job) });
+        self.recent_load.push_back(WarmUpLoad { at: now, nanos: self.execution_nanos_at_full_speed(job) });
         let window = self.profile.overload_window;
         while self.recent_load.front().is_some_and(|load| load.at + window < now) {
             self.recent_load.pop_front();
@@ -355,7 +355,7 @@
         }
     }
 
-    fn nanos_at_full_speed(&self, job: &Job) -> f64 {
+    fn execution_nanos_at_full_speed(&self, job: &Job) -> f64 {
         let profile = &self.profile;
         let decode = job.answer_tokens as f64 * profile.token_interval as f64 / profile.slots.max(1) as f64;
         match job.step {
@@ -393,8 +393,8 @@
     }
 
     fn token_interval(&self, now: Nanos) -> Nanos {
-        let filled = self.decodes.len() as f64 / self.profile.slots.max(1) as f64;
-        (self.profile.token_interval as f64 * (1.0 + filled) / self.speed(now)) as Nanos
+        let slot_usage = self.decodes.len() as f64 / self.profile.slots.max(1) as f64;
+        (self.profile.token_interval as f64 * (1.0 + slot_usage) / self.speed(now)) as Nanos
     }
 }
 
--- a/emulator/src/model/prefix_cache.rs
+++ b/emulator/src/model/prefix_cache.rs
@@ -1,15 +1,16 @@
-//! The prefix cache of a model server: blocks of prompts, the least recently used ones evicted.
+//! The prefix cache of a model server: prompt blocks with eviction of the least recently used blocks.
 
 use std::collections::HashMap;
 
-/// Tokens of one cached block.
+/// The number of tokens in a cached block.
 pub const BLOCK_TOKENS: u64 = 16;
 
-/// Hashes of cached blocks.
+/// The hashes of the cached blocks.
 pub(super) struct PrefixCache {
     max_blocks: usize,
-    /// When each block was last used, by the count of uses.
+    /// The value of `uses` at the last use of each block.
     last_used: HashMap<u64, u64>,
+    /// The number of prompts that were inserted.
     uses: u64,
 }
 
@@ -26,7 +27,7 @@
         self.last_used.clear();
     }
 
-    /// Caches a prompt; returns how many of its tokens were cached before.
+    /// Caches the blocks of a prompt. Returns the number of the prompt's tokens that were already cached.
     pub(super) fn insert(&mut self, blocks: &[u64]) -> u64 {
         self.uses += 1;
         let cached = blocks.iter().take_while(|block| self.last_used.contains_key(block)).count() as u64;
@@ -39,7 +40,7 @@
         cached * BLOCK_TOKENS
     }
 
-    /// Keeps about the most recently used half.
+    /// Evicts the least recently used blocks until about half of the capacity is in use.
     fn evict(&mut self) {
         let mut uses: Vec<u64> = self.last_used.values().copied().collect();
         uses.sort_unstable();
--- a/emulator/src/platform.rs
+++ b/emulator/src/platform.rs
@@ -1,6 +1,6 @@
-//! Emulates the operators' platform: model servers and the discovery agent in its protocol, with faults.
+//! Emulates the operators' platform for tests: its model servers, with faults, and its discovery agent.
 //!
-//! Plain threads and plain text, so that they can write what no library would.
+//! The servers use threads and write HTTP as text, because an HTTP library would not send invalid messages.
 
 mod config;
 mod discovery_agent;
--- a/emulator/src/platform/config.rs
+++ b/emulator/src/platform/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// An entry of the endpoint list.
+/// Returns an entry of the endpoint list, as a JSON object.
 pub fn entry(name: &str, address: SocketAddr, kind: &str, status: &str) -> String {
     format!(
         "{{\"name\":\"{name}\",\"address\":\"{address}\",\"zone\":\"hall\",\"type\":\"{kind}\",\"group\":0,\
@@ -10,7 +10,8 @@
     )
 }
 
-/// A configuration file for one gateway with a prefill and a decode kind, and one traffic type, `chat`.
+/// Returns a configuration file for one gateway, with a prefill and a decode kind and one traffic type, `chat`.
+/// `entries` are the endpoints of the list that the gateway starts with.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, entries: &str) -> String {
     let settings = r#"{"allowed":{"connIdle":15000000000,"maxAttempts":4,"maxRetryAfter":2000000000,"retryAfter":true},
         "balancers":1,"dcs":["hall"],"kinds":["reader","writer"],"membershipMode":"pushed","orgs":[],
--- a/emulator/src/platform/discovery_agent.rs
+++ b/emulator/src/platform/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! The platform's discovery agent.
+//! An emulated discovery agent of the platform.
 
 use super::http::{hang, read_request};
 use std::collections::BTreeSet;
@@ -9,30 +9,30 @@
 use std::time::Duration;
 
 const CHANGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A poll for a newer list is answered after so many checks at the latest.
+/// The maximum number of checks for a change before a poll for a newer list is answered.
 const MAX_CHANGE_CHECKS: usize = 100;
 
 /// A version of the endpoint list.
 #[derive(Clone)]
 struct EndpointList {
     version: u64,
-    /// Entries of a JSON array.
+    /// The elements of a JSON array, without its brackets.
     entries: String,
 }
 
-/// A discovery agent whose endpoint list can be changed. Its threads end with the process.
+/// A discovery agent whose endpoint list can be changed. Its threads run until the process ends.
 #[derive(Clone)]
 pub struct DiscoveryAgent {
-    /// Where it listens.
+    /// The address that the agent listens on.
     pub address: SocketAddr,
     list: Arc<Mutex<EndpointList>>,
-    /// Ports of connections that have polled.
+    /// The client ports of the connections that have polled.
     polled_by: Arc<Mutex<BTreeSet<u16>>>,
     silent: Arc<Mutex<bool>>,
 }
 
 impl DiscoveryAgent {
-    /// Starts with these entries.
+    /// Starts an agent whose endpoint list consists of `entries`.
     pub fn start(entries: &str) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let agent = DiscoveryAgent {
@@ -41,29 +41,29 @@
             polled_by: Arc::default(),
             silent: Arc::default(),
         };
-        let own = agent.clone();
+        let handle = agent.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let own = own.clone();
-                thread::spawn(move || own.serve(stream));
+                let handle = handle.clone();
+                thread::spawn(move || handle.serve(stream));
             }
         });
         Ok(agent)
     }
 
-    /// Publishes another list from now on.
+    /// Replaces the endpoint list and increments its version.
     pub fn set(&self, entries: &str) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
         list.entries = entries.to_owned();
     }
 
-    /// Responds to nothing while it is silent, on connections that stay open.
+    /// With `silent` set, the agent keeps connections open and leaves polls without a response.
     pub fn silence(&self, silent: bool) {
         *self.silent.lock().unwrap() = silent;
     }
 
-    /// How many connections have polled.
+    /// The number of connections that have polled.
     pub fn polling_connections(&self) -> usize {
         self.polled_by.lock().unwrap().len()
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Waits for a while where the poller has the current version.
+    /// Waits for a newer list if the poller already has the current version, up to `MAX_CHANGE_CHECKS` checks.
     fn wait_for_change(&self, line: &str) {
         let since = line.split_once("since=").and_then(|(_, rest)| rest.split('&').next()?.parse().ok());
         for _ in 0..MAX_CHANGE_CHECKS {
--- a/emulator/src/platform/http.rs
+++ b/emulator/src/platform/http.rs
@@ -1,21 +1,21 @@
-//! Requests as the emulated platform reads them.
+//! Reads HTTP requests for the emulated platform.
 
 use std::io::BufRead;
 use std::thread;
 use std::time::Duration;
 
-/// How long a silent connection stays open.
+/// The time for which a silent connection stays open.
 const HANG_TIME: Duration = Duration::from_secs(30);
 
 /// A request that was read completely.
 pub(super) struct Request {
-    /// Method and path.
+    /// The request line without the HTTP version: method and path.
     pub(super) line: String,
-    /// Its request ID; empty where it has none.
+    /// The value of the `Req-Id` header; empty if the request has none.
     pub(super) id: String,
 }
 
-/// Reads the next request; `None` where the connection ended or the request is invalid.
+/// Reads the next request. Returns `None` if the connection ended or the request is invalid.
 pub(super) fn read_request(reader: &mut impl BufRead) -> Option<Request> {
     let (mut start_line, mut id, mut length) = (String::new(), String::new(), 0);
     reader.read_line(&mut start_line).ok().filter(|count| *count > 0)?;
@@ -34,7 +34,7 @@
     Some(Request { line: line.to_owned(), id })
 }
 
-/// Keeps a connection open and silent.
+/// Keeps the caller's connection open and silent for `HANG_TIME`, then returns an error so that the caller closes it.
 pub(super) fn hang() -> std::io::Result<()> {
     thread::sleep(HANG_TIME);
     Err(std::io::ErrorKind::TimedOut.into())
--- a/emulator/src/platform/model_server.rs
+++ b/emulator/src/platform/model_server.rs
@@ -1,4 +1,4 @@
-//! The platform's model servers.
+//! Emulated model servers of the platform.
 
 use super::http::{hang, read_request};
 use std::io::{BufReader, ErrorKind, Write};
@@ -7,44 +7,44 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a model server behaves.
+/// The behavior of a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
-    /// As it should.
+    /// Executes requests and responds correctly.
     Good,
-    /// Responds 503 with the header that proves that nothing was executed.
+    /// Responds 503 with the `Srv-Declined` header, which proves that nothing was executed.
     Declines,
     /// Responds 500.
     Fails,
-    /// Responds 503 without that header.
+    /// Responds 503 without the `Srv-Declined` header.
     Overloaded,
-    /// Responds 410 with that header: the KV cache is missing.
+    /// Responds 410 with the `Srv-Declined` header: the KV cache is missing.
     CacheMissing,
-    /// Closes the connection once the request is complete.
+    /// Closes the connection without a response after it has read the request.
     Resets,
-    /// Responds to release requests and health checks only.
+    /// Responds only to release requests and health checks.
     Silent,
     /// Responds to nothing.
     Unresponsive,
-    /// Good once on each connection; closes it at the next request.
+    /// Responds correctly to the first request on each connection, and closes the connection at the second request.
     OncePerConnection,
-    /// Sends what is no response.
+    /// Sends bytes that are not an HTTP response.
     InvalidResponse,
-    /// Sends a header without end.
+    /// Sends a response header that never ends.
     EndlessHead,
-    /// A good response behind many of status 1xx, and with a load report that can't be parsed.
+    /// Sends many 1xx responses before a correct response whose load report can't be parsed.
     Interim,
-    /// A good response with another right behind it.
+    /// Sends two correct responses to one request.
     SecondResponse,
-    /// A good first event, then an invalid chunk.
+    /// Sends a correct first event and then an invalid chunk.
     BadChunk,
-    /// A good first event, then a chunk of excessive size.
+    /// Sends a correct first event and then a chunk of excessive size.
     HugeChunk,
-    /// A good first event, then bytes that are no event.
+    /// Sends a correct first event and then bytes that are not an event.
     InvalidEvent,
-    /// A good first event, then nothing.
+    /// Sends a correct first event and then nothing.
     SilentInStream,
-    /// Good, but slow enough that its clients may disconnect.
+    /// Responds correctly, but slowly enough that clients may disconnect.
     Slow,
 }
 
@@ -58,11 +58,11 @@
 const PREFILL_RESPONSE: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nSrv-Load: x0=0.25\r\n\r\n{\"cached_tokens\":4}";
 const SLOW_DELAY: Duration = Duration::from_millis(400);
-/// Time for the first event to be forwarded before its stream fails.
+/// The time between the first event and the failure of its stream, so that gateways can forward the event.
 const FIRST_EVENT_TIME: Duration = Duration::from_millis(100);
 const INTERIM_RESPONSES: usize = 100;
 
-/// The events of a good answer.
+/// The events of a correct answer.
 pub fn events() -> String {
     format!("{EVENT}{EVENT}{STREAM_END}")
 }
@@ -71,10 +71,10 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A model server that listens. Its threads end with the process.
+/// A listening model server. Its threads run until the process ends.
 #[derive(Clone)]
 pub struct ModelServer {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     behavior: Arc<Mutex<ServerBehavior>>,
     requests: Arc<Mutex<Vec<String>>>,
@@ -82,7 +82,7 @@
 }
 
 impl ModelServer {
-    /// Starts a prefill server where `prefill` is set, a decode server otherwise.
+    /// Starts a prefill server if `prefill` is set, otherwise a decode server.
     pub fn start(prefill: bool, behavior: ServerBehavior) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let server = ModelServer {
@@ -91,33 +91,33 @@
             requests: Arc::default(),
             connections: Arc::default(),
         };
-        let own = server.clone();
+        let handle = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                *own.connections.lock().unwrap() += 1;
-                let own = own.clone();
-                thread::spawn(move || own.serve(prefill, stream));
+                *handle.connections.lock().unwrap() += 1;
+                let handle = handle.clone();
+                thread::spawn(move || handle.serve(prefill, stream));
             }
         });
         Ok(server)
     }
 
-    /// Changes how it behaves.
+    /// Changes the behavior of the server.
     pub fn set(&self, behavior: ServerBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// The requests so far, each as method, path and request ID.
+    /// All requests that the server has read, each as method, path and request ID.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// The requests for work among them.
+    /// The requests for prefill or decode, without health checks and release requests.
     pub fn work_requests(&self) -> Vec<String> {
         self.requests().into_iter().filter(|request| request.starts_with("POST")).collect()
     }
 
-    /// How many connections it has accepted.
+    /// The number of connections that the server has accepted.
     pub fn connections(&self) -> usize {
         *self.connections.lock().unwrap()
     }
@@ -155,16 +155,16 @@
     format!("{STREAM_HEAD}{}{}{}0\r\n\r\n", chunk(EVENT), chunk(EVENT), chunk(STREAM_END))
 }
 
-fn empty_response(status: &str, fields: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{fields}Content-Length: 0\r\n\r\n")
+fn empty_response(status: &str, header_lines: &str) -> String {
+    format!("HTTP/1.1 {status}\r\n{header_lines}Content-Length: 0\r\n\r\n")
 }
 
-/// Ends the connection.
+/// Returns an error, on which the caller closes the connection.
 fn close() -> std::io::Result<()> {
     Err(ErrorKind::Other.into())
 }
 
-/// Writes a response; an error ends the connection.
+/// Writes the response of a behavior. The caller closes the connection on an error.
 fn respond(writer: &mut TcpStream, prefill: bool, behavior: ServerBehavior) -> std::io::Result<()> {
     let good = good_response(prefill);
     let text = match behavior {
@@ -198,7 +198,7 @@
     writer.write_all(text.as_bytes())
 }
 
-/// Writes a good first event and then what the behavior says.
+/// Writes a correct first event and then the fault of the behavior.
 fn fail_in_stream(writer: &mut TcpStream, behavior: ServerBehavior) -> std::io::Result<()> {
     writer.write_all(format!("{STREAM_HEAD}{}", chunk(EVENT)).as_bytes())?;
     thread::sleep(FIRST_EVENT_TIME);
--- a/emulator/src/profile.rs
+++ b/emulator/src/profile.rs
@@ -1,4 +1,4 @@
-//! What a model server can do, and how it fails.
+//! The capabilities and the faults of a model server.
 
 use crate::record::Nanos;
 use std::fmt;
@@ -13,12 +13,12 @@
     Prefill,
     /// Generates answers from a KV cache that it fetches.
     Decode,
-    /// Both.
+    /// Processes prompts and generates answers.
     Combined,
 }
 
 impl Role {
-    /// The name of such servers in inventory files.
+    /// The name of the role's server kind in inventory files.
     pub fn kind(self) -> &'static str {
         match self {
             Role::Prefill => "reader",
@@ -28,35 +28,36 @@
     }
 }
 
-/// What a kind of model server can do. Times are in nanoseconds.
+/// The capabilities of a kind of model server. Times are in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// The steps that it executes.
+    /// The steps that the server executes.
     pub role: Role,
-    /// Answers that it generates at once.
+    /// The number of answers that the server generates concurrently.
     pub slots: usize,
-    /// Requests that may wait besides.
+    /// The number of requests that may be queued in addition to those in slots.
     pub queue: usize,
-    /// The capacity of its KV cache, in tokens.
+    /// The capacity of the server's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// It drops a KV cache that nobody fetches or releases within this time.
+    /// The time after which the server drops a KV cache that was not fetched or released.
     pub cache_timeout: Nanos,
-    /// Its prefill speed.
+    /// The prefill speed at full speed, in tokens per second.
     pub prefill_tokens_per_second: f64,
-    /// The time between two tokens of an answer while it is otherwise idle; twice that when all slots are used.
+    /// The time between two tokens of an answer on an otherwise idle server. The time grows with the used slots, up to
+    /// twice this value when all slots are used.
     pub token_interval: Nanos,
-    /// How long it takes to warm up.
+    /// The duration of the warm-up after a cold start.
     pub warm_up: Nanos,
-    /// The share of its speed that it has as it starts cold.
+    /// The share of full speed at which the server starts when it is cold.
     pub initial_capacity: f64,
-    /// While it warms up it fails for good when sent more than this multiple of what it can do at that moment.
+    /// A server that is warming up fails permanently when its load exceeds this multiple of its current capacity.
     pub overload_factor: f64,
-    /// Overload is measured over this time.
+    /// The time window over which the load during warm-up is measured.
     pub overload_window: Nanos,
 }
 
 impl Profile {
-    /// The profile of a role where nothing else is configured.
+    /// The default profile of a role.
     pub fn default_for(role: Role) -> Profile {
         Profile {
             role,
@@ -74,31 +75,31 @@
     }
 }
 
-/// How a model server misbehaves.
+/// A fault of a model server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Not at all.
+    /// The server works correctly.
     None,
-    /// Works so many times slower.
+    /// Divides the server's speed by this factor; factors below 1 have no effect.
     Slow(f64),
-    /// Accepts everything and sends no response.
+    /// Reads every request and sends no response.
     Silent,
-    /// Rejects everything as over capacity.
+    /// Rejects every job as over capacity.
     Full,
-    /// Fails after working for so many nanoseconds.
+    /// Accepts jobs and responds to each with an error after this time, in nanoseconds.
     FailsSlowly(Nanos),
-    /// Breaks connections after so many tokens.
+    /// Resets the connection of an answer after this number of tokens.
     ResetAfter(u64),
-    /// Ends its streams without their end marker after so many tokens.
+    /// Ends the stream of an answer without its end marker after this number of tokens.
     EndsBadly(u64),
-    /// Sends an invalid event after so many tokens.
+    /// Sends invalid events in place of the tokens after this number of tokens.
     Garbage(u64),
-    /// Accepts connections and reads no request from them.
+    /// Accepts connections without serving HTTP on them: no request gets a response.
     Hangs,
 }
 
 impl fmt::Display for Fault {
-    /// Writes the words that records use.
+    /// Writes the name of the fault in records.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::None => formatter.write_str("None"),
--- a/emulator/src/record.rs
+++ b/emulator/src/record.rs
@@ -1,4 +1,5 @@
-//! What was observed on the sockets, as emulated servers and clients saw it. The auditor judges from this alone.
+//! Records the events that emulated servers and clients observed on their sockets. The auditor relies on these records
+//! alone.
 
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -8,20 +9,20 @@
 /// Nanoseconds since the start of a record.
 pub type Nanos = u64;
 
-/// One observation. Records that were stored keep their words for it.
+/// An observed event. The serialized names stay as they are, so that stored records remain readable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Event {
     /// A client sent a request to a gateway.
     #[serde(rename = "asked")]
     RequestSent {
-        /// Numbers the request.
+        /// The number of the client's request.
         client: u64,
         /// The gateway's name.
         gateway: String,
         /// The traffic type.
         traffic: String,
-        /// When the client's deadline ends.
+        /// The client's deadline.
         #[serde(rename = "until")]
         deadline: Nanos,
     },
@@ -30,39 +31,39 @@
     ResponseReceived {
         /// The request.
         client: u64,
-        /// How it ended.
+        /// The outcome of the request, as the client saw it.
         #[serde(rename = "answer")]
         outcome: FinalOutcome,
-        /// Nanoseconds from the request to the first token.
+        /// The time from the request to the first token, in nanoseconds; `None` if no token was received.
         first_token: Option<Nanos>,
-        /// Tokens received.
+        /// The number of tokens that the client received.
         tokens: u64,
     },
-    /// A client received something after its final response.
+    /// A client received data after its final response.
     #[serde(rename = "after_final")]
     DataAfterFinal {
         /// The request.
         client: u64,
     },
-    /// A server read a complete request for work.
+    /// A server received the whole of a completion request.
     #[serde(rename = "arrived")]
     AttemptArrived {
         /// The server's name.
         server: String,
-        /// How its sender names itself.
+        /// The sender's `User-Agent` header.
         gateway: String,
         /// The request ID of the attempt.
         request: String,
-        /// Its idempotency key.
+        /// The idempotency key of the attempt.
         #[serde(rename = "mark")]
         idempotency_key: Option<String>,
-        /// The step, by its name in records.
+        /// The name of the step in records.
         #[serde(rename = "work")]
         step: String,
-        /// The client's request, where its prompt names it.
+        /// The number of the client's request, if the prompt contains it.
         client: Option<u64>,
     },
-    /// A server rejected a request for work before executing anything.
+    /// A server rejected a completion request before executing any of it.
     #[serde(rename = "turned")]
     AttemptRejected {
         /// The server's name.
@@ -72,7 +73,7 @@
         /// The error code.
         code: String,
     },
-    /// A server began work that has an effect.
+    /// A server started a step that has an effect: a decode or combined step.
     #[serde(rename = "ran")]
     ExecutionStarted {
         /// The server's name.
@@ -80,7 +81,7 @@
         /// The request ID of the attempt.
         request: String,
     },
-    /// A request for work is completed, however it ended.
+    /// A completion request ended on its server, successfully or not.
     #[serde(rename = "over")]
     AttemptEnded {
         /// The server's name.
@@ -96,7 +97,7 @@
         /// The request ID of the attempt.
         request: String,
     },
-    /// A KV cache was fetched or released.
+    /// A server no longer holds a KV cache: the cache was fetched or released, it expired, or the server stopped.
     #[serde(rename = "state_gone")]
     CacheReleased {
         /// The server's name.
@@ -115,22 +116,22 @@
     FaultSet {
         /// The server's name.
         server: String,
-        /// Its cell.
+        /// The server's cell.
         cell: String,
-        /// How it misbehaves from now on, by the name in records.
+        /// The name of the new fault in records.
         fault: String,
     },
-    /// A gateway was notified whether a server accepts new requests.
+    /// A gateway was notified that a server accepts new requests or no longer accepts them.
     #[serde(rename = "told")]
     GatewayNotified {
         /// The gateway's name.
         gateway: String,
         /// The server's name.
         server: String,
-        /// Whether it accepts new requests.
+        /// True if the server accepts new requests.
         open: bool,
     },
-    /// A gateway was killed: it need not release what it held.
+    /// A gateway was killed. It is not expected to release the KV caches of its requests.
     #[serde(rename = "killed")]
     GatewayKilled {
         /// The gateway's name.
@@ -144,18 +145,18 @@
     },
 }
 
-/// How a client's request ended, by what the client saw.
+/// The outcome of a client's request, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalOutcome {
-    /// A complete answer.
+    /// The client received a complete answer.
     #[serde(rename = "generated")]
     Completed,
-    /// An error that says that the request was rejected and may be retried.
+    /// The client received an error that says that the request was rejected and may be retried.
     Rejected,
-    /// An error that says that the request was aborted.
+    /// The client received an error that says that the request was aborted.
     Aborted,
-    /// Any other error, before the request was accepted.
+    /// The client received any other error, before the request was accepted.
     #[serde(rename = "refused")]
     NotAccepted,
     /// The connection ended without a final response.
@@ -167,7 +168,7 @@
 }
 
 impl FinalOutcome {
-    /// The word in records and reports.
+    /// The name of the outcome in records and reports.
     pub fn name(self) -> &'static str {
         match self {
             FinalOutcome::Completed => "generated",
@@ -180,17 +181,17 @@
     }
 }
 
-/// An event with its time.
+/// An event with the time of its observation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it was observed.
+    /// The time of the observation.
     pub at: Nanos,
-    /// What was observed.
+    /// The observed event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A record that all observers of one process write to, on one clock.
+/// A record that all emulated servers and clients of a process share, with a single clock.
 #[derive(Clone)]
 pub struct Record {
     started: Instant,
@@ -205,17 +206,17 @@
 }
 
 impl Record {
-    /// Time since the start of the record.
+    /// The time since the start of the record.
     pub fn now(&self) -> Nanos {
         self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// Stores nothing from now on.
+    /// Makes the record ignore all events from now on.
     pub fn disable(&self) {
         self.disabled.set(true);
     }
 
-    /// Appends an event, as of now.
+    /// Appends an event with the current time, unless the record is disabled.
     pub fn write(&self, event: Event) {
         if self.disabled.get() {
             return;
@@ -223,7 +224,7 @@
         self.entries.borrow_mut().push(Entry { at: self.now(), event });
     }
 
-    /// A copy of all entries so far.
+    /// Returns a copy of all entries.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.borrow().clone()
     }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! An emulated model server on a socket: completions with transfer of the KV cache, load reports in headers, release
+//! An emulated model server on a socket: completions with KV cache transfer, load reports in response headers, release
 //! requests, and faults.
 
 mod completions;
@@ -18,25 +18,25 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What a server is called, and where it belongs.
+/// The name and the location of a server.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name in the inventory.
+    /// The server's name in the inventory.
     pub name: String,
-    /// Its cell.
+    /// The server's cell.
     pub cell: String,
 }
 
-/// How a server starts.
+/// The state in which a server starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartState {
-    /// At its full speed.
+    /// The server runs at full speed from its start.
     Warm,
-    /// It has to warm up.
+    /// The server has to warm up.
     Cold,
 }
 
-/// A running server. Dropping it is a crash: its socket and its streams break.
+/// A running server. Dropping the value emulates a crash: the server's socket and connections are closed at once.
 pub struct EmulatedServer {
     state: Rc<ServerState>,
     address: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl EmulatedServer {
-    /// Starts on `address`; port 0 takes a free one.
+    /// Starts a server that listens on `address`. Port 0 selects a free port.
     pub async fn start(
         executor: &Rc<LocalExecutor<'static>>,
         record: &Record,
@@ -61,37 +61,37 @@
         };
         let state = Rc::new(ServerState::new(identity, address, record.clone(), model));
         state.record_fault(Fault::None);
-        let work = executor.spawn(state.clone().work());
+        let run_model = executor.spawn(state.clone().run_model());
         let accept = executor.spawn(connection::accept(listener, state.clone()));
-        Ok(EmulatedServer { state, address, _tasks: vec![work, accept] })
+        Ok(EmulatedServer { state, address, _tasks: vec![run_model, accept] })
     }
 
-    /// Where it listens.
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its name in the inventory.
+    /// The server's name in the inventory.
     pub fn name(&self) -> &str {
         self.state.name()
     }
 
-    /// Changes how it misbehaves.
+    /// Sets the server's fault.
     pub fn set_fault(&self, fault: Fault) {
         self.state.set_fault(fault);
     }
 
-    /// Clears its prefix cache, unnoticed by gateways.
+    /// Clears the prefix cache. Gateways are not notified.
     pub fn clear_prefix_cache(&self) {
         self.state.clear_prefix_cache();
     }
 
-    /// How many KV caches it holds now.
+    /// The number of KV caches that the server holds.
     pub fn held_caches(&self) -> usize {
         self.state.held_caches()
     }
 
-    /// Jobs that wait or are being executed.
+    /// The number of jobs that are queued or being executed.
     pub fn in_flight(&self) -> usize {
         self.state.in_flight()
     }
@@ -99,7 +99,7 @@
 
 impl Drop for EmulatedServer {
     fn drop(&mut self) {
-        // What a crashed process held is lost with it.
+        // A crashed process loses the KV caches that it held.
         self.state.release_all();
     }
 }
--- a/emulator/src/server/completions.rs
+++ b/emulator/src/server/completions.rs
@@ -1,4 +1,4 @@
-//! Completions: admission, then the response of a prefill or the stream of an answer.
+//! Handles completion requests: admission, then the prefill response or the answer stream.
 
 use super::prompt;
 use super::response::{RouteResult, error, json_response, streamed};
@@ -17,23 +17,23 @@
 
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// A request for a completion.
+/// A completion request.
 pub(super) struct CompletionRequest {
     pub(super) request_id: String,
     pub(super) idempotency_key: Option<String>,
-    /// How its sender names itself.
+    /// The sender's `User-Agent` header.
     pub(super) gateway: String,
     pub(super) body: Value,
 }
 
 impl CompletionRequest {
-    fn transfer(&self) -> Value {
+    fn transfer_params(&self) -> Value {
         self.body.get("kv_transfer_params").cloned().unwrap_or_default()
     }
 
     fn step(&self) -> Step {
-        let transfer = self.transfer();
-        let flag = |name: &str| transfer.get(name).and_then(Value::as_bool).unwrap_or(false);
+        let transfer_params = self.transfer_params();
+        let flag = |name: &str| transfer_params.get(name).and_then(Value::as_bool).unwrap_or(false);
         if flag("do_remote_decode") {
             Step::Prefill
         } else if flag("do_remote_prefill") {
@@ -55,14 +55,14 @@
     }
 }
 
-/// A request for work from its arrival to its end. Dropping it records the end.
+/// A completion request from its arrival to its end. Dropping the value records the end.
 pub(super) struct Attempt {
     state: Rc<ServerState>,
     request: String,
 }
 
 impl Attempt {
-    /// Records the arrival.
+    /// Starts an attempt and records its arrival.
     pub(super) fn start(
         state: Rc<ServerState>,
         request: String,
@@ -97,14 +97,14 @@
     }
 }
 
-/// Why a request was rejected.
+/// The error response of a rejected request.
 struct Rejected {
     status: u16,
     code: &'static str,
     load: String,
 }
 
-/// A job in the model. Dropping it cancels what is left of it.
+/// A job in the model. Dropping the value cancels the rest of the job.
 struct ActiveJob {
     state: Rc<ServerState>,
     id: u64,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Serves a completion. A message to `reset` resets its connection.
+/// Serves a completion request. A message on `reset` resets the request's connection.
 pub(super) async fn complete(
     request: CompletionRequest,
     state: Rc<ServerState>,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Passes a request to the model, after its KV cache is fetched; or records why it is rejected.
+/// Fetches the KV cache of a decode request and submits the request's job to the model. Records a rejection.
 async fn admit(
     request: &CompletionRequest,
     prompt: &str,
@@ -169,12 +169,12 @@
         return Err(attempt.reject(422, "repeated"));
     }
     let job = request.job(state.next_job(), step, prompt);
-    if step == Step::Decode && fetch_cache(&request.transfer()).await.is_err() {
+    if step == Step::Decode && fetch_cache(&request.transfer_params()).await.is_err() {
         return Err(attempt.reject(409, "state_missing"));
     }
     let progress = state.subscribe(job.id);
     if step == Step::Prefill {
-        state.note_prefill(job.id, attempt.request.clone());
+        state.register_prefill(job.id, attempt.request.clone());
     }
     let active =
         ActiveJob { state: state.clone(), id: job.id, prompt_tokens: job.prompt_tokens, attempt, progress };
@@ -184,24 +184,24 @@
         Ok(()) => {}
     }
     if step != Step::Prefill {
-        state.note_execution(&active.attempt.request, request.idempotency_key.clone());
+        state.record_execution(&active.attempt.request, request.idempotency_key.clone());
     }
     Ok(active)
 }
 
-/// Waits for a prefill; its response says where the KV cache can be fetched.
+/// Waits for a prefill to finish. The response contains the address from which the KV cache can be fetched.
 async fn prefill_response(job: &ActiveJob, state: &ServerState) -> RouteResult {
     let Ok(Progress::PrefillDone { cached_tokens, .. }) = job.progress.recv().await else {
         return error(500, &state.load_report(), "failed");
     };
     let (request, address) = (&job.attempt.request, state.address());
-    let transfer = json!({
+    let transfer_params = json!({
         "do_remote_prefill": true, "do_remote_decode": false, "remote_engine_id": state.name(),
         "remote_request_id": request, "remote_host": address.ip().to_string(),
         "remote_port": address.port(),
     });
     let body = json!({
-        "id": request, "object": "text_completion", "kv_transfer_params": transfer,
+        "id": request, "object": "text_completion", "kv_transfer_params": transfer_params,
         "choices": [{ "index": 0, "text": "", "finish_reason": "length" }],
         "usage": { "prompt_tokens": job.prompt_tokens, "completion_tokens": 1,
                    "prompt_tokens_details": { "cached_tokens": cached_tokens } },
@@ -212,12 +212,12 @@
 /// An answer whose tokens are being streamed.
 struct AnswerStream {
     job: ActiveJob,
-    /// Progress that was received already.
+    /// Progress that was received and is not yet part of the stream.
     received: Option<Progress>,
     ended: bool,
 }
 
-/// Waits for the first token, then streams the answer.
+/// Waits for the first token and then streams the answer.
 async fn answer_stream(job: ActiveJob, state: &ServerState, reset: Sender<()>) -> RouteResult {
     let load = state.load_report();
     let received = job.progress.recv().await.ok();
@@ -226,7 +226,7 @@
     streamed(&load, parts)
 }
 
-/// The next part of an answer; `None` ends its stream.
+/// Returns the next part of an answer stream; `None` ends the stream.
 async fn next_part(mut answer: AnswerStream, reset: Sender<()>) -> Option<(Bytes, AnswerStream)> {
     if answer.ended {
         return None;
@@ -249,7 +249,7 @@
     Some((Bytes::from(text), answer))
 }
 
-/// The events of one token, with the stream's end after the last one.
+/// The event of a token. The events of the last token include the usage and the end marker of the stream.
 fn token_events(job: &ActiveJob, number: u64, last: bool) -> String {
     let request = &job.attempt.request;
     let event = |text: &str, finish_reason: &str| {
--- a/emulator/src/server/response.rs
+++ b/emulator/src/server/response.rs
@@ -1,4 +1,4 @@
-//! Responses, buffered or streamed.
+//! Buffered and streamed HTTP responses.
 
 use bytes::Bytes;
 use futures_lite::Stream;
@@ -11,7 +11,7 @@
 
 const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// What every route returns.
+/// The result of every route.
 pub(super) type RouteResult = Result<Response<ResponseBody>, Infallible>;
 
 /// The body of a response.
@@ -46,19 +46,19 @@
     }
 }
 
-/// A response with a JSON body.
+/// Builds a response with a JSON body and a load report.
 pub(super) fn json_response(status: u16, load: &str, body: &Value) -> RouteResult {
     let body = ResponseBody::Buffered(Some(Bytes::from(body.to_string())));
     response(StatusCode::from_u16(status).unwrap_or_default(), load, body)
 }
 
-/// An error response.
+/// Builds an error response, with the error code also as its message.
 pub(super) fn error(status: u16, load: &str, code: &str) -> RouteResult {
     let body = json!({ "error": { "message": code, "type": "server_error", "code": code } });
     json_response(status, load, &body)
 }
 
-/// A streamed response.
+/// Builds a response whose body is streamed.
 pub(super) fn streamed(load: &str, parts: impl Stream<Item = Bytes> + 'static) -> RouteResult {
     response(StatusCode::OK, load, ResponseBody::Streamed(Box::pin(parts)))
 }
--- a/emulator/src/server/routes.rs
+++ b/emulator/src/server/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of a server.
+//! Routes requests by their path.
 
 use super::completions::{CompletionRequest, complete};
 use super::response::{RouteResult, error, json_response};
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::rc::Rc;
 
-/// Serves one request. A message to `reset` resets its connection.
+/// Serves a request. A message on `reset` resets the request's connection.
 pub(super) async fn route(
     request: Request<Incoming>,
     state: Rc<ServerState>,
@@ -41,14 +41,16 @@
     }
 }
 
-/// What a request for a KV cache that is not held gets.
+/// The response to a request that names a KV cache that the server does not hold.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MissingCache {
+    /// The response is 200 with `released` set to false.
     IsReleased,
+    /// The response is 404 with the code `state_missing`.
     IsAnError,
 }
 
-/// Releases the KV cache that a body names, or that of the request itself.
+/// Releases the KV cache of the request ID in the body. Without a request ID in the body, the ID in the header counts.
 async fn release(request_id: &str, body: &Value, state: &ServerState, missing: MissingCache) -> RouteResult {
     let unresponsive = state.unresponsive();
     let request = body.get("request_id").and_then(Value::as_str).unwrap_or(request_id);
--- a/emulator/src/server/state.rs
+++ b/emulator/src/server/state.rs
@@ -1,4 +1,4 @@
-//! The state of one server: its model, the jobs that wait for progress, and the KV caches by request.
+//! The state of a server: its model, the receivers of job progress, and the held KV caches by request.
 
 use super::Identity;
 use crate::model::{Job, Model, Progress, Rejection};
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What the tasks of one server share.
+/// The state that all tasks of a server share.
 pub(super) struct ServerState {
     identity: Identity,
     address: SocketAddr,
@@ -23,13 +23,13 @@
     started_seconds: f64,
     /// Notified when the model's next timeout may have changed.
     wake: Notification,
-    waiters: RefCell<BTreeMap<u64, Sender<Progress>>>,
+    subscribers: RefCell<BTreeMap<u64, Sender<Progress>>>,
     next_job: Cell<u64>,
-    /// Jobs whose KV cache is held, by their request.
+    /// The prefill jobs whose KV caches are held, by request ID.
     held: RefCell<BTreeMap<String, u64>>,
-    /// The requests of prefills that are not done.
+    /// The request IDs of unfinished prefills, by job.
     prefills: RefCell<BTreeMap<u64, String>>,
-    /// The idempotency keys of what was executed.
+    /// The idempotency keys of decode and combined steps that were started.
     executed_keys: RefCell<BTreeSet<String>>,
 }
 
@@ -43,7 +43,7 @@
             model: RefCell::new(model),
             started_seconds: epoch.as_secs_f64(),
             wake: Notification::new(),
-            waiters: RefCell::default(),
+            subscribers: RefCell::default(),
             next_job: Cell::new(0),
             held: RefCell::default(),
             prefills: RefCell::default(),
@@ -67,7 +67,7 @@
         self.model.borrow().fault()
     }
 
-    /// Whether it reads requests without ever responding.
+    /// Returns true if the server reads requests without ever responding to them.
     pub(super) fn unresponsive(&self) -> bool {
         let model = self.model.borrow();
         matches!(model.fault(), Fault::Silent | Fault::Hangs) || model.overloaded()
@@ -99,8 +99,8 @@
         self.model.borrow().in_flight()
     }
 
-    /// Has the model work whenever it is due, and reports progress to those who wait for it.
-    pub(super) async fn work(self: Rc<Self>) {
+    /// Calls the model at each of its timeouts and sends the resulting progress to the subscribers of the jobs.
+    pub(super) async fn run_model(self: Rc<Self>) {
         loop {
             let woken = self.wake.listen();
             let now = self.record.now();
@@ -108,7 +108,7 @@
             match due {
                 Some(due) if due <= now => {
                     let progress = self.model.borrow_mut().on_timeout(now);
-                    progress.into_iter().for_each(|progress| self.report(progress));
+                    progress.into_iter().for_each(|progress| self.deliver_progress(progress));
                     future::yield_now().await;
                 }
                 Some(due) => {
@@ -122,7 +122,7 @@
         }
     }
 
-    fn report(&self, progress: Progress) {
+    fn deliver_progress(&self, progress: Progress) {
         let id = match progress {
             Progress::PrefillDone { id, .. } => {
                 self.hold_cache(id);
@@ -131,12 +131,12 @@
             Progress::Token { id, .. } => id,
             Progress::CacheExpired { id } => return self.expire_cache(id),
         };
-        if let Some(waiter) = self.waiters.borrow().get(&id) {
-            let _ = waiter.try_send(progress);
+        if let Some(subscriber) = self.subscribers.borrow().get(&id) {
+            let _ = subscriber.try_send(progress);
         }
     }
 
-    /// A prefill is done: its KV cache is held, whether or not its response reaches anybody.
+    /// Records that the server holds the KV cache of a finished prefill, even if the response of the prefill is lost.
     fn hold_cache(&self, id: u64) {
         let Some(request) = self.prefills.borrow_mut().remove(&id) else { return };
         self.held.borrow_mut().insert(request.clone(), id);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Releases the KV cache of a request; whether there was one.
+    /// Releases the KV cache of a request. Returns false if the server held none.
     pub(super) fn release_cache(&self, request: &str) -> bool {
         let Some(id) = self.held.borrow_mut().remove(request) else { return false };
         self.model.borrow_mut().release(id);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The load report, as response headers carry it.
+    /// The load report, in the format of the response header.
     pub(super) fn load_report(&self) -> String {
         let model = self.model.borrow();
         format!(
@@ -181,35 +181,35 @@
         )
     }
 
-    /// Identifies a new job.
+    /// Returns the ID of a new job.
     pub(super) fn next_job(&self) -> u64 {
         let id = self.next_job.get();
         self.next_job.set(id + 1);
         id
     }
 
-    /// Progress of a job is sent to the returned channel.
+    /// Returns a channel that receives the progress of a job.
     pub(super) fn subscribe(&self, id: u64) -> Receiver<Progress> {
         let (sender, progress) = async_channel::unbounded();
-        self.waiters.borrow_mut().insert(id, sender);
+        self.subscribers.borrow_mut().insert(id, sender);
         progress
     }
 
-    /// Notes which request a prefill's KV cache will belong to.
-    pub(super) fn note_prefill(&self, id: u64, request: String) {
+    /// Stores the request ID under which the KV cache of a prefill job will be held.
+    pub(super) fn register_prefill(&self, id: u64, request: String) {
         self.prefills.borrow_mut().insert(id, request);
     }
 
-    /// Drops a job and all that waits for it.
+    /// Cancels a job in the model and removes its subscriber.
     pub(super) fn cancel(&self, id: u64) {
-        self.waiters.borrow_mut().remove(&id);
+        self.subscribers.borrow_mut().remove(&id);
         self.prefills.borrow_mut().remove(&id);
         let now = self.record.now();
         self.model.borrow_mut().cancel(now, id);
         self.wake.notify(usize::MAX);
     }
 
-    /// Passes a job to the model, and records where that overloads the server.
+    /// Submits a job to the model, and records an event if the job overloads the server.
     pub(super) fn submit(&self, job: Job) -> Result<(), Rejection> {
         let mut model = self.model.borrow_mut();
         let was_overloaded = model.overloaded();
@@ -224,13 +224,13 @@
         accepted
     }
 
-    /// Whether work with this idempotency key was executed here.
+    /// Returns true if this server started a decode or combined step with this idempotency key.
     pub(super) fn was_executed(&self, key: &str) -> bool {
         self.executed_keys.borrow().contains(key)
     }
 
-    /// Notes that work with an effect begins.
-    pub(super) fn note_execution(&self, request: &str, key: Option<String>) {
+    /// Records the start of a step that has an effect (decode or combined) and stores the step's idempotency key.
+    pub(super) fn record_execution(&self, request: &str, key: Option<String>) {
         self.executed_keys.borrow_mut().extend(key);
         let (server, request) = (self.identity.name.clone(), request.to_owned());
         self.record.write(Event::ExecutionStarted { server, request });
--- a/emulator/src/server/transfer.rs
+++ b/emulator/src/server/transfer.rs
@@ -1,4 +1,4 @@
-//! The transfer of a KV cache from the prefill server that holds it.
+//! Fetches a KV cache from the prefill server that holds it.
 
 use async_io::Timer;
 use async_net::TcpStream;
@@ -11,29 +11,29 @@
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 const STATUS_LINE_BYTES: usize = 12;
 
-/// The KV cache that was to be fetched is not there.
+/// The KV cache could not be fetched from its prefill server.
 #[derive(Debug)]
 pub(super) struct CacheMissing;
 
 impl fmt::Display for CacheMissing {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the KV cache is not there")
+        formatter.write_str("the KV cache could not be fetched from the prefill server")
     }
 }
 
 impl std::error::Error for CacheMissing {}
 
-/// Where a KV cache is held.
+/// The location of a KV cache: its request ID and the address of its prefill server.
 struct Source<'a> {
     request: &'a str,
     address: SocketAddr,
 }
 
 impl<'a> Source<'a> {
-    fn parse(transfer: &'a Value) -> Option<Source<'a>> {
-        let text = |name: &str| transfer.get(name).and_then(Value::as_str);
+    fn parse(transfer_params: &'a Value) -> Option<Source<'a>> {
+        let text = |name: &str| transfer_params.get(name).and_then(Value::as_str);
         let (request, host) = (text("remote_request_id")?, text("remote_host")?);
-        let port = u16::try_from(transfer.get("remote_port")?.as_u64()?).ok()?;
+        let port = u16::try_from(transfer_params.get("remote_port")?.as_u64()?).ok()?;
         let address = format!("{host}:{port}").parse().ok()?;
         Some(Source { request, address })
     }
@@ -53,9 +53,9 @@
     }
 }
 
-/// Fetches the KV cache that transfer parameters name, over a connection of its own.
-pub(super) async fn fetch_cache(transfer: &Value) -> Result<(), CacheMissing> {
-    let source = Source::parse(transfer).ok_or(CacheMissing)?;
+/// Fetches the KV cache that the transfer parameters describe, over a new connection.
+pub(super) async fn fetch_cache(transfer_params: &Value) -> Result<(), CacheMissing> {
+    let source = Source::parse(transfer_params).ok_or(CacheMissing)?;
     let expired = async {
         Timer::after(FETCH_TIMEOUT).await;
         Ok(false)
