--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: those that wait for their responses, those that disconnect, and those that send invalid requests.
+//! Simulated clients. Most wait for their responses; some disconnect early, and some send invalid requests.
 
 use crate::message::{Connection, read_chunk, read_head, with_timeout};
 use crate::record::{Class, ClientOutcome, Event, Process};
@@ -11,30 +11,30 @@
 use std::time::Duration;
 
 /// Pause between two requests of a client, in milliseconds.
-const PAUSE_MS: (u64, u64) = (20, 250);
+const REQUEST_PAUSE_MS: (u64, u64) = (20, 250);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The share of requests whose client does not wait for the response.
+/// The share of requests whose client disconnects without waiting for the response.
 const DISCONNECT_SHARE: f64 = 0.12;
-/// When such a client disconnects, in milliseconds.
+/// Time after the request when such a client disconnects, in milliseconds.
 const DISCONNECT_AFTER_MS: (u64, u64) = (0, 400);
 /// The share of requests that are invalid.
 const INVALID_SHARE: f64 = 0.04;
 const SLOW_WRITE_SHARE: f64 = 0.05;
 /// Pause between two parts of a slowly written request, in milliseconds.
 const SLOW_WRITE_PAUSE_MS: (u64, u64) = (1, 120);
-/// The share of requests for which a connection is used again.
+/// The probability that a client reuses its idle connection for the next request.
 const REUSE_SHARE: f64 = 0.8;
 /// The share of complete responses after which a client closes its connection.
 const CLOSE_SHARE: f64 = 0.02;
-/// An invalid request gets an error or a close within this, with some slack.
+/// Time within which a gateway must reject an invalid request or close its connection; it includes some slack.
 const INVALID_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_400);
-/// A response from which nothing arrives for this long has stalled.
+/// Time without any data after which a client treats a response as timed out.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(8_000);
 /// The shortest deadline of a request, as a percentage of the longest.
 const MIN_DEADLINE_PERCENT: u64 = 40;
 const MAX_BODY_BYTES: usize = 4_000;
-/// Idempotency keys that requests share.
-const KEYS: u64 = 64;
+/// The number of idempotency keys that all requests share.
+const IDEMPOTENCY_KEYS: u64 = 64;
 
 struct Request {
     id: u64,
@@ -50,22 +50,23 @@
             1 => (Class::Keyed, "order"),
             _ => (Class::Idempotent, "chat"),
         };
-        let longest_ms = testbed.parameters.max_deadline.as_millis() as u64;
-        let deadline = testbed.random.duration_ms(longest_ms * MIN_DEADLINE_PERCENT / 100, longest_ms);
+        let max_deadline_ms = testbed.parameters.max_deadline.as_millis() as u64;
+        let deadline =
+            testbed.random.duration_ms(max_deadline_ms * MIN_DEADLINE_PERCENT / 100, max_deadline_ms);
         let body = format!("{{\"messages\":\"{}\"}}", "x".repeat(testbed.random.below(MAX_BODY_BYTES)));
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nReq-Id: {id:016x}\r\nReq-Kind: {kind}\r\n\
              Req-Key: {:016x}\r\nReq-Deadline-Ms: {}\r\n\
              Req-Extra: prompt_len=1000,prefix_len=0,max_out=200\r\nContent-Length: {}\r\n\r\n{body}",
-            id % KEYS,
+            id % IDEMPOTENCY_KEYS,
             deadline.as_millis(),
             body.len()
         );
         Request { id, class, deadline, text }
     }
 
-    /// A text that can't be served.
-    fn spoil(&self, testbed: &Testbed) -> String {
+    /// Returns the request as an invalid text that no gateway can serve.
+    fn to_invalid_text(&self, testbed: &Testbed) -> String {
         match testbed.random.below(6) {
             0 => self.text[..self.text.len() / 2].to_owned(),
             1 => self.text[..40].to_owned(),
@@ -81,25 +82,25 @@
 struct GatewayConnection {
     connection: Connection,
     process: Process,
-    /// It has served a request.
+    /// True once the connection has served a request.
     reused: bool,
 }
 
-/// What follows a request on a connection.
+/// What a client does after a request.
 enum Next {
-    /// The connection may serve another request.
+    /// The client may send another request on the connection.
     Reuse(GatewayConnection),
-    /// The same request is sent again, on a new connection.
+    /// The client sends the same request again on this new connection.
     Resend(GatewayConnection),
-    /// The next request takes a new connection.
+    /// The client opens a new connection for its next request.
     Close,
 }
 
-/// Sends one request after the other, for as long as the run lasts.
+/// Sends one request after the other until the run ends.
 pub async fn run(testbed: Rc<Testbed>, number: usize) {
     let mut idle: Option<GatewayConnection> = None;
     for count in 0.. {
-        Timer::after(testbed.random.duration_ms(PAUSE_MS.0, PAUSE_MS.1)).await;
+        Timer::after(testbed.random.duration_ms(REQUEST_PAUSE_MS.0, REQUEST_PAUSE_MS.1)).await;
         if testbed.finished.get() {
             return;
         }
@@ -118,8 +119,8 @@
     }
 }
 
-/// Sends a request, and once more where the end of a connection crossed a request that was not read. Returns the
-/// connection where it may be used again.
+/// Sends a request, and resends it once if a reused connection closed before any server read the request. Returns the
+/// connection if the client may reuse it.
 async fn send_with_retry(
     testbed: &Testbed,
     request: &Request,
@@ -151,7 +152,7 @@
 async fn send(testbed: &Testbed, request: &Request, mut gateway: GatewayConnection) -> Next {
     let started_at = testbed.record.now();
     if !write_request(testbed, &mut gateway.connection, &request.text).await {
-        // Its last byte was never written: it was not accepted.
+        // The client never wrote the last byte, so the gateway did not accept the request.
         return if gateway.reused { resend(testbed).await } else { Next::Close };
     }
     testbed.record.write(Event::RequestSent {
@@ -180,7 +181,8 @@
             gateway.reused = true;
             Next::Reuse(gateway)
         }
-        // One that was forwarded may have been executed: only its gateway knew.
+        // A server may have executed a request that it has read, and only the gateway knew whether a retry is safe. The
+        // client must not resend such a request.
         ClientOutcome::NoResponse { reused: true } if !testbed.was_forwarded(request.id) => {
             resend(testbed).await
         }
@@ -238,7 +240,7 @@
     }
 }
 
-/// Records how long each event was in transit, by the time in it.
+/// Records how long each event was in transit, from the send time in the event (`t`, in microseconds).
 fn record_events(testbed: &Testbed, request: u64, data: &[u8]) {
     let now = testbed.record.now();
     for event in String::from_utf8_lossy(data).split("\"t\":").skip(1) {
@@ -250,15 +252,15 @@
     }
 }
 
-/// Sends an invalid request, and records whether it is answered with an error or a close.
+/// Sends an invalid request, and records whether the gateway answers with an error or closes the connection.
 async fn send_invalid(testbed: &Testbed, request: &Request) {
     let Some(mut gateway) = connect(testbed).await else { return };
-    let text = request.spoil(testbed);
-    let began = testbed.record.now();
+    let text = request.to_invalid_text(testbed);
+    let started_at = testbed.record.now();
     let _ = gateway.connection.get_mut().write_all(text.as_bytes()).await;
-    let left = INVALID_REQUEST_TIMEOUT.saturating_sub(testbed.record.now().saturating_sub(began));
-    let answer = with_timeout(left, read_head(&mut gateway.connection)).await;
-    let served = matches!(&answer, Some(Ok(Some(head))) if head.status() == 200);
-    let answered = answer.is_some();
+    let remaining = INVALID_REQUEST_TIMEOUT.saturating_sub(testbed.record.now().saturating_sub(started_at));
+    let response = with_timeout(remaining, read_head(&mut gateway.connection)).await;
+    let served = matches!(&response, Some(Ok(Some(head))) if head.status() == 200);
+    let answered = response.is_some();
     testbed.record.write(Event::InvalidRequestFinished { process: gateway.process, answered, served });
 }
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: drawn from the seed, several at once, each with a beginning and an end.
+//! Draws faults from the seed and injects them; several may be active at once, and each has a beginning and an end.
 
 use crate::discovery::ADDRESSES;
 use crate::message::with_timeout;
@@ -12,28 +12,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between the beginnings of two faults, in milliseconds.
-const PAUSE_MS: (u64, u64) = (150, 1_200);
+/// Time between the beginnings of two faults, in milliseconds.
+const FAULT_INTERVAL_MS: (u64, u64) = (150, 1_200);
 /// How long a fault lasts, in milliseconds.
-const DURATION_MS: (u64, u64) = (300, 4_000);
-/// Faults that fail every call or so last this much shorter.
+const FAULT_DURATION_MS: (u64, u64) = (300, 4_000);
+/// Divides the duration of faults that fail a large share of all calls.
 const SEVERE_FAULT_DIVISOR: u32 = 8;
 /// How long a crashed gateway or a restarting server is down, in milliseconds.
 const GATEWAY_DOWNTIME_MS: (u64, u64) = (50, 2_000);
 const SERVER_DOWNTIME_MS: (u64, u64) = (100, 1_500);
-/// How long a restarted server takes until it is listed, in milliseconds.
+/// Time from the start of a restarted server until the endpoint list has it, in milliseconds.
 const LISTING_DELAY_MS: (u64, u64) = (1, 200);
 /// Pause between two reloads, in milliseconds.
 const RELOAD_PAUSE_MS: (u64, u64) = (20, 1_500);
 /// How long a slow discovery agent delays its responses, in milliseconds.
 const DISCOVERY_DELAY_MS: (u64, u64) = (100, 1_500);
-/// Connections of a crowd: more than a gateway has places for clients.
-const CROWD: usize = 320;
-const CROWD_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// The number of connections in a flood; it exceeds the number of client connections that a gateway admits.
+const FLOOD_CONNECTIONS: usize = 320;
+const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 const MAX_CLOCK_STEP_MS: i64 = 3_600_000;
 const NANOS_PER_MS: i64 = 1_000_000;
 const SEND_DELAY: Duration = Duration::from_millis(150);
-/// So many servers of a role may have a fault at once.
+/// The maximum number of servers of one role that are faulty at the same time.
 const MAX_FAULTY_SERVERS: usize = 2;
 
 /// A kind of fault.
@@ -42,7 +42,7 @@
     GatewayRestart,
     GatewayCrash,
     SignalSeries,
-    Crowd,
+    ConnectionFlood,
     Reloads,
     WallClockEverywhere,
     WallClockOfOneGateway,
@@ -66,7 +66,7 @@
     AgentSlow,
 }
 
-/// The faults that are drawn from; one that stands twice is twice as likely.
+/// The faults to draw from. A fault that is listed twice is drawn twice as often.
 const FAULTS: [Fault; 31] = [
     Fault::GatewayRestart,
     Fault::GatewayRestart,
@@ -89,7 +89,7 @@
     Fault::Server(ServerBehavior::Stopped),
     Fault::ConnectionsSilent,
     Fault::SignalSeries,
-    Fault::Crowd,
+    Fault::ConnectionFlood,
     Fault::Server(ServerBehavior::Faulty),
     Fault::Server(ServerBehavior::Slow),
     Fault::Server(ServerBehavior::ClosesIdleConnections),
@@ -102,7 +102,7 @@
 ];
 
 impl Fault {
-    /// The name in records and reports.
+    /// The name of the fault in records and reports.
     fn name(self) -> &'static str {
         match self {
             Fault::GatewayRestart => "Restart",
@@ -125,7 +125,7 @@
             Fault::Server(ServerBehavior::Stopped) => "ServerStopped",
             Fault::ConnectionsSilent => "ConnectionsSilent",
             Fault::SignalSeries => "SignalSeries",
-            Fault::Crowd => "Crowd",
+            Fault::ConnectionFlood => "Crowd",
             Fault::Server(ServerBehavior::Faulty) => "ServerBad",
             Fault::Server(ServerBehavior::Slow) => "ServerSlow",
             Fault::Server(ServerBehavior::ClosesIdleConnections) => "ServerForgetsIdle",
@@ -140,11 +140,11 @@
     }
 }
 
-/// One drawn fault.
+/// A fault that was drawn, with its target and duration.
 #[derive(Clone, Copy)]
 struct Injection {
     fault: Fault,
-    /// The gateway that it concerns, where it is one gateway's.
+    /// The gateway that the fault affects, if it affects a single gateway.
     gateway: usize,
     duration: Duration,
 }
@@ -157,21 +157,21 @@
 }
 
 impl FaultInjector {
-    /// An injector that has injected nothing yet.
+    /// Creates an injector that has injected nothing yet.
     pub fn new(testbed: &Rc<Testbed>, gateways: Vec<Rc<Gateway>>) -> Rc<FaultInjector> {
         Rc::new(FaultInjector { testbed: testbed.clone(), gateways, injected: Cell::new(0) })
     }
 
-    /// Begins one fault after the other until that time; they may end later.
+    /// Begins one fault after the other until the time `until` of the run; faults may end later.
     pub async fn run(self: Rc<Self>, until: Duration) {
         let testbed = &self.testbed;
         while testbed.record.now() < until {
-            Timer::after(testbed.random.duration_ms(PAUSE_MS.0, PAUSE_MS.1)).await;
+            Timer::after(testbed.random.duration_ms(FAULT_INTERVAL_MS.0, FAULT_INTERVAL_MS.1)).await;
             let fault = FAULTS[testbed.random.below(FAULTS.len())];
             let number = self.injected.get();
             self.injected.set(number + 1);
-            let own = self.clone();
-            testbed.spawn(async move { own.inject(fault, number).await });
+            let injector = self.clone();
+            testbed.spawn(async move { injector.inject(fault, number).await });
         }
     }
 
@@ -184,7 +184,7 @@
             self.testbed.record.write(Event::Fault { kind, gateway, number, began });
         };
         record(true);
-        let duration = random.duration_ms(DURATION_MS.0, DURATION_MS.1);
+        let duration = random.duration_ms(FAULT_DURATION_MS.0, FAULT_DURATION_MS.1);
         self.apply(Injection { fault, gateway, duration }).await;
         record(false);
     }
@@ -194,7 +194,7 @@
             Fault::GatewayRestart
             | Fault::GatewayCrash
             | Fault::SignalSeries
-            | Fault::Crowd
+            | Fault::ConnectionFlood
             | Fault::Reloads
             | Fault::WallClockEverywhere
             | Fault::WallClockOfOneGateway => self.apply_to_process(injection).await,
@@ -224,7 +224,9 @@
         match injection.fault {
             Fault::GatewayRestart => gateway.restart(StopSignals::Once).await,
             Fault::SignalSeries => gateway.restart(StopSignals::Series).await,
-            Fault::Crowd => self.crowd(injection.gateway, injection.duration).await,
+            Fault::ConnectionFlood => {
+                self.flood_with_connections(injection.gateway, injection.duration).await
+            }
             Fault::GatewayCrash => {
                 gateway.crash(random.duration_ms(GATEWAY_DOWNTIME_MS.0, GATEWAY_DOWNTIME_MS.1)).await;
             }
@@ -247,14 +249,14 @@
     async fn apply_to_calls(&self, injection: Injection) {
         let random = &self.testbed.random;
         let Injection { fault, gateway, duration } = injection;
-        let short = duration / SEVERE_FAULT_DIVISOR;
+        let short_duration = duration / SEVERE_FAULT_DIVISOR;
         let faults = &self.gateways[gateway].faults;
         let (call_fault, one_in, duration) = match fault {
             Fault::InterruptedCalls => (CallFault::Interrupted, 5 + random.below(195), duration),
             Fault::ShortTransfers => (CallFault::ShortTransfer, 2 + random.below(50), duration),
-            Fault::FailedConnects => (CallFault::ConnectFails, 1 + random.below(8), short),
-            Fault::FailedSockets => (CallFault::SocketFails, 1 + random.below(8), short),
-            Fault::FailedAccepts => (CallFault::AcceptFails, 1 + random.below(8), short),
+            Fault::FailedConnects => (CallFault::ConnectFails, 1 + random.below(8), short_duration),
+            Fault::FailedSockets => (CallFault::SocketFails, 1 + random.below(8), short_duration),
+            Fault::FailedAccepts => (CallFault::AcceptFails, 1 + random.below(8), short_duration),
             Fault::NoMemory => (CallFault::NoMemory, 5 + random.below(195), duration),
             Fault::BrokenConnections => (CallFault::Broken, 30 + random.below(300), duration),
             Fault::DelayedSends => {
@@ -263,14 +265,14 @@
             }
             _ => return,
         };
-        let breaking = fault == Fault::BrokenConnections;
-        if breaking {
+        let breaks_connections = fault == Fault::BrokenConnections;
+        if breaks_connections {
             self.testbed.record.write(Event::ConnectionsBreaking { gateway, active: true });
         }
         let _ = faults.set(call_fault, one_in as i64);
         Timer::after(duration).await;
         let _ = faults.set(call_fault, 0);
-        if breaking {
+        if breaks_connections {
             self.testbed.record.write(Event::ConnectionsBreaking { gateway, active: false });
         }
     }
@@ -284,7 +286,7 @@
             return self.cut_links(all_gateways.collect(), vec![server], injection.duration).await;
         }
         if injection.fault == Fault::ConnectionsSilent {
-            // All connections of one gateway, or all to one server.
+            // Silences all connections of one gateway, or all connections to one server.
             let (gateway, server) = (injection.gateway, random.below(servers.len()));
             return match random.happens(0.5) {
                 true => {
@@ -294,9 +296,9 @@
             };
         }
         let zone = random.below(ZONES.len());
-        let other_gateways = all_gateways.filter(|gateway| gateway % ZONES.len() != zone).collect();
+        let gateways_of_other_zones = all_gateways.filter(|gateway| gateway % ZONES.len() != zone).collect();
         let zone_servers = (0..servers.len()).filter(|server| servers[*server].zone == zone).collect();
-        self.cut_links(other_gateways, zone_servers, injection.duration).await;
+        self.cut_links(gateways_of_other_zones, zone_servers, injection.duration).await;
     }
 
     async fn apply_to_server(&self, injection: Injection) {
@@ -352,13 +354,13 @@
         }
     }
 
-    /// Clients connect to a gateway and say nothing.
-    async fn crowd(&self, gateway: usize, duration: Duration) {
+    /// Opens many connections to a gateway and sends nothing on them.
+    async fn flood_with_connections(&self, gateway: usize, duration: Duration) {
         let address = self.testbed.gateway_address(gateway);
-        let mut crowd = Vec::new();
-        for _ in 0..CROWD {
+        let mut connections = Vec::new();
+        for _ in 0..FLOOD_CONNECTIONS {
             let connecting = TcpStream::connect(address);
-            crowd.extend(with_timeout(CROWD_CONNECT_TIMEOUT, connecting).await);
+            connections.extend(with_timeout(FLOOD_CONNECT_TIMEOUT, connecting).await);
         }
         Timer::after(duration).await;
     }
@@ -381,7 +383,7 @@
         self.testbed.record.write(Event::LinksCut { servers, cut: false });
     }
 
-    /// A server without a fault, where not too many of its role have one.
+    /// Picks a healthy server of a random role; returns `None` if too many servers of that role are faulty.
     fn healthy_server(&self) -> Option<usize> {
         let (servers, random) = (&self.testbed.servers, &self.testbed.random);
         let role = if random.happens(0.5) { Role::Prefill } else { Role::Decode };
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! The gateways' processes: spawned, signalled, killed, supervised.
+//! Spawns, signals, kills and supervises the gateway processes.
 
 use crate::message::with_timeout;
 use crate::record::{Event, Process};
@@ -19,27 +19,27 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Clients still connect to a gateway for this long after its stop signal.
-const CONNECTING_AFTER_STOP: Duration = Duration::from_millis(300);
-/// A stopping process is killed this long after the longest deadline.
+/// Time after the stop signal during which clients still connect to a gateway.
+const OPEN_AFTER_STOP: Duration = Duration::from_millis(300);
+/// Time from the longest deadline of a request until a stopping process is killed.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Deadlines that are longer count as this.
-const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Pause between two signals of a series.
-const SIGNAL_PAUSE: Duration = Duration::from_millis(120);
+/// The longest request deadline that a stopping process is given time for before it is killed.
+const MAX_AWAITED_DEADLINE: Duration = Duration::from_secs(3);
+/// Time between two signals of a series.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(120);
 const LOG_FILTER: &str = "info,petrelshore_platform_gateway=debug,petrelshore_platform_ingress=debug";
 
-/// Which signals a process gets to stop.
+/// The signals that a process is stopped with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopSignals {
     /// One SIGTERM.
     Once,
-    /// More behind it, of both kinds.
+    /// One SIGTERM, followed by more stop signals and reload signals.
     Series,
 }
 
 impl StopSignals {
-    /// What follows the first SIGTERM.
+    /// The signals that follow the first SIGTERM.
     fn series(self) -> &'static [Signal] {
         match self {
             StopSignals::Once => &[],
@@ -48,21 +48,21 @@
     }
 }
 
-/// One gateway, over all of its processes.
+/// One gateway, across all processes that run it one after the other.
 pub struct Gateway {
     testbed: Rc<Testbed>,
     program: PathBuf,
     number: usize,
-    /// The faults in its system calls.
+    /// The faults in the system calls of its processes.
     pub faults: Faults,
     child: RefCell<Option<Child>>,
     run: Cell<usize>,
-    /// A stop or a start is in progress.
+    /// True while a stop or a start is in progress.
     transitioning: Cell<bool>,
 }
 
 impl Gateway {
-    /// A gateway without a process; `number` tells its addresses and files.
+    /// Creates a gateway without a process. Its addresses and file names follow from `number`.
     pub fn new(
         testbed: &Rc<Testbed>,
         program: PathBuf,
@@ -90,7 +90,7 @@
         self.testbed.folder.join(format!("n{}.json", self.number))
     }
 
-    /// The log of one of its processes.
+    /// The path of the log file of one of the gateway's processes.
     pub fn log_file(&self, run: usize) -> PathBuf {
         self.testbed.folder.join(format!("n{}-{run}.log", self.number))
     }
@@ -101,7 +101,7 @@
         std::fs::rename(new_file, self.config_file())
     }
 
-    /// Starts a process and waits until it is ready; clients connect to it from then on.
+    /// Starts a process and waits until it is ready; clients may connect to it from then on.
     pub async fn start(&self) -> io::Result<()> {
         self.run.set(self.run.get() + 1);
         let process = self.process();
@@ -130,12 +130,13 @@
         command.spawn()
     }
 
-    /// How long the process took to become ready; `None` where it ended or took too long.
+    /// Waits until the process is ready and returns its startup time. Returns `None` if the process exited or took too
+    /// long.
     async fn wait_until_ready(&self) -> Option<Duration> {
-        let began = self.testbed.record.now();
-        while self.testbed.record.now() - began < STARTUP_TIMEOUT {
+        let started_at = self.testbed.record.now();
+        while self.testbed.record.now() - started_at < STARTUP_TIMEOUT {
             if self.is_ready().await {
-                return Some(self.testbed.record.now() - began);
+                return Some(self.testbed.record.now() - started_at);
             }
             if self.has_exited() {
                 return None;
@@ -149,14 +150,14 @@
         let check = async {
             let mut stream = TcpStream::connect(self.testbed.gateway_address(self.number)).await?;
             stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n").await?;
-            let mut answer = [0; 12];
-            stream.read_exact(&mut answer).await?;
-            Ok::<_, io::Error>(answer.ends_with(b"200"))
+            let mut status_line = [0; 12];
+            stream.read_exact(&mut status_line).await?;
+            Ok::<_, io::Error>(status_line.ends_with(b"200"))
         };
         matches!(with_timeout(HEALTH_CHECK_TIMEOUT, check).await, Some(Ok(true)))
     }
 
-    /// Whether its process has ended; records that once.
+    /// Returns true if the gateway has no running process. Records the exit of a process when it first sees it.
     fn has_exited(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let Some(running) = child.as_mut() else { return true };
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Clients connect to it no more.
-    fn close(&self) {
+    /// Keeps clients from opening new connections to the gateway.
+    fn close_to_clients(&self) {
         self.testbed.open_gateways.borrow_mut().remove(&self.number);
     }
 
@@ -188,14 +189,14 @@
         let _ = child.wait();
     }
 
-    /// Kills the process without a stop signal and starts another after a while.
+    /// Kills the process without a stop signal and starts another after `downtime`.
     pub async fn crash(&self, downtime: Duration) {
         if self.transitioning.replace(true) {
             return;
         }
-        // A process that has ended by itself must not count as killed.
+        // A process that exited by itself must not be recorded as killed.
         if !self.has_exited() {
-            self.close();
+            self.close_to_clients();
             self.kill();
         }
         Timer::after(downtime).await;
@@ -203,7 +204,7 @@
         self.transitioning.set(false);
     }
 
-    /// Sends the stop signal, kills the process once its time is over, and starts another.
+    /// Sends the stop signals, kills the process if it does not exit in time, and starts another.
     pub async fn restart(&self, signals: StopSignals) {
         if self.transitioning.replace(true) {
             return;
@@ -218,27 +219,27 @@
         record.write(Event::StopSignalSent { process: self.process() });
         self.signal(Signal::TERM);
         let kill_at =
-            record.now() + self.testbed.parameters.max_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
-        let close_at = record.now() + CONNECTING_AFTER_STOP;
+            record.now() + self.testbed.parameters.max_deadline.min(MAX_AWAITED_DEADLINE) + KILL_DELAY;
+        let close_to_clients_at = record.now() + OPEN_AFTER_STOP;
         let mut series = signals.series().iter();
-        let mut next_signal_at = record.now() + SIGNAL_PAUSE;
+        let mut next_signal_at = record.now() + SIGNAL_INTERVAL;
         while record.now() < kill_at && !self.has_exited() {
             if record.now() >= next_signal_at
                 && let Some(signal) = series.next()
             {
                 self.signal(*signal);
-                next_signal_at += SIGNAL_PAUSE;
+                next_signal_at += SIGNAL_INTERVAL;
             }
-            if record.now() >= close_at {
-                self.close();
+            if record.now() >= close_to_clients_at {
+                self.close_to_clients();
             }
             Timer::after(POLL_INTERVAL).await;
         }
-        self.close();
+        self.close_to_clients();
         self.kill();
     }
 
-    /// Moves its discovery agent to another address, by a new configuration.
+    /// Moves the gateway's discovery agent to another address and has the process reload its configuration.
     pub fn reload(&self, address: usize) {
         if self.transitioning.get() || self.child.borrow().is_none() {
             return;
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Restarts a process that ends by itself, for as long as it is polled.
+    /// Restarts the process whenever it exits by itself. This future never completes.
     pub async fn supervise(&self) {
         loop {
             Timer::after(POLL_INTERVAL).await;
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Stops it for good.
+    /// Stops the gateway's process and starts no other.
     pub async fn shut_down(&self) {
         while self.transitioning.get() {
             Timer::after(POLL_INTERVAL).await;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run, from its plan to its report.
+//! Executes one run, from its plan to its report.
 
 use crate::client;
 use crate::discovery;
@@ -16,31 +16,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Faults begin after this.
-const FAULTS_AFTER: Duration = Duration::from_secs(1);
-/// No fault begins this long before clients stop.
-const FAULTS_END_BEFORE: Duration = Duration::from_secs(4);
-/// After the last request, its response and the release of its KV cache are awaited.
+/// Time from the start of the clients until faults may begin.
+const FAULT_START_DELAY: Duration = Duration::from_secs(1);
+/// Time before the clients stop during which no fault begins.
+const LAST_FAULT_MARGIN: Duration = Duration::from_secs(4);
+/// Time after the last request for its response and the release of its KV cache.
 const SETTLE_TIME: Duration = Duration::from_millis(4_500);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
-/// Delays of the soak itself that are recorded.
+/// The shortest delay of the soak itself that is recorded.
 const MIN_SCHEDULING_DELAY: Duration = Duration::from_millis(10);
 
-/// What a run consists of.
+/// The size, duration and seed of a run.
 pub struct Plan {
-    /// Draws faults, traffic and parameters.
+    /// The seed from which faults, traffic and parameters are drawn.
     pub seed: u64,
-    /// How long clients send requests.
+    /// How long clients send requests, in seconds.
     pub seconds: u64,
-    /// Gateway processes.
+    /// The number of gateways, each of which has one process at a time.
     pub gateways: usize,
-    /// Model servers.
+    /// The number of model servers.
     pub servers: usize,
-    /// Clients.
+    /// The number of clients.
     pub clients: usize,
-    /// The `petrelshore` command.
+    /// The path of the `petrelshore` command.
     pub program: PathBuf,
-    /// A new folder for configurations and logs; removed where no rule is broken.
+    /// A new folder for configurations and logs. The run removes it if no rule was broken.
     pub folder: PathBuf,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl Plan {
-    /// The deployment of the run: its timeouts differ from seed to seed.
+    /// The parameters of the deployment; timeouts differ from seed to seed.
     fn parameters(&self) -> Parameters {
         let choose = |millis: [u64; 3], divisor: u64| {
             Duration::from_millis(millis[(self.seed / divisor % 3) as usize])
@@ -88,37 +88,37 @@
 
 async fn execute(testbed: &Rc<Testbed>, plan: &Plan, library: &Library) -> io::Result<()> {
     spawn_servers(testbed);
-    let own = testbed.clone();
-    testbed.spawn(async move { record_scheduling_delays(&own).await });
+    let shared = testbed.clone();
+    testbed.spawn(async move { record_scheduling_delays(&shared).await });
     let gateways = start_gateways(testbed, plan, library).await?;
     for number in 0..plan.clients {
         testbed.spawn(client::run(testbed.clone(), number));
     }
     let end = testbed.record.now() + Duration::from_secs(plan.seconds);
-    Timer::after(FAULTS_AFTER).await;
-    FaultInjector::new(testbed, gateways.clone()).run(end.saturating_sub(FAULTS_END_BEFORE)).await;
-    Timer::after(FAULTS_END_BEFORE).await;
+    Timer::after(FAULT_START_DELAY).await;
+    FaultInjector::new(testbed, gateways.clone()).run(end.saturating_sub(LAST_FAULT_MARGIN)).await;
+    Timer::after(LAST_FAULT_MARGIN).await;
     testbed.finished.set(true);
     Timer::after(SETTLE_TIME).await;
     shut_down(testbed, &gateways).await;
     Ok(())
 }
 
-/// Spawns the model servers and discovery agents that each gateway reaches.
+/// Spawns the model servers and discovery agents at the addresses where each gateway reaches them.
 fn spawn_servers(testbed: &Rc<Testbed>) {
     for gateway in 0..testbed.parameters.gateways {
         for server in 0..testbed.parameters.servers {
-            let own = testbed.clone();
+            let shared = testbed.clone();
             testbed.spawn(async move {
-                let ended = server::serve(own.clone(), gateway, server).await;
-                record_failure(&own, ended);
+                let result = server::serve(shared.clone(), gateway, server).await;
+                record_failure(&shared, result);
             });
         }
         for address in 0..discovery::ADDRESSES {
-            let own = testbed.clone();
+            let shared = testbed.clone();
             testbed.spawn(async move {
-                let ended = discovery::serve(own.clone(), gateway, address).await;
-                record_failure(&own, ended);
+                let result = discovery::serve(shared.clone(), gateway, address).await;
+                record_failure(&shared, result);
             });
         }
     }
@@ -134,38 +134,38 @@
         .map(|number| Gateway::new(testbed, plan.program.clone(), library, number))
         .collect::<io::Result<Vec<_>>>()?;
     let starts = gateways.iter().map(|gateway| {
-        let own = gateway.clone();
-        testbed.executor.spawn(async move { own.start().await })
+        let gateway = gateway.clone();
+        testbed.executor.spawn(async move { gateway.start().await })
     });
     for start in starts.collect::<Vec<_>>() {
         start.await?;
     }
     for gateway in &gateways {
-        let own = gateway.clone();
-        testbed.spawn(async move { own.supervise().await });
+        let gateway = gateway.clone();
+        testbed.spawn(async move { gateway.supervise().await });
     }
     Ok(gateways)
 }
 
 /// Stops all gateways at once.
 async fn shut_down(testbed: &Rc<Testbed>, gateways: &[Rc<Gateway>]) {
-    let ends = gateways.iter().map(|gateway| {
-        let own = gateway.clone();
-        testbed.executor.spawn(async move { own.shut_down().await })
+    let shutdowns = gateways.iter().map(|gateway| {
+        let gateway = gateway.clone();
+        testbed.executor.spawn(async move { gateway.shut_down().await })
     });
-    for end in ends.collect::<Vec<_>>() {
-        end.await;
+    for shutdown in shutdowns.collect::<Vec<_>>() {
+        shutdown.await;
     }
 }
 
-/// Records that a server could not listen.
-fn record_failure(testbed: &Testbed, ended: io::Result<()>) {
-    if let Err(error) = ended {
+/// Keeps the first error with which a model server or discovery agent stopped serving; such a run is not judged.
+fn record_failure(testbed: &Testbed, result: io::Result<()>) {
+    if let Err(error) = result {
         testbed.failure.borrow_mut().get_or_insert(error);
     }
 }
 
-/// Records by how much the soak itself is delayed.
+/// Records delays of the soak's own tasks, for which the oracle allows extra slack.
 async fn record_scheduling_delays(testbed: &Testbed) {
     loop {
         let due = testbed.record.now() + HEARTBEAT_INTERVAL;
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -1,7 +1,7 @@
-//! Model servers and the network links to them.
+//! Simulates model servers and the network links to them.
 //!
-//! Each gateway reaches each server at an address of its own, so that a link can be cut: nothing is transmitted on its
-//! connections, and new ones are never established.
+//! Each pair of a gateway and a server has an address of its own, so that the link between them can be cut: a cut link
+//! transmits nothing on its open connections and never establishes new ones.
 
 use crate::message::{Connection, Head, encode_chunk, read_body, read_head, write_text};
 use crate::record::{Event, Exchange, ExchangeOutcome, Role, Time};
@@ -17,18 +17,18 @@
 
 /// The listen backlog while a link is up.
 const BACKLOG: i32 = 128;
-/// Connections that fill the backlog of a link that is cut, so that no other is established.
-const FILLERS: usize = 4;
-/// Duration of a prefill, in milliseconds.
-const PREFILL_MS: (u64, u64) = (5, 40);
+/// The number of connections that fill the listen backlog of a cut link, so that a gateway can establish none.
+const FILLER_CONNECTIONS: usize = 4;
+/// The duration of a prefill, in milliseconds.
+const PREFILL_DURATION_MS: (u64, u64) = (5, 40);
 /// Time to the first event of a stream, in milliseconds.
-const FIRST_EVENT_MS: (u64, u64) = (10, 50);
-/// Pause between two events, in milliseconds.
+const FIRST_EVENT_DELAY_MS: (u64, u64) = (10, 50);
+/// Time between two events of a stream, in milliseconds.
 const EVENT_INTERVAL_MS: (u64, u64) = (5, 60);
 const MAX_EVENTS: usize = 25;
-/// The share of idle connections that close as their next request arrives.
-const CLOSE_IDLE_SHARE: f64 = 0.3;
-/// How much longer a slow server takes.
+/// The probability that a server that closes idle connections closes one as its next request arrives.
+const CLOSE_IDLE_PROBABILITY: f64 = 0.3;
+/// The additional time that a slow server takes for each step of its work.
 const SLOW_DELAY: Duration = Duration::from_millis(500);
 const PREFILL_RESPONSE: &str =
     "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nSrv-Load: x0=0.25\r\n\r\n{\"cached_tokens\":4}";
@@ -36,14 +36,15 @@
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 const STREAM_END: &str =
     "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9}}\n\ndata: [DONE]\n\n: Srv-Load: x0=0.5\n\n";
-const DECLINED: &str = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-const CACHE_MISSING: &str = "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-const FAILED: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-const HEALTH_CHECK: &str = "GET /healthz ";
-const HEALTHY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+const DECLINED_RESPONSE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+const CACHE_MISSING_RESPONSE: &str = "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+const ERROR_RESPONSE: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+const HEALTH_CHECK_PREFIX: &str = "GET /healthz ";
+const HEALTHY_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const RELEASED_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// An exchange in progress. One that is dropped without an end has a broken connection.
+/// An exchange in progress. An exchange that is dropped before it ends is recorded as broken.
 struct OpenExchange {
     testbed: Rc<Testbed>,
     exchange: Exchange,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Serves what one gateway sends to one server, for as long as it is polled.
+/// Serves the requests of one gateway to one server. Completes only with an I/O error of the listening socket.
 pub async fn serve(testbed: Rc<Testbed>, gateway: usize, server: usize) -> io::Result<()> {
     let address = testbed.server_address(gateway, server);
     loop {
@@ -113,17 +114,17 @@
         let Some(Ok((stream, _))) = future::or(accepted, cut).await else { continue };
         let stream = TcpStream::from(stream);
         let _ = stream.set_nodelay(true);
-        let own = testbed.clone();
-        testbed.spawn(async move { serve_connection(own, gateway, server, stream).await });
+        let shared = testbed.clone();
+        testbed.spawn(async move { serve_connection(shared, gateway, server, stream).await });
     }
 }
 
-/// Fills the backlog: connections beyond it are not established.
+/// Fills the listen backlog, so that the kernel establishes no further connections.
 fn fill_backlog(listener: &Async<TcpListener>, address: SocketAddr) -> io::Result<Vec<rustix::fd::OwnedFd>> {
     use rustix::net::{AddressFamily, SocketFlags, SocketType, connect, socket_with};
     rustix::net::listen(listener, 0)?;
     let mut fillers = Vec::new();
-    for _ in 0..FILLERS {
+    for _ in 0..FILLER_CONNECTIONS {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let filler = socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
         let _ = connect(&filler, &address);
@@ -136,14 +137,14 @@
     let mut connection = BufReader::new(stream);
     let restarts = testbed.servers[server].restarts.get();
     let silences = testbed.link(gateway, server).silences.get();
-    let peer = Peer { testbed: &testbed, gateway, server, silences };
+    let context = ConnectionContext { testbed: &testbed, gateway, server, silences };
     let reset = {
         let served = async {
-            let _ = peer.serve_exchanges(&mut connection).await;
+            let _ = context.serve_exchanges(&mut connection).await;
             false
         };
         let reset = async {
-            peer.wait_for_reset(restarts).await;
+            context.wait_for_reset(restarts).await;
             true
         };
         future::or(served, reset).await
@@ -153,9 +154,9 @@
     }
 }
 
-/// When the bytes of a request reached its server's host.
+/// The times at which the first and the last byte of a request reached its server's host.
 #[derive(Clone, Copy)]
-struct Received {
+struct ReceiveTimes {
     started_at: Time,
     received_at: Time,
 }
@@ -173,7 +174,7 @@
     }
 }
 
-/// Whether the gateway has closed its end of a connection on which nothing more is to be read.
+/// Returns true if the gateway's end of the connection is closed or broken and no unread bytes are left.
 async fn has_closed(connection: &mut Connection) -> bool {
     let closed = async { matches!(connection.fill_buf().await, Ok([]) | Err(_)) };
     let open = async {
@@ -183,41 +184,42 @@
     future::or(closed, open).await
 }
 
-/// A request for work, as its head announces it.
-struct WorkRequest {
+/// The fields of a prefill or decode request that a server needs.
+struct StepRequest {
     id: u64,
     deadline: Duration,
 }
 
-impl WorkRequest {
-    fn of(head: &Head) -> Option<WorkRequest> {
+impl StepRequest {
+    fn from_head(head: &Head) -> Option<StepRequest> {
         let id = u64::from_str_radix(head.field("Req-Id")?, 16).ok()?;
         let deadline = head.field("Req-Deadline-Ms")?.parse().ok()?;
-        Some(WorkRequest { id, deadline: Duration::from_millis(deadline) })
+        Some(StepRequest { id, deadline: Duration::from_millis(deadline) })
     }
 }
 
-/// The request that a release request names.
+/// Returns the id of the request whose KV cache a release request names; zero if the id is invalid, and `None` if the
+/// head is not a release request.
 fn released_request(head: &Head) -> Option<u64> {
-    let mut words = head.start_line.split(' ');
-    let method = words.next()?;
-    let path = words.next().unwrap_or_default();
+    let mut parts = head.start_line.split(' ');
+    let method = parts.next()?;
+    let path = parts.next().unwrap_or_default();
     let id = path.rsplit('/').next().and_then(|id| u64::from_str_radix(id, 16).ok());
     (method == "DELETE").then_some(id.unwrap_or(0))
 }
 
-/// One server as one gateway sees it.
+/// The gateway and the server of one connection, and the state of their link when the server accepted the connection.
 #[derive(Clone, Copy)]
-struct Peer<'a> {
+struct ConnectionContext<'a> {
     testbed: &'a Rc<Testbed>,
     gateway: usize,
     server: usize,
-    /// How often connections had fallen silent before this one was accepted.
+    /// The value of [`Link::silences`](crate::testbed::Link::silences) when the connection was accepted.
     silences: u64,
 }
 
-impl Peer<'_> {
-    /// Whether this connection has fallen silent.
+impl ConnectionContext<'_> {
+    /// Returns true if the connection fell silent after it was accepted.
     fn is_silent(self) -> bool {
         self.testbed.link(self.gateway, self.server).silences.get() > self.silences
     }
@@ -226,7 +228,8 @@
         self.testbed.servers[self.server].behavior.get()
     }
 
-    /// Completes once a connection is to be reset: its server is down, or its link was cut and is restored.
+    /// Completes once the connection has to be reset: its server is down or has restarted, or its link was cut and
+    /// restored.
     async fn wait_for_reset(self, restarts: u64) {
         let server = &self.testbed.servers[self.server];
         let link = self.testbed.link(self.gateway, self.server);
@@ -242,8 +245,8 @@
         }
     }
 
-    /// Never completes where the link is cut, or the connection is silent.
-    async fn transmit(self) {
+    /// Never completes if the link is cut or the connection is silent; otherwise completes at once.
+    async fn hang_if_unreachable(self) {
         if self.is_silent() || self.testbed.link(self.gateway, self.server).cut.get() {
             future::pending::<()>().await;
         }
@@ -256,52 +259,52 @@
             if connection.fill_buf().await?.is_empty() {
                 return Ok(());
             }
-            self.transmit().await;
+            self.hang_if_unreachable().await;
             let started_at = testbed.record.now();
             let closes = served > 0 && self.behavior() == ServerBehavior::ClosesIdleConnections;
-            if closes && testbed.random.happens(CLOSE_IDLE_SHARE) {
+            if closes && testbed.random.happens(CLOSE_IDLE_PROBABILITY) {
                 return Ok(());
             }
             let Some(head) = read_head(connection).await? else { return Ok(()) };
             read_body(connection, &head).await?;
-            self.transmit().await;
+            self.hang_if_unreachable().await;
             let received_at = testbed.record.now();
             let was_stopped = !is_running(testbed, self.server);
             if was_stopped {
                 wait_until_running(testbed, self.server).await;
-                self.transmit().await;
+                self.hang_if_unreachable().await;
             }
             served += 1;
             if let Some(request) = released_request(&head) {
                 testbed.release_cache(request);
-                write_text(connection, RELEASED).await?;
+                write_text(connection, RELEASED_RESPONSE).await?;
                 continue;
             }
-            if head.start_line.starts_with(HEALTH_CHECK) {
-                write_text(connection, HEALTHY).await?;
+            if head.start_line.starts_with(HEALTH_CHECK_PREFIX) {
+                write_text(connection, HEALTHY_RESPONSE).await?;
                 continue;
             }
-            let Some(request) = WorkRequest::of(&head) else {
-                write_text(connection, FAILED).await?;
+            let Some(request) = StepRequest::from_head(&head) else {
+                write_text(connection, ERROR_RESPONSE).await?;
                 continue;
             };
-            // A process that goes on sees that its client has left meanwhile.
+            // A process that continues after a stop notices that the gateway has closed the connection meanwhile.
             if was_stopped && has_closed(connection).await {
                 return Ok(());
             }
-            if !self.execute(request, Received { started_at, received_at }, connection).await {
+            if !self.execute(request, ReceiveTimes { started_at, received_at }, connection).await {
                 return Ok(());
             }
-            self.transmit().await;
+            self.hang_if_unreachable().await;
         }
     }
 
-    /// Executes one request; whether its connection may serve another.
-    async fn execute(self, request: WorkRequest, received: Received, connection: &mut Connection) -> bool {
-        let Received { started_at, received_at } = received;
+    /// Executes one request. Returns true if its connection may serve another request.
+    async fn execute(self, request: StepRequest, times: ReceiveTimes, connection: &mut Connection) -> bool {
+        let ReceiveTimes { started_at, received_at } = times;
         let testbed = self.testbed;
         let role = testbed.servers[self.server].role;
-        testbed.note_forwarded(request.id);
+        testbed.mark_forwarded(request.id);
         let exchange = testbed.next_exchange();
         testbed.record.write(Event::ExchangeStarted {
             exchange,
@@ -323,17 +326,22 @@
     }
 }
 
-/// Works for a while; an error where the gateway abandons the exchange meanwhile.
-async fn work(peer: Peer<'_>, time: Duration, connection: &mut Connection) -> io::Result<()> {
-    let state = &peer.testbed.servers[peer.server];
-    let link = peer.testbed.link(peer.gateway, peer.server);
-    let slower = if state.behavior.get() == ServerBehavior::Slow { SLOW_DELAY } else { Duration::ZERO };
-    let worked = async {
-        Timer::after(time + slower).await;
+/// Waits for the duration of the work, and longer while the server hangs or is stopped or the connection is silent.
+/// Fails if the gateway closes the connection meanwhile.
+async fn simulate_work(
+    context: ConnectionContext<'_>,
+    time: Duration,
+    connection: &mut Connection,
+) -> io::Result<()> {
+    let state = &context.testbed.servers[context.server];
+    let link = context.testbed.link(context.gateway, context.server);
+    let extra_delay = if state.behavior.get() == ServerBehavior::Slow { SLOW_DELAY } else { Duration::ZERO };
+    let finished = async {
+        Timer::after(time + extra_delay).await;
         loop {
             let (changed, link_changed) = (state.changed.listen(), link.changed.listen());
-            let waits = matches!(state.behavior.get(), ServerBehavior::Hanging | ServerBehavior::Stopped);
-            if !waits && !peer.is_silent() {
+            let blocked = matches!(state.behavior.get(), ServerBehavior::Hanging | ServerBehavior::Stopped);
+            if !blocked && !context.is_silent() {
                 return Ok(());
             }
             future::or(changed, link_changed).await;
@@ -345,33 +353,37 @@
             Ok(_) => future::pending().await,
         }
     };
-    future::or(abandoned, worked).await
+    future::or(abandoned, finished).await
 }
 
-async fn prefill(peer: Peer<'_>, request: u64, connection: &mut Connection) -> io::Result<ExchangeOutcome> {
-    let Peer { testbed, server, .. } = peer;
-    let time = testbed.random.duration_ms(PREFILL_MS.0, PREFILL_MS.1);
-    let worked = work(peer, time, connection).await;
+async fn prefill(
+    context: ConnectionContext<'_>,
+    request: u64,
+    connection: &mut Connection,
+) -> io::Result<ExchangeOutcome> {
+    let ConnectionContext { testbed, server, .. } = context;
+    let time = testbed.random.duration_ms(PREFILL_DURATION_MS.0, PREFILL_DURATION_MS.1);
+    let worked = simulate_work(context, time, connection).await;
     if worked.is_err() && testbed.random.happens(0.5) {
-        // It was completed just then.
+        // The server completed the prefill just as the gateway closed the connection, so it holds KV cache.
         testbed.reserve_cache(request, server);
     }
     worked?;
     if testbed.servers[server].behavior.get() == ServerBehavior::Faulty {
-        return respond_wrongly(testbed, connection).await;
+        return send_faulty_response(testbed, connection).await;
     }
     testbed.reserve_cache(request, server);
     write_text(connection, PREFILL_RESPONSE).await?;
     Ok(ExchangeOutcome::Completed)
 }
 
-async fn respond_wrongly(testbed: &Testbed, connection: &mut Connection) -> io::Result<ExchangeOutcome> {
+async fn send_faulty_response(testbed: &Testbed, connection: &mut Connection) -> io::Result<ExchangeOutcome> {
     let text = match testbed.random.below(5) {
-        0 => FAILED,
+        0 => ERROR_RESPONSE,
         1 => "\u{1}\u{2} no answer\r\n\r\n",
         2 => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
         3 => {
-            write_text(connection, DECLINED).await?;
+            write_text(connection, DECLINED_RESPONSE).await?;
             return Ok(ExchangeOutcome::Declined);
         }
         _ => return Err(io::ErrorKind::ConnectionReset.into()),
@@ -380,15 +392,24 @@
     Ok(ExchangeOutcome::Completed)
 }
 
-async fn decode(peer: Peer<'_>, request: u64, connection: &mut Connection) -> io::Result<ExchangeOutcome> {
-    let Peer { testbed, server, .. } = peer;
+async fn decode(
+    context: ConnectionContext<'_>,
+    request: u64,
+    connection: &mut Connection,
+) -> io::Result<ExchangeOutcome> {
+    let ConnectionContext { testbed, server, .. } = context;
     let behavior = testbed.servers[server].behavior.get();
     if behavior == ServerBehavior::Faulty && testbed.random.happens(0.5) {
-        return respond_wrongly(testbed, connection).await;
+        return send_faulty_response(testbed, connection).await;
     }
-    work(peer, testbed.random.duration_ms(FIRST_EVENT_MS.0, FIRST_EVENT_MS.1), connection).await?;
+    simulate_work(
+        context,
+        testbed.random.duration_ms(FIRST_EVENT_DELAY_MS.0, FIRST_EVENT_DELAY_MS.1),
+        connection,
+    )
+    .await?;
     if !testbed.release_cache(request) {
-        write_text(connection, CACHE_MISSING).await?;
+        write_text(connection, CACHE_MISSING_RESPONSE).await?;
         return Ok(ExchangeOutcome::Declined);
     }
     let events = 1 + testbed.random.below(MAX_EVENTS);
@@ -406,7 +427,7 @@
             return Ok(ExchangeOutcome::Broken);
         }
         let pause = testbed.random.duration_ms(EVENT_INTERVAL_MS.0, EVENT_INTERVAL_MS.1);
-        work(peer, pause, connection).await?;
+        simulate_work(context, pause, connection).await?;
     }
     write_text(connection, &(encode_chunk(STREAM_END) + "0\r\n\r\n")).await?;
     Ok(ExchangeOutcome::Completed)
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -1,8 +1,8 @@
-//! Faults in a process's system calls and wall clock, by a library that is preloaded into it.
+//! Injects faults into the system calls and the wall clock of a process through a library that is preloaded into it.
 //!
-//! The library is C (`shim/faults.c`), since it takes the place of functions of the C library; it is built with the
-//! system's `cc`, which every Rust toolchain here links with. Its settings stand in a file that the process has
-//! mapped, so that faults begin and end while it runs.
+//! The library is written in C (`shim/faults.c`) because it replaces functions of the C library. It is built with the
+//! system's `cc`, which the Rust toolchain links with anyway. The process maps the file of settings into its memory, so
+//! that faults may begin and end while the process runs.
 
 use std::fs::File;
 use std::io;
@@ -11,47 +11,48 @@
 use std::process::Command;
 
 const SOURCE: &str = include_str!("../shim/faults.c");
-/// The environment variable that names the file of settings to the library.
+/// The environment variable that gives the library the path of its settings file.
 const SETTINGS_VARIABLE: &str = "PETRELSHORE_FAULTS";
-const SETTINGS: usize = 13;
+const SETTING_COUNT: usize = 13;
 const SETTING_BYTES: usize = 8;
 
-/// A setting or counter of the library, by its place in the file. Rates mean one call in so many; zero is never.
+/// A setting or counter of the library; its discriminant is its index in the settings file. With a rate of n, a fault
+/// affects one call in n on average; with a rate of zero, none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The seed that calls are drawn by.
+    /// The seed of the generator that draws the affected calls.
     Seed,
-    /// Nanoseconds added to the wall clock.
+    /// The offset that is added to the wall clock, in nanoseconds.
     WallOffset,
-    /// Calls fail with `EINTR`.
+    /// The rate of calls that fail with `EINTR`.
     Interrupted,
-    /// Transfers move one to a few bytes.
+    /// The rate of transfers that move only one to six bytes.
     ShortTransfer,
-    /// `accept` fails.
+    /// The rate of `accept4` calls that fail.
     AcceptFails,
-    /// `socket` fails.
+    /// The rate of `socket` calls that fail.
     SocketFails,
-    /// `connect` fails.
+    /// The rate of `connect` calls that fail.
     ConnectFails,
-    /// An established connection ends with an error.
+    /// The rate of transfers at which an outgoing connection ends with an error.
     Broken,
-    /// Writes to files fail.
+    /// The rate of writes and syncs of files that fail or write less than asked.
     DiskFails,
-    /// How long a send is delayed, in nanoseconds.
+    /// The time by which a send is delayed, in nanoseconds.
     HeldUpFor,
-    /// Sends are delayed.
+    /// The rate of sends that are delayed.
     HeldUp,
-    /// Failed calls, counted by the library.
+    /// The number of affected calls, counted by the library.
     CallsFailed,
-    /// Transfers fail for want of memory.
+    /// The rate of transfers that fail with `ENOMEM` or `ENOBUFS`.
     NoMemory,
 }
 
-/// The library, built into a folder.
+/// The path of the built library.
 pub struct Library(PathBuf);
 
 impl Library {
-    /// Builds the library. Each caller provides a folder of its own.
+    /// Builds the library in `folder`. Each caller needs a folder of its own, because the file names are fixed.
     pub fn build(folder: &Path) -> io::Result<Library> {
         let (source, built) = (folder.join("faults.c"), folder.join("faults.so"));
         std::fs::write(&source, SOURCE)?;
@@ -62,13 +63,13 @@
             .arg("-ldl")
             .status()?;
         if !compiler.success() {
-            return Err(io::Error::other("cc could not build the library of faults"));
+            return Err(io::Error::other("cc could not compile shim/faults.c into a shared library"));
         }
         Ok(Library(built))
     }
 }
 
-/// The settings of one process's faults.
+/// The fault settings of one process.
 pub struct Faults {
     settings: File,
     file: PathBuf,
@@ -76,21 +77,21 @@
 }
 
 impl Faults {
-    /// Creates the file of settings; no fault is set.
+    /// Creates the settings file, with all faults off.
     pub fn new(library: &Library, file: PathBuf, seed: u64) -> io::Result<Faults> {
         let settings = File::options().read(true).write(true).create(true).truncate(true).open(&file)?;
-        settings.write_all_at(&[0; SETTINGS * SETTING_BYTES], 0)?;
+        settings.write_all_at(&[0; SETTING_COUNT * SETTING_BYTES], 0)?;
         let faults = Faults { settings, file, library: library.0.clone() };
         faults.set(Fault::Seed, seed as i64)?;
         Ok(faults)
     }
 
-    /// Injects these faults into a command's process.
+    /// Preloads the library into the process that `command` starts.
     pub fn preload(&self, command: &mut Command) {
         command.env("LD_PRELOAD", &self.library).env(SETTINGS_VARIABLE, &self.file);
     }
 
-    /// Changes a setting.
+    /// Writes a setting.
     pub fn set(&self, fault: Fault, value: i64) -> io::Result<()> {
         self.settings.write_all_at(&value.to_ne_bytes(), offset(fault))
     }
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a run share: its parameters, addresses, states of servers and links, reserved KV cache.
+//! The state that all tasks of a run share: parameters, addresses, states of servers and links, and reserved KV cache.
 
 use crate::random::Random;
 use crate::record::{EndpointStatus, Event, Exchange, Record, Role};
@@ -13,154 +13,160 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const PORT: u16 = 9000;
-/// The lowest second byte of the loopback addresses that runs take.
+/// The lowest second byte of the loopback addresses that runs use.
 const FIRST_SUBNET: u8 = 16;
-const SUBNETS: u32 = 200;
-/// Third bytes of addresses start here, by what listens there; the gateway's number is added.
-const SERVER_ADDRESSES: u8 = 0;
-const GATEWAY_ADDRESSES: u8 = 64;
-const DISCOVERY_ADDRESSES: u8 = 128;
+const SUBNET_COUNT: u32 = 200;
+/// The third byte of an address is one of these values, by what listens there, plus the gateway's number.
+const SERVER_ADDRESS_BASE: u8 = 0;
+const GATEWAY_ADDRESS_BASE: u8 = 64;
+const DISCOVERY_ADDRESS_BASE: u8 = 128;
 /// The zones of a deployment.
 pub const ZONES: [&str; 2] = ["east", "west"];
 
-/// Size and settings of the deployment, as the oracle holds gateways to them.
+/// The size and settings of the deployment, by which the oracle judges the gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct Parameters {
-    /// Gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Model servers.
+    /// The number of model servers.
     pub servers: usize,
-    /// Clients.
+    /// The number of clients.
     pub clients: usize,
-    /// Requests in transit may still reach a draining server for this long.
+    /// Time during which requests in transit may still reach a server that has begun to drain.
     pub drain_grace: Duration,
-    /// Unused KV cache is released within this time.
+    /// Time within which a gateway must release unused KV cache.
     pub release_timeout: Duration,
-    /// Servers recognize an idempotency key for this long.
+    /// Time for which servers recognize an idempotency key.
     pub idempotency_window: Duration,
-    /// How long a started server takes to warm up.
+    /// Time that a server takes to warm up after its start.
     pub warm_up: Duration,
-    /// The share of its capacity that a server has as it starts.
+    /// The share of its full capacity that a server has right after its start.
     pub initial_capacity: f64,
-    /// A server that is sent more than this multiple of its capacity is overloaded.
+    /// The multiple of its capacity beyond which a server is overloaded.
     pub overload_factor: f64,
-    /// Overload is measured over this time.
+    /// Time over which overload is measured.
     pub overload_window: Duration,
     /// The longest deadline of any request.
     pub max_deadline: Duration,
-    /// Whether gateways may check the health of servers.
+    /// True if gateways may check the health of servers.
     pub health_checks: bool,
-    /// Whether clients resume streams that broke.
+    /// True if clients resume broken streams.
     pub resume_streams: bool,
 }
 
-/// How a model server behaves.
+/// The behavior of a model server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
-    /// As it should.
+    /// Serves requests correctly.
     Healthy,
     /// Reads requests and sends no responses.
     Hanging,
-    /// Its process is stopped: its host accepts connections and bytes, and nothing reads them until it goes on.
+    /// Its process is stopped: its host still accepts connections and bytes, but nothing reads them until the process
+    /// continues.
     Stopped,
-    /// Responds with 500, breaks connections, sends invalid responses, declines.
+    /// Responds with error statuses, breaks connections, sends invalid responses, or declines requests.
     Faulty,
-    /// Takes half a second longer.
+    /// Takes half a second longer for each step of its work.
     Slow,
-    /// Closes connections as their next request arrives.
+    /// May close an idle connection just as the next request arrives on it.
     ClosesIdleConnections,
-    /// Refuses connections, and has reset those that were open.
+    /// Refuses connections and has reset all open ones.
     Down,
 }
 
 /// A model server.
 pub struct Server {
-    /// The step that it executes.
+    /// The step of a request that the server executes.
     pub role: Role,
-    /// Its zone's index.
+    /// The index of the server's zone in [`ZONES`].
     pub zone: usize,
-    /// How it behaves now.
+    /// The current behavior of the server.
     pub behavior: Cell<ServerBehavior>,
-    /// Its state in the endpoint list.
+    /// The server's status in the endpoint list.
     pub status: Cell<EndpointStatus>,
-    /// When it last started, in milliseconds of the shared wall clock; zero for long ago.
+    /// The time of the server's last start, in milliseconds of the wall clock of servers and discovery; zero if the
+    /// server started long before the run.
     pub started_ms: Cell<u64>,
-    /// How often it has restarted.
+    /// The number of times that the server has restarted.
     pub restarts: Cell<u64>,
-    /// Notified when its behavior has changed.
+    /// Notifies tasks when the behavior of the server changes.
     pub changed: Notification,
 }
 
 /// The network link between a gateway and a server.
 #[derive(Default)]
 pub struct Link {
-    /// Nothing is transmitted, and neither end is notified.
+    /// True while the link is cut: it transmits nothing, and neither end gets an error.
     pub cut: Cell<bool>,
-    /// Counts how often its open connections fell silent: those carry nothing any more, new ones do.
+    /// Counts how often the open connections of the link fell silent. A silent connection transmits nothing any more;
+    /// connections that are opened later do.
     pub silences: Cell<u64>,
-    /// Notified when it was cut or restored.
+    /// Notifies tasks when the link is cut or restored, or when connections of the link fall silent.
     pub changed: Notification,
 }
 
 /// The discovery agent on a gateway's host.
 pub struct DiscoveryAgent {
-    /// It responds to nothing.
+    /// True while the agent responds to no request.
     pub silent: Cell<bool>,
-    /// Counts how often its open polls were stalled: they are never answered, new ones are.
+    /// Counts how often the open polls of the agent were stalled. The agent never answers a stalled poll, but answers
+    /// polls on connections that are opened later.
     pub stalls: Cell<u64>,
-    /// How long its responses are delayed.
+    /// The delay of the agent's responses.
     pub delay: Cell<Duration>,
-    /// Which of its addresses serves.
+    /// The index of the address at which the agent serves.
     pub address: Cell<usize>,
 }
 
-/// The state of a run. Everything in it belongs to one thread.
+/// The state of a run. A single thread uses the whole state.
 pub struct Testbed {
     /// Executes all tasks of the run.
     pub executor: LocalExecutor<'static>,
-    /// What was observed so far.
+    /// The events observed so far.
     pub record: Record,
-    /// Size and settings of the deployment.
+    /// The size and settings of the deployment.
     pub parameters: Parameters,
-    /// The randomness of all tasks.
+    /// The random generator that all tasks share.
     pub random: Random,
     /// The run's seed.
     pub seed: u64,
-    /// Configurations and logs.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
     /// The second byte of all addresses of this run.
     subnet: u8,
-    /// Keeps other runs from the subnet.
+    /// Keeps other runs from using the subnet.
     _reservation: TcpListener,
     /// The model servers.
     pub servers: Vec<Server>,
     links: Vec<Link>,
     /// The discovery agents, by gateway.
     pub agents: Vec<DiscoveryAgent>,
-    /// The endpoint list's version.
+    /// The version of the endpoint list.
     pub list_version: Cell<u64>,
-    /// Notified when the endpoint list has changed.
+    /// Notifies tasks when the endpoint list changes.
     pub list_changed: Notification,
-    /// Servers that hold KV cache for a request.
+    /// The servers that hold KV cache, by request.
     reservations: RefCell<BTreeMap<u64, BTreeSet<usize>>>,
-    /// How far the wall clock of servers and discovery was stepped, in milliseconds.
+    /// The offset of the wall clock of servers and discovery, in milliseconds.
     pub wall_step_ms: Cell<i64>,
-    /// Gateways that clients connect to, with the current run of each.
+    /// The gateways that clients may connect to, each with the number of its current process.
     pub open_gateways: RefCell<BTreeMap<usize, usize>>,
-    /// Clients send no further requests.
+    /// True once clients have to stop sending requests.
     pub finished: Cell<bool>,
-    exchanges: Cell<u64>,
-    /// Requests that a server has read.
+    last_exchange: Cell<u64>,
+    /// The requests that a server has read.
     forwarded: RefCell<BTreeSet<u64>>,
-    /// Why a task could not serve: such a run proves nothing.
+    /// The first error that kept a model server or discovery agent from serving. A run with such an error proves
+    /// nothing and is not judged.
     pub failure: RefCell<Option<io::Error>>,
 }
 
-/// Reserves a subnet that no other run has: several may run beside each other.
+/// Reserves a subnet that no other run uses, so that several runs may execute at the same time. The subnet stays
+/// reserved for as long as the listener exists.
 fn reserve_subnet() -> io::Result<(u8, TcpListener)> {
-    let first = std::process::id() % SUBNETS;
-    for offset in 0..SUBNETS {
-        let subnet = FIRST_SUBNET + ((first + offset) % SUBNETS) as u8;
+    let first = std::process::id() % SUBNET_COUNT;
+    for offset in 0..SUBNET_COUNT {
+        let subnet = FIRST_SUBNET + ((first + offset) % SUBNET_COUNT) as u8;
         match TcpListener::bind((Ipv4Addr::new(127, subnet, 255, 254), PORT)) {
             Ok(listener) => return Ok((subnet, listener)),
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {}
@@ -196,7 +202,7 @@
 }
 
 impl Testbed {
-    /// Reserves a subnet; all servers are healthy and active.
+    /// Reserves a subnet and creates the state, with all servers healthy and active.
     pub fn new(parameters: Parameters, seed: u64, folder: PathBuf) -> io::Result<Rc<Testbed>> {
         let (subnet, reservation) = reserve_subnet()?;
         let links = parameters.gateways * parameters.servers;
@@ -218,13 +224,13 @@
             wall_step_ms: Cell::new(0),
             open_gateways: RefCell::default(),
             finished: Cell::new(false),
-            exchanges: Cell::new(0),
+            last_exchange: Cell::new(0),
             forwarded: RefCell::default(),
             failure: RefCell::default(),
         }))
     }
 
-    /// Runs a task for as long as the run lasts.
+    /// Starts a background task that ends with the run at the latest.
     pub fn spawn(self: &Rc<Self>, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
@@ -234,45 +240,46 @@
         &self.links[gateway * self.parameters.servers + server]
     }
 
-    /// The third byte tells the kind and the gateway, the fourth which of its peers.
-    fn address(&self, kind: u8, gateway: usize, peer: usize) -> SocketAddr {
-        let third = kind + gateway as u8;
+    /// Builds an address. The third byte encodes the kind of listener and the gateway, the fourth byte the peer.
+    fn address(&self, base: u8, gateway: usize, peer: usize) -> SocketAddr {
+        let third = base + gateway as u8;
         SocketAddr::from((Ipv4Addr::new(127, self.subnet, third, 1 + peer as u8), PORT))
     }
 
-    /// Where a gateway reaches a server.
+    /// The address at which a gateway reaches a server.
     pub fn server_address(&self, gateway: usize, server: usize) -> SocketAddr {
-        self.address(SERVER_ADDRESSES, gateway, server)
+        self.address(SERVER_ADDRESS_BASE, gateway, server)
     }
 
-    /// Where clients reach a gateway.
+    /// The address at which clients reach a gateway.
     pub fn gateway_address(&self, gateway: usize) -> SocketAddr {
-        self.address(GATEWAY_ADDRESSES, gateway, 0)
+        self.address(GATEWAY_ADDRESS_BASE, gateway, 0)
     }
 
     /// One of the addresses of a gateway's discovery agent.
     pub fn agent_address(&self, gateway: usize, index: usize) -> SocketAddr {
-        self.address(DISCOVERY_ADDRESSES, gateway, index)
+        self.address(DISCOVERY_ADDRESS_BASE, gateway, index)
     }
 
-    /// Milliseconds since 1970 by the wall clock of servers and discovery.
+    /// The wall clock of servers and discovery, in milliseconds since the Unix epoch.
     pub fn wall_ms(&self) -> u64 {
-        let real = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        real.saturating_add_signed(self.wall_step_ms.get())
+        let system_ms =
+            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64);
+        system_ms.saturating_add_signed(self.wall_step_ms.get())
     }
 
-    /// Identifies a new exchange.
+    /// Returns the identifier of a new exchange.
     pub fn next_exchange(&self) -> Exchange {
-        self.exchanges.set(self.exchanges.get() + 1);
-        Exchange(self.exchanges.get())
+        self.last_exchange.set(self.last_exchange.get() + 1);
+        Exchange(self.last_exchange.get())
     }
 
-    /// Notes that a server has read a request.
-    pub fn note_forwarded(&self, request: u64) {
+    /// Records that a server has read a request.
+    pub fn mark_forwarded(&self, request: u64) {
         self.forwarded.borrow_mut().insert(request);
     }
 
-    /// Whether a server has read a request.
+    /// Returns true if a server has read the request.
     pub fn was_forwarded(&self, request: u64) -> bool {
         self.forwarded.borrow().contains(&request)
     }
@@ -284,7 +291,7 @@
         }
     }
 
-    /// Releases the KV cache of a request at all servers; whether there was any.
+    /// Releases the KV cache of a request at all servers. Returns true if a server held any.
     pub fn release_cache(&self, request: u64) -> bool {
         let released = self.reservations.borrow_mut().remove(&request).unwrap_or_default();
         for server in &released {
@@ -304,7 +311,7 @@
         reservations.retain(|_, servers| !servers.is_empty());
     }
 
-    /// Publishes a new state of a server in the endpoint list.
+    /// Publishes a new status of a server in the endpoint list.
     pub fn publish(&self, server: usize, status: EndpointStatus) {
         self.servers[server].status.set(status);
         self.list_version.set(self.list_version.get() + 1);
@@ -323,7 +330,7 @@
         }
     }
 
-    /// Stops a discovery agent's responses, or has it respond again, with the updates that it missed.
+    /// Silences a discovery agent, or has it respond again with the updates that its gateway missed.
     pub fn set_agent_silent(&self, gateway: usize, silent: bool) {
         self.agents[gateway].silent.set(silent);
         self.record.write(Event::DiscoveryAvailability { gateway, available: !silent });
@@ -332,13 +339,13 @@
         }
     }
 
-    /// Changes how a server behaves.
+    /// Changes the behavior of a server.
     pub fn set_behavior(&self, server: usize, behavior: ServerBehavior) {
         self.servers[server].behavior.set(behavior);
         self.servers[server].changed.notify(usize::MAX);
     }
 
-    /// All open connections of a link fall silent, without an error at either end.
+    /// Silences all open connections of a link, without an error at either end.
     pub fn silence_connections(&self, gateway: usize, server: usize) {
         let link = self.link(gateway, server);
         link.silences.set(link.silences.get() + 1);
