--- a/capacity/benches/schedule.rs
+++ b/capacity/benches/schedule.rs
@@ -1,6 +1,7 @@
-//! What one request costs the request manager, from its admission to its end, before fleets of several sizes.
+//! Measures the time that the request manager spends on one request, from admission to completion, for fleets of several
+//! sizes.
 //!
-//! Run with `cargo bench -p petrelshore-capacity`. Figures are for one core and are reported as ratios.
+//! Run with `cargo bench -p petrelshore-capacity`. The times are those of one core; report them as ratios.
 
 use divan::Bencher;
 use petrelshore_capacity::gateway::{Load, MeasuredGateway, WARM_UP_REQUESTS};
--- a/capacity/src/fleet/mod.rs
+++ b/capacity/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one process: gateways without sockets (request manager and decisions) before simple model servers,
-//! in virtual time.
+//! Simulates a whole fleet in one process and in virtual time. The gateways consist of the real request manager and
+//! scheduler, without sockets; the model servers are simplified.
 
 mod measures;
 mod servers;
@@ -13,16 +13,17 @@
 use crate::report::Printer;
 use petrelshore_gateway_core::PolicyKind;
 
-/// What happens in a simulation.
+/// The failures that a simulation includes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing but traffic.
+    /// Traffic without failures.
     Ordinary,
-    /// The model servers of a zone are lost at once, and all restart at once.
+    /// All model servers of a zone fail at the same time, and later restart at the same time.
     ZoneLost,
 }
 
 impl Scenario {
+    /// The name in the printed rows.
     fn name(self) -> &'static str {
         match self {
             Scenario::Ordinary => "ordinary",
@@ -31,38 +32,40 @@
     }
 }
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Model servers.
+    /// Number of model servers.
     pub servers: u64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Requests per second over all gateways.
+    /// Number of requests per second over all gateways.
     pub rate: f64,
-    /// Seconds of virtual time.
+    /// Duration in virtual time, in seconds.
     pub seconds: u64,
-    /// Draws traffic and decisions.
+    /// Seed of the random draws of traffic, scheduling decisions and notification delays.
     pub seed: u64,
-    /// How gateways find servers.
+    /// The policy by which gateways find a server for a request.
     pub policy_kind: PolicyKind,
-    /// What happens.
+    /// The scenario.
     pub scenario: Scenario,
 }
 
-/// The longest simulation in virtual time: a typing error must not run for hours.
+/// The maximum duration of a simulation in virtual time. The limit prevents a mistyped number from starting a run of
+/// several hours.
 const MAX_SECONDS: u64 = 3_600;
 const MAX_RATE: u64 = 1_000_000;
 
-/// Simulates one setup after the other and prints each, the last one as the last line.
+/// Simulates the setups one after the other, and prints one row for each setup. Simulates nothing if a setup exceeds a
+/// limit.
 pub fn run(setups: &[Setup], printer: &mut Printer) -> Result<(), LimitError> {
     for setup in setups {
-        limits::check(setup.gateways as u64, setup.servers, limits::machine_memory())?;
-        limits::in_range("--seconds", setup.seconds, MAX_SECONDS)?;
-        limits::in_range("--rate", setup.rate as u64, MAX_RATE)?;
+        limits::check_fleet(setup.gateways as u64, setup.servers, limits::machine_memory())?;
+        limits::check_range("--seconds", setup.seconds, MAX_SECONDS)?;
+        limits::check_range("--rate", setup.rate as u64, MAX_RATE)?;
     }
-    setups.iter().for_each(|setup| printer.row(&simulate(setup)));
+    setups.iter().for_each(|setup| printer.print_row(&simulate(setup)));
     Ok(())
 }
--- a/capacity/src/fleet/servers.rs
+++ b/capacity/src/fleet/servers.rs
@@ -1,116 +1,120 @@
-//! Simple model servers in virtual time.
+//! Simulates simplified model servers in virtual time.
 //!
-//! A prefill server processes one prompt after the other, less what it has cached of it. A decode server generates all
-//! its streams at once, slower the more there are, and rejects what does not fit its memory.
+//! A prefill server processes one prompt at a time and skips the tokens in its prefix cache. A decode server generates
+//! all its streams concurrently; each further stream increases the token interval of the streams. It rejects a request
+//! whose tokens do not fit its memory.
 
 use crate::inventory::{MEMORY_TOKENS, MILLISECOND};
 use petrelshore::interface::{CellId, Deployment, Endpoint, EndpointState, LoadReport, Nanos, ZoneId};
 use std::collections::{BTreeMap, HashMap};
 
-/// Prompt tokens that a warm prefill server processes in a second.
+/// Number of prompt tokens that a warm prefill server processes per second.
 const PREFILL_TOKENS_PER_SECOND: f64 = 80_000.0;
 const NANOS_PER_SECOND: f64 = 1e9;
-/// A prefill or the first token of a decode takes this long beside its work.
+/// Fixed time that a prefill, or the first token of a decode, takes in addition to its processing, in nanoseconds.
 const OVERHEAD: Nanos = 15 * MILLISECOND;
-/// The additional time to transfer a KV cache to another cell.
+/// Additional time to transfer a KV cache to another cell of the same zone, in nanoseconds.
 const CELL_TRANSFER_TIME: Nanos = 40 * MILLISECOND;
-/// The additional time to transfer a KV cache to another zone.
+/// Additional time to transfer a KV cache to another zone, in nanoseconds.
 const ZONE_TRANSFER_TIME: Nanos = 120 * MILLISECOND;
-/// The time between two tokens of a lone stream, in nanoseconds.
+/// Time between two tokens, without the part that depends on the number of streams, in nanoseconds.
 const TOKEN_INTERVAL: f64 = 24.0 * MILLISECOND as f64;
-/// What each further stream adds to that.
+/// Time that each stream adds to the token interval of a warm server, in nanoseconds.
 const TOKEN_INTERVAL_PER_STREAM: f64 = 0.06 * MILLISECOND as f64;
-/// A prefill server with more work than this in its queue rejects.
-const MAX_QUEUE: Nanos = 4_000 * MILLISECOND;
+/// Maximum processing time of the queue of a prefill server, in nanoseconds. A server with a longer queue rejects
+/// requests.
+const MAX_QUEUE_TIME: Nanos = 4_000 * MILLISECOND;
 
-/// A cached prompt or prefix.
-struct CachedText {
+/// A prompt or shared prefix in a prefix cache.
+struct CacheEntry {
     tokens: f64,
+    /// Number of the last insertion; the key of the entry in `PrefixCache::by_last_use`.
     last_used: u64,
 }
 
-/// The prefix cache of a prefill server; the least recently used text is evicted first.
+/// The prefix cache of a prefill server, which evicts the least recently used entry first.
 #[derive(Default)]
 struct PrefixCache {
-    texts: HashMap<u64, CachedText>,
+    entries: HashMap<u64, CacheEntry>,
     by_last_use: BTreeMap<u64, u64>,
     tokens: f64,
     uses: u64,
 }
 
 impl PrefixCache {
-    fn cached_tokens(&self, text: u64) -> f64 {
-        self.texts.get(&text).map_or(0.0, |cached| cached.tokens)
+    fn cached_tokens(&self, key: u64) -> f64 {
+        self.entries.get(&key).map_or(0.0, |cached| cached.tokens)
     }
 
-    fn insert(&mut self, text: u64, tokens: f64) {
+    fn insert(&mut self, key: u64, tokens: f64) {
         self.uses += 1;
-        let cached = CachedText { tokens, last_used: self.uses };
-        if let Some(before) = self.texts.insert(text, cached) {
-            self.by_last_use.remove(&before.last_used);
-            self.tokens -= before.tokens;
+        let cached = CacheEntry { tokens, last_used: self.uses };
+        if let Some(previous) = self.entries.insert(key, cached) {
+            self.by_last_use.remove(&previous.last_used);
+            self.tokens -= previous.tokens;
         }
-        self.by_last_use.insert(self.uses, text);
+        self.by_last_use.insert(self.uses, key);
         self.tokens += tokens;
         while self.tokens > MEMORY_TOKENS
             && let Some((_, oldest)) = self.by_last_use.pop_first()
         {
-            self.tokens -= self.texts.remove(&oldest).map_or(0.0, |cached| cached.tokens);
+            self.tokens -= self.entries.remove(&oldest).map_or(0.0, |cached| cached.tokens);
         }
     }
 }
 
-/// A prompt, as a server sees it.
+/// A prompt, in the terms that matter to a prefill server.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt {
-    /// Identifies the session.
+    /// The ID of the session.
     pub session: u64,
-    /// Identifies the shared prefix.
+    /// The ID of the shared prefix.
     pub prefix: u64,
-    /// All tokens.
+    /// Number of tokens of the whole prompt.
     pub tokens: f64,
-    /// Tokens of the shared prefix.
+    /// Number of tokens of the shared prefix.
     pub prefix_tokens: f64,
-    /// Tokens that an earlier turn of its session had.
+    /// Number of prompt tokens of the previous turn of the session; 0 in the first turn.
     pub earlier_tokens: f64,
 }
 
-/// Where a KV cache is held.
+/// The location of the server that holds a KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheLocation {
-    /// The cell.
+    /// The cell of the server.
     pub cell: CellId,
-    /// The zone.
+    /// The zone of the server.
     pub zone: ZoneId,
 }
 
-/// An accepted prefill.
+/// The timing of an accepted prefill.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillTiming {
-    /// When it is done.
+    /// Time at which the prefill is done, in nanoseconds.
     pub done_at: Nanos,
-    /// Tokens that were cached.
+    /// Number of prompt tokens that were cached.
     pub cached_tokens: f64,
 }
 
-/// An accepted decode.
+/// The timing of an accepted decode.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DecodeTiming {
-    /// When the first token is generated.
+    /// Time at which the server generates the first token, in nanoseconds.
     pub first_token_at: Nanos,
-    /// The time between two tokens.
+    /// Time between two tokens, in nanoseconds.
     pub token_interval: Nanos,
 }
 
-/// A model server.
+/// A simulated model server.
 pub struct ModelServer {
-    /// Its entry in the endpoint list.
+    /// The entry of the server in the endpoint list.
     pub endpoint: Endpoint,
-    /// Identifies its process: another number for each start and loss.
+    /// Identifies the process of the server. Each failure and each restart increments the number.
     pub incarnation: u64,
-    /// It responds to nothing.
-    pub lost: bool,
-    /// Work done: prompt tokens processed, or requests decoded.
+    /// The server has failed and accepts no connections.
+    pub failed: bool,
+    /// The accepted work: the number of uncached prompt tokens on a prefill server, the number of requests on a decode
+    /// server.
     pub work: f64,
     slow_start_until: Nanos,
     slow_start_duration: Nanos,
@@ -122,12 +126,12 @@
 }
 
 impl ModelServer {
-    /// A warm server.
+    /// Creates a warm server.
     pub fn new(endpoint: Endpoint, deployment: &Deployment) -> Self {
         ModelServer {
             endpoint,
             incarnation: 0,
-            lost: false,
+            failed: false,
             work: 0.0,
             slow_start_until: 0,
             slow_start_duration: deployment.slow_start_duration,
@@ -139,18 +143,18 @@
         }
     }
 
-    /// Loses the server's process.
-    pub fn lose(&mut self) {
-        self.lost = true;
+    /// Simulates the failure of the server's process.
+    pub fn fail(&mut self) {
+        self.failed = true;
         self.incarnation += 1;
     }
 
-    /// Starts a new process, in slow start and with empty memory.
+    /// Starts a new process of the server, in slow start and with empty memory.
     pub fn restart(&mut self, now: Nanos) {
         self.endpoint.started_at = now;
         self.endpoint.state = EndpointState::Ready;
         self.incarnation += 1;
-        self.lost = false;
+        self.failed = false;
         self.slow_start_until = now + self.slow_start_duration;
         self.busy_until = now;
         self.cache = PrefixCache::default();
@@ -158,35 +162,37 @@
         self.stream_tokens = 0.0;
     }
 
-    /// The share of its capacity that it has by now.
+    /// Returns the share of its full capacity that the server has at `now`. The share grows linearly during slow start.
     pub fn capacity_share(&self, now: Nanos) -> f64 {
         let left = self.slow_start_until.saturating_sub(now) as f64 / self.slow_start_duration.max(1) as f64;
         1.0 - (1.0 - self.initial_share) * left.clamp(0.0, 1.0)
     }
 
-    /// Whether it is in slow start.
+    /// Returns whether the server is in slow start.
     pub fn in_slow_start(&self, now: Nanos) -> bool {
         now < self.slow_start_until
     }
 
-    /// Accepts a prompt; `None` where its queue is full.
+    /// Accepts a prompt, or returns `None` if the queue of the server is full.
     pub fn prefill(&mut self, now: Nanos, prompt: &Prompt) -> Option<PrefillTiming> {
-        if self.busy_until > now + MAX_QUEUE {
+        if self.busy_until > now + MAX_QUEUE_TIME {
             return None;
         }
         let session = self.cache.cached_tokens(prompt.session).min(prompt.earlier_tokens);
         let prefix = self.cache.cached_tokens(prompt.prefix).min(prompt.prefix_tokens);
         let cached_tokens = session.max(prefix);
         let tokens = prompt.tokens - cached_tokens;
-        let takes = tokens / (PREFILL_TOKENS_PER_SECOND * self.capacity_share(now)) * NANOS_PER_SECOND;
-        self.busy_until = self.busy_until.max(now) + takes as Nanos;
+        let processing_time =
+            tokens / (PREFILL_TOKENS_PER_SECOND * self.capacity_share(now)) * NANOS_PER_SECOND;
+        self.busy_until = self.busy_until.max(now) + processing_time as Nanos;
         self.cache.insert(prompt.session, prompt.tokens);
         self.cache.insert(prompt.prefix, prompt.prefix_tokens);
         self.work += tokens;
         Some(PrefillTiming { done_at: self.busy_until + OVERHEAD, cached_tokens })
     }
 
-    /// Accepts a stream of so many tokens, prompt included; `None` where its memory is full.
+    /// Accepts a decode of `tokens` tokens, prompt included. Returns `None` if the tokens do not fit the memory of the
+    /// server. The location of the KV cache, `cache`, determines the transfer time.
     pub fn decode(&mut self, now: Nanos, tokens: f64, cache: CacheLocation) -> Option<DecodeTiming> {
         if self.stream_tokens + tokens > MEMORY_TOKENS {
             return None;
@@ -194,7 +200,7 @@
         self.streams += 1;
         self.stream_tokens += tokens;
         self.work += 1.0;
-        let transfer = if self.endpoint.cell == cache.cell {
+        let transfer_time = if self.endpoint.cell == cache.cell {
             0
         } else if self.endpoint.zone == cache.zone {
             CELL_TRANSFER_TIME
@@ -203,16 +209,16 @@
         };
         let slowdown = TOKEN_INTERVAL_PER_STREAM * self.streams as f64 / self.capacity_share(now);
         let token_interval = (TOKEN_INTERVAL + slowdown) as Nanos;
-        Some(DecodeTiming { first_token_at: now + OVERHEAD + transfer + token_interval, token_interval })
+        Some(DecodeTiming { first_token_at: now + OVERHEAD + transfer_time + token_interval, token_interval })
     }
 
-    /// A stream of so many tokens has ended.
+    /// Ends a stream and frees the memory of its `tokens` tokens.
     pub fn end_stream(&mut self, tokens: f64) {
         self.streams = self.streams.saturating_sub(1);
         self.stream_tokens = (self.stream_tokens - tokens).max(0.0);
     }
 
-    /// The load report that goes with a response.
+    /// Returns the load report that the server sends with a response.
     pub fn load_report(&self, now: Nanos) -> LoadReport {
         let queued_seconds = self.busy_until.saturating_sub(now) as f64 / NANOS_PER_SECOND;
         LoadReport {
--- a/capacity/src/fleet/simulation.rs
+++ b/capacity/src/fleet/simulation.rs
@@ -1,10 +1,10 @@
-//! The course of a simulation: events in the order of their times.
+//! Runs a simulation: processes events in the order of their times.
 
 mod actions;
 mod events;
 mod summary;
 
-use super::measures::{Counts, FIRST_TOKEN_SLO, SlowStart, Summary, TOKEN_INTERVAL_SLO};
+use super::measures::{Counts, FIRST_TOKEN_SLO, SlowStartCalls, Summary, TOKEN_INTERVAL_SLO};
 use super::servers::{CacheLocation, ModelServer};
 use super::traffic::{Request, Traffic};
 use super::{Scenario, Setup};
@@ -20,48 +20,49 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for its first token.
+/// Time that a client waits for the first token, in nanoseconds.
 const FIRST_TOKEN_DEADLINE: Nanos = 4 * SECOND;
-/// A final response may come this much after that.
+/// Time by which a final response may exceed [`FIRST_TOKEN_DEADLINE`], in nanoseconds.
 const DEADLINE_SLACK: Nanos = SECOND / 20;
-/// How often a request manager is notified of a stream's tokens.
+/// Interval at which a request manager is notified of the tokens of a stream, in nanoseconds.
 const TOKEN_NOTIFICATION_INTERVAL: Nanos = 4 * SECOND;
 const SLOW_START_DURATION: Nanos = 10 * SECOND;
-/// The part of a simulation before which nothing is counted.
-const WARM_UP_END: f64 = 0.2;
-/// The part of a simulation after which a zone is lost.
+/// Fraction of the simulation after which requests are counted.
+const COUNTING_STARTS_AT: f64 = 0.2;
+/// Fraction of the simulation after which the servers of a zone fail.
 const ZONE_LOST_AT: f64 = 0.35;
-/// The part of a simulation after which that zone restarts.
+/// Fraction of the simulation after which the servers of the failed zone restart.
 const ZONE_RESTARTED_AT: f64 = 0.5;
-/// Gateways are notified of a change one after the other within this time.
-const NOTIFICATION_SPREAD: Nanos = 2 * SECOND;
-/// The zone that is lost.
+/// Maximum delay after which a gateway is notified of a zone failure or restart, in nanoseconds. Each gateway has a
+/// random delay.
+const MAX_NOTIFICATION_DELAY: Nanos = 2 * SECOND;
+/// The zone whose servers fail.
 const LOST_ZONE: ZoneId = ZoneId(0);
-/// Virtual time starts here.
+/// The virtual time at the start of a simulation, in nanoseconds.
 const START: Nanos = 1_000 * SECOND;
-/// The quota of a tenant, over its even share of the traffic.
+/// The ratio of the quota of a tenant to its even share of the traffic.
 const TENANT_QUOTA_FACTOR: f64 = 2.0;
-/// Spreads the seeds of the gateways.
-const SEED_FACTOR: u64 = 1_000_003;
+/// Factor on the seed of the simulation. It prevents simulations with adjacent seeds from sharing gateway seeds.
+const GATEWAY_SEED_FACTOR: u64 = 1_000_003;
 
 /// A gateway without sockets.
 struct Gateway {
     manager: RequestManager,
-    /// When its timers are checked next.
+    /// Virtual time of the next scheduled timeout event of the gateway; [`Nanos::MAX`] if there is none.
     next_timeout: Nanos,
-    /// It was notified that the zone is lost.
-    knows_lost: bool,
+    /// The latest notification of the gateway says that the servers of [`LOST_ZONE`] are gone.
+    notified_of_zone_loss: bool,
 }
 
-/// A request without its final response.
+/// A request that has not received its final response.
 struct OpenRequest {
     request: Request,
     arrived: Nanos,
-    /// Where its KV cache is held.
+    /// Location of the KV cache of the request.
     cache: CacheLocation,
-    /// Its first token was received.
+    /// The first token was received.
     started: bool,
-    /// It is part of the counts.
+    /// The request is included in the counts.
     counted: bool,
 }
 
@@ -74,23 +75,26 @@
     gateways: Vec<Gateway>,
     servers: Vec<ModelServer>,
     server_index: HashMap<ServerId, usize>,
-    open: HashMap<SequenceId, OpenRequest>,
+    open_requests: HashMap<SequenceId, OpenRequest>,
+    /// Number of all requests, counted or not.
     requests: u64,
     counts: Counts,
-    slow_starts: HashMap<usize, SlowStart>,
+    /// Calls to each server that has restarted, by the index of the server.
+    slow_starts: HashMap<usize, SlowStartCalls>,
+    /// The largest ratio of calls to budget of all servers in slow start.
     slow_start_worst: f64,
-    /// Time that decisions took.
-    deciding: Duration,
+    /// Real time spent in calls of request managers.
+    decision_time: Duration,
 }
 
-/// Simulates one setup to its end.
+/// Runs the simulation of a setup and returns its summary.
 pub fn simulate(setup: &Setup) -> Summary {
-    let from = Instant::now();
+    let start = Instant::now();
     let mut simulation = Simulation::new(*setup);
     let end = simulation.time_at(1.0);
     simulation.run(end);
     simulation.finish(end);
-    simulation.summary(from.elapsed())
+    simulation.summary(start.elapsed())
 }
 
 impl Simulation {
@@ -110,15 +114,15 @@
             random: Rand64::new(u128::from(setup.seed) + 1),
             traffic: Traffic::new(setup.seed, setup.rate, setup.gateways, setup.tenants),
             events: EventQueue::default(),
-            gateways: (0..setup.gateways).map(|number| gateway(&setup, size, number, &list)).collect(),
+            gateways: (0..setup.gateways).map(|number| new_gateway(&setup, size, number, &list)).collect(),
             server_index: indices.map(|(index, endpoint)| (endpoint.server, index)).collect(),
             servers: servers.collect(),
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             requests: 0,
             counts: Counts::default(),
             slow_starts: HashMap::new(),
             slow_start_worst: 0.0,
-            deciding: Duration::ZERO,
+            decision_time: Duration::ZERO,
             deployment,
             setup,
         };
@@ -130,9 +134,9 @@
         simulation
     }
 
-    /// The time at a part of the simulation.
-    fn time_at(&self, part: f64) -> Nanos {
-        START + (self.setup.seconds as f64 * part * SECOND as f64) as Nanos
+    /// Returns the virtual time after a fraction of the simulation.
+    fn time_at(&self, fraction: f64) -> Nanos {
+        START + (self.setup.seconds as f64 * fraction * SECOND as f64) as Nanos
     }
 
     fn run(&mut self, end: Nanos) {
@@ -178,19 +182,20 @@
     }
 
     fn handle_arrival(&mut self, now: Nanos) {
-        let pause = self.traffic.pause();
-        self.events.schedule(now + pause.max(1), Event::Arrival);
-        let request = self.traffic.request();
+        let delay = self.traffic.time_to_next_request();
+        self.events.schedule(now + delay.max(1), Event::Arrival);
+        let request = self.traffic.next_request();
         self.requests += 1;
         let id = SequenceId(self.requests);
-        let counted = now >= self.time_at(WARM_UP_END) && now + FIRST_TOKEN_DEADLINE < self.time_at(1.0);
+        let counted =
+            now >= self.time_at(COUNTING_STARTS_AT) && now + FIRST_TOKEN_DEADLINE < self.time_at(1.0);
         let prompt = request.prompt;
         if counted {
             self.counts.requests += 1;
             self.counts.prompt_tokens += prompt.tokens;
         }
         let cache = CacheLocation { cell: CellId(-1), zone: ZoneId(usize::MAX) };
-        self.open.insert(id, OpenRequest { request, arrived: now, cache, started: false, counted });
+        self.open_requests.insert(id, OpenRequest { request, arrived: now, cache, started: false, counted });
         let sequence = NewSequence {
             id,
             traffic: TrafficTypeId(0),
@@ -212,21 +217,21 @@
     fn handle_first_token(&mut self, now: Nanos, exchange: &Exchange, token_interval: Nanos) {
         let Exchange { dispatch, gateway, .. } = *exchange;
         let (id, attempt) = (dispatch.id, dispatch.attempt);
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.started) else { return };
+        let Some(open) = self.open_requests.get_mut(&id).filter(|open| !open.started) else { return };
         open.started = true;
         if open.counted {
-            let took = now - open.arrived;
-            let within_slo = took <= FIRST_TOKEN_SLO && token_interval <= TOKEN_INTERVAL_SLO;
+            let time_to_first_token = now - open.arrived;
+            let within_slo = time_to_first_token <= FIRST_TOKEN_SLO && token_interval <= TOKEN_INTERVAL_SLO;
             self.counts.answered += 1;
             self.counts.within_slo += u64::from(within_slo);
-            self.counts.count_first_token(took);
+            self.counts.count_first_token(time_to_first_token);
         }
         self.decide(now, gateway, |manager, _| manager.first_token(now, id, attempt));
         self.events.schedule(now + TOKEN_NOTIFICATION_INTERVAL, Event::Tokens { id, gateway });
     }
 
     fn handle_tokens(&mut self, now: Nanos, gateway: usize, id: SequenceId) {
-        if self.open.contains_key(&id) {
+        if self.open_requests.contains_key(&id) {
             self.gateways[gateway].manager.token_received(now, id);
             self.events.schedule(now + TOKEN_NOTIFICATION_INTERVAL, Event::Tokens { id, gateway });
         }
@@ -236,10 +241,10 @@
         &mut self.servers[self.server_index[&id]]
     }
 
-    /// Whether the server that accepted an exchange still runs.
+    /// Returns whether the process that accepted the attempt still runs.
     fn is_running(&self, exchange: &Exchange) -> bool {
         let server = &self.servers[self.server_index[&exchange.dispatch.server]];
-        server.incarnation == exchange.incarnation && !server.lost
+        server.incarnation == exchange.incarnation && !server.failed
     }
 
     fn report_load(&mut self, now: Nanos, exchange: &Exchange) {
@@ -253,32 +258,33 @@
         self.decide(now, gateway, |manager, actions| manager.attempt_ended(now, id, attempt, end, actions));
     }
 
-    /// Loses the servers of a zone.
+    /// Simulates the failure of all servers of [`LOST_ZONE`].
     fn lose_zone(&mut self, now: Nanos) {
         let servers = self.servers.iter_mut().filter(|server| server.endpoint.zone == LOST_ZONE);
-        servers.for_each(ModelServer::lose);
+        servers.for_each(ModelServer::fail);
         self.schedule_notifications(now, true);
     }
 
-    /// Restarts the servers of the lost zone.
+    /// Restarts all servers of [`LOST_ZONE`].
     fn restart_zone(&mut self, now: Nanos) {
         for (index, server) in self.servers.iter_mut().enumerate() {
             if server.endpoint.zone == LOST_ZONE {
                 server.restart(now);
-                self.slow_starts.insert(index, SlowStart::default());
+                self.slow_starts.insert(index, SlowStartCalls::default());
             }
         }
         self.schedule_notifications(now, false);
     }
 
-    /// Each gateway is notified of a change some time later.
+    /// Schedules the notification of each gateway after a random delay.
     fn schedule_notifications(&mut self, now: Nanos, lost: bool) {
         for gateway in 0..self.gateways.len() {
-            let at = now + self.random.rand_range(0..NOTIFICATION_SPREAD);
+            let at = now + self.random.rand_range(0..MAX_NOTIFICATION_DELAY);
             self.events.schedule(at, Event::ZoneNotification { gateway, lost });
         }
     }
 
+    /// Sends the state of the servers of [`LOST_ZONE`] to a gateway.
     fn notify_gateway(&mut self, now: Nanos, gateway: usize, lost: bool) {
         let state = if lost { EndpointState::Gone } else { EndpointState::Ready };
         let servers = self.servers.iter().filter(|server| server.endpoint.zone == LOST_ZONE);
@@ -286,15 +292,16 @@
             servers.map(|server| Endpoint { state, ..server.endpoint.clone() }).collect();
         let gateway = &mut self.gateways[gateway];
         gateway.manager.update_endpoints(now, SnapshotKind::Delta, &list);
-        gateway.knows_lost = lost;
+        gateway.notified_of_zone_loss = lost;
     }
 
-    /// Every request that is open at the end gets its final response then; one that does not breaks rule 1.
+    /// Terminates all open requests at the end of the simulation. A request that gets no final response even then is
+    /// counted as a violation.
     fn finish(&mut self, end: Nanos) {
         for gateway in 0..self.gateways.len() {
             self.decide(end, gateway, |manager, actions| manager.terminate_all(end, actions));
         }
-        self.counts.rules_broken += self.open.len() as u64;
+        self.counts.rules_broken += self.open_requests.len() as u64;
     }
 
     fn role(&self, endpoint: &Endpoint) -> Role {
@@ -302,10 +309,11 @@
     }
 }
 
-fn gateway(setup: &Setup, size: Size, number: usize, list: &[Endpoint]) -> Gateway {
+/// Creates a gateway that has applied the endpoint list.
+fn new_gateway(setup: &Setup, size: Size, number: usize, list: &[Endpoint]) -> Gateway {
     let deployment = inventory::deployment(size, number % inventory::ZONES);
-    let seed = setup.seed.wrapping_mul(SEED_FACTOR).wrapping_add(number as u64);
+    let seed = setup.seed.wrapping_mul(GATEWAY_SEED_FACTOR).wrapping_add(number as u64);
     let mut manager = RequestManager::with_policy(START, deployment, seed, setup.policy_kind);
     manager.update_endpoints(START, SnapshotKind::Full, list);
-    Gateway { manager, next_timeout: Nanos::MAX, knows_lost: false }
+    Gateway { manager, next_timeout: Nanos::MAX, notified_of_zone_loss: false }
 }
--- a/capacity/src/fleet/simulation/actions.rs
+++ b/capacity/src/fleet/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! Decisions of request managers, and the execution of their actions.
+//! Calls the request managers of the gateways and executes the actions that they return.
 
 use super::events::{Event, Exchange};
 use super::{DEADLINE_SLACK, FIRST_TOKEN_DEADLINE, LOST_ZONE, Simulation};
@@ -10,10 +10,10 @@
 use petrelshore_gateway_core::{Action, Dispatch, RequestManager};
 use std::time::Instant;
 
-/// How long a rejection takes.
-const REJECTION_TIME: Nanos = MILLISECOND;
+/// Time until a gateway receives the rejection of an attempt, in nanoseconds.
+const REJECTION_LATENCY: Nanos = MILLISECOND;
 
-/// The kind of a final response.
+/// The kind of the final response to a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FinalResponse {
     Completed,
@@ -22,7 +22,7 @@
 }
 
 impl Simulation {
-    /// Calls a gateway's request manager, and executes its actions.
+    /// Calls the request manager of a gateway, executes its actions and schedules its next timeout.
     pub(super) fn decide(
         &mut self,
         now: Nanos,
@@ -30,9 +30,9 @@
         call: impl FnOnce(&mut RequestManager, &mut Vec<Action>),
     ) {
         let mut actions = Vec::new();
-        let from = Instant::now();
+        let start = Instant::now();
         call(&mut self.gateways[gateway].manager, &mut actions);
-        self.deciding += from.elapsed();
+        self.decision_time += start.elapsed();
         for action in actions {
             self.execute(now, gateway, action);
         }
@@ -60,9 +60,10 @@
         }
     }
 
-    /// The one final response of a request: a second one, or a late one, breaks rule 1.
+    /// Handles the final response to a request. Each request must get exactly one final response in time: a second or a
+    /// late response is counted as a violation.
     fn finish_request(&mut self, now: Nanos, id: SequenceId, response: FinalResponse) {
-        let Some(open) = self.open.remove(&id) else {
+        let Some(open) = self.open_requests.remove(&id) else {
             self.counts.rules_broken += 1;
             return;
         };
@@ -79,18 +80,19 @@
         }
     }
 
+    /// Sends an attempt to its server and schedules the events that follow.
     fn send(&mut self, now: Nanos, gateway: usize, dispatch: Dispatch) {
-        let Some(open) = self.open.get(&dispatch.id) else {
+        let Some(open) = self.open_requests.get(&dispatch.id) else {
             self.counts.rules_broken += 1;
             return;
         };
         self.counts.attempts += u64::from(open.counted);
         let index = self.server_index[&dispatch.server];
         let server = &self.servers[index];
-        if self.gateways[gateway].knows_lost && server.endpoint.zone == LOST_ZONE {
+        if self.gateways[gateway].notified_of_zone_loss && server.endpoint.zone == LOST_ZONE {
             self.counts.rules_broken += 1;
         }
-        if server.lost {
+        if server.failed {
             let at = now + dispatch.connect_timeout.min(dispatch.timeout);
             let end = AttemptEnd::NotConnected;
             return self.events.schedule(at, Event::AttemptFailed { dispatch, gateway, end });
@@ -103,14 +105,14 @@
         self.count_slow_start_call(now, index);
         if !accepted {
             let end = AttemptEnd::AtCapacity;
-            self.events.schedule(now + REJECTION_TIME, Event::AttemptFailed { dispatch, gateway, end });
+            self.events.schedule(now + REJECTION_LATENCY, Event::AttemptFailed { dispatch, gateway, end });
         }
     }
 
-    /// Sends a prompt; whether the server accepts it.
+    /// Sends a prompt to a prefill server, and returns whether the server accepts the prompt.
     fn send_prefill(&mut self, now: Nanos, exchange: Exchange, index: usize) -> bool {
         let server = &mut self.servers[index];
-        let Some(open) = self.open.get_mut(&exchange.dispatch.id) else { return true };
+        let Some(open) = self.open_requests.get_mut(&exchange.dispatch.id) else { return true };
         open.cache = CacheLocation { cell: server.endpoint.cell, zone: server.endpoint.zone };
         let Some(timing) = server.prefill(now, &open.request.prompt) else { return false };
         let cached_tokens = timing.cached_tokens;
@@ -121,10 +123,10 @@
         true
     }
 
-    /// Sends a request for an answer; whether the server accepts it.
+    /// Sends a decode request to a server, and returns whether the server accepts the request.
     fn send_decode(&mut self, now: Nanos, exchange: Exchange, index: usize) -> bool {
         let server = &mut self.servers[index];
-        let Some(open) = self.open.get(&exchange.dispatch.id) else { return true };
+        let Some(open) = self.open_requests.get(&exchange.dispatch.id) else { return true };
         let answer_tokens = f64::from(open.request.answer_tokens);
         let tokens = open.request.prompt.tokens + answer_tokens;
         if open.counted {
@@ -139,7 +141,7 @@
         true
     }
 
-    /// Counts a call to a server in slow start against its budget.
+    /// Counts a call to a server in slow start, to compare the calls with the budget of the server.
     fn count_slow_start_call(&mut self, now: Nanos, index: usize) {
         let server = &self.servers[index];
         if !server.in_slow_start(now) {
@@ -156,6 +158,6 @@
         let allowed = self.deployment.slow_start_overload_factor * server.capacity_share(now) * even_share;
         let calls = self.slow_starts.entry(index).or_default();
         calls.count_call(now, window, allowed);
-        self.slow_start_worst = self.slow_start_worst.max(calls.worst());
+        self.slow_start_worst = self.slow_start_worst.max(calls.worst_ratio());
     }
 }
--- a/capacity/src/fleet/simulation/events.rs
+++ b/capacity/src/fleet/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, and their queue.
+//! The events of a simulation, and the event queue.
 
 use petrelshore::interface::{Nanos, SequenceId};
 use petrelshore_gateway_core::Dispatch;
@@ -6,16 +6,17 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An attempt that a server accepted.
+/// An attempt that is sent to a running server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Exchange {
     pub(super) dispatch: Dispatch,
+    /// The index of the gateway that sent the attempt.
     pub(super) gateway: usize,
-    /// The incarnation of the server that accepted it.
+    /// The incarnation of the server when it received the attempt.
     pub(super) incarnation: u64,
 }
 
-/// What happens at some time.
+/// A change at a point in virtual time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     Arrival,
@@ -30,7 +31,7 @@
     ZoneNotification { gateway: usize, lost: bool },
 }
 
-/// An event at its time; the number keeps the order of those at one time.
+/// An event with its time. Events with the same time are ordered by `number`.
 struct TimedEvent {
     at: Nanos,
     number: u64,
@@ -57,10 +58,11 @@
     }
 }
 
-/// Events in the order of their times.
+/// A queue of events in the order of their times, then in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<TimedEvent>>,
+    /// Number of events scheduled so far, which numbers the events.
     scheduled: u64,
 }
 
@@ -70,7 +72,7 @@
         self.events.push(Reverse(TimedEvent { at, number: self.scheduled, event }));
     }
 
-    /// Removes the next event, where it is before `end`.
+    /// Removes the next event. Returns `None` if the queue is empty or the event is not before `end`.
     pub(super) fn next_before(&mut self, end: Nanos) -> Option<(Nanos, Event)> {
         let Reverse(next) = self.events.pop()?;
         (next.at < end).then_some((next.at, next.event))
--- a/capacity/src/fleet/simulation/summary.rs
+++ b/capacity/src/fleet/simulation/summary.rs
@@ -1,4 +1,4 @@
-//! The summary of a simulation.
+//! Computes the summary of a simulation.
 
 use super::Simulation;
 use crate::fleet::measures::{Counts, Spread, Summary, work_by_role};
@@ -10,7 +10,8 @@
 const BYTES_PER_MIB_LOG2: u32 = 20;
 
 impl Simulation {
-    pub(super) fn summary(&self, took: Duration) -> Summary {
+    /// Computes the printed row of the simulation. `real_time` is the real time that the simulation took.
+    pub(super) fn summary(&self, real_time: Duration) -> Summary {
         let Counts { requests, within_slo, answered, rejected, failed, .. } = self.counts;
         let work = self.servers.iter().map(|server| (self.role(&server.endpoint), server.work));
         let by_role = work_by_role(work);
@@ -27,10 +28,10 @@
             servers: self.setup.servers,
             rate: self.setup.rate,
             requests,
-            within_slo: share(within_slo, requests),
-            answered: share(answered, requests),
-            rejected: share(rejected, requests),
-            failed: share(failed, requests),
+            within_slo: ratio(within_slo, requests),
+            answered: ratio(answered, requests),
+            rejected: ratio(rejected, requests),
+            failed: ratio(failed, requests),
             first_token_p95_ms: first_token_ms.map_or(0, |times| times.value_at_quantile(0.95)),
             cached: self.counts.cached_tokens / self.counts.prompt_tokens.max(1.0),
             prefill_p99_over_mean: prefill.p99,
@@ -38,18 +39,19 @@
             decode_p99_over_mean: decode.p99,
             decode_max_over_mean: decode.max,
             max_over_mean: prefill.max.max(decode.max),
-            migrated: share(self.counts.migrated, self.counts.decodes),
-            attempts: share(self.counts.attempts, requests),
+            migrated: ratio(self.counts.migrated, self.counts.decodes),
+            attempts: ratio(self.counts.attempts, requests),
             slow_start_worst: self.slow_start_worst,
             rules_broken: self.counts.rules_broken,
-            examined_per_request: share(examined, self.requests),
-            us_per_request: self.deciding.as_secs_f64() * 1e6 / self.requests.max(1) as f64,
-            real_seconds: took.as_secs_f64(),
-            peak_mib: limits::peak_resident().unwrap_or(0) >> BYTES_PER_MIB_LOG2,
+            examined_per_request: ratio(examined, self.requests),
+            us_per_request: self.decision_time.as_secs_f64() * 1e6 / self.requests.max(1) as f64,
+            real_seconds: real_time.as_secs_f64(),
+            peak_mib: limits::peak_resident_memory().unwrap_or(0) >> BYTES_PER_MIB_LOG2,
         }
     }
 }
 
-fn share(count: u64, total: u64) -> f64 {
+/// Returns `count / total`, or `count` if `total` is 0.
+fn ratio(count: u64, total: u64) -> f64 {
     count as f64 / total.max(1) as f64
 }
--- a/capacity/src/gateway.rs
+++ b/capacity/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway's request manager, measured as it handles request after request in virtual time.
+//! Runs the request manager of one gateway in virtual time, one request after the other, to measure its cost.
 
 use crate::inventory::{self, MILLISECOND, SECOND, Size};
 use petrelshore::interface::{
@@ -9,31 +9,31 @@
 use petrelshore_gateway_core::{Action, Dispatch, NewSequence, PolicyKind, Relay, RequestManager};
 use std::hint::black_box;
 
-/// Requests before anything is measured.
+/// Number of requests that a gateway handles before a measurement starts.
 pub const WARM_UP_REQUESTS: u64 = 200;
-/// How long a prefill and the first token of a decode take.
-const STEP_TIME: Nanos = 5 * MILLISECOND;
-/// The time between two tokens.
+/// Time that a prefill takes, and the time to the first token of a decode, in nanoseconds.
+const STEP_LATENCY: Nanos = 5 * MILLISECOND;
+/// The time between two tokens, in nanoseconds.
 const TOKEN_INTERVAL: Nanos = MILLISECOND / 10;
-/// Tokens of an answer after the first.
-const FURTHER_TOKENS: usize = 9;
-/// The most attempts that are followed for one request.
+/// Number of tokens of an answer after the first token.
+const TOKENS_AFTER_FIRST: usize = 9;
+/// The maximum number of attempts that are simulated for one request.
 const MAX_ATTEMPTS: usize = 8;
-/// The request manager's seed.
+/// The random seed of the request manager.
 const SEED: u64 = 7;
 
-/// What the requests are like.
+/// The deployment and the requests that a measured gateway handles.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// The deployment.
+    /// The size of the deployment.
     pub size: Size,
-    /// Requests per second that this gateway receives.
+    /// Number of requests per second that the gateway receives.
     pub rate: f64,
-    /// Sessions that requests alternate between.
+    /// Number of sessions; consecutive requests cycle through the sessions.
     pub sessions: u64,
-    /// Prefixes that requests alternate between.
+    /// Number of shared prefixes; consecutive requests cycle through the prefixes.
     pub prefixes: u64,
-    /// The share of servers that accept requests and respond to none.
+    /// The share of servers that accept requests but never respond.
     pub silent_share: f64,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl MeasuredGateway {
-    /// A gateway that has the endpoint list and has received nothing.
+    /// Creates a gateway that has applied the endpoint list and has not received a request.
     pub fn new(load: Load, list: &[Endpoint], policy_kind: PolicyKind) -> Self {
         let deployment = inventory::deployment(load.size, 0);
         let mut manager = RequestManager::with_policy(SECOND, deployment, SEED, policy_kind);
@@ -55,17 +55,17 @@
         MeasuredGateway { manager, load, now: 2 * SECOND, requests: 0, attempts: 0 }
     }
 
-    /// Attempts that were sent so far.
+    /// Returns the number of attempts that the gateway has sent.
     pub fn attempts(&self) -> u64 {
         self.attempts
     }
 
-    /// The virtual time.
+    /// Returns the virtual time, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Its request manager.
+    /// Returns the request manager of the gateway.
     pub fn manager(&mut self) -> &mut RequestManager {
         &mut self.manager
     }
@@ -74,22 +74,24 @@
         (server.0 >> 32) as f64 / (1u64 << 32) as f64 <= self.load.silent_share
     }
 
-    /// Handles one complete request: accepted, its prompt processed, its answer generated in ten tokens.
+    /// Handles one request from its acceptance to its completion: prefill, then a decode that generates ten tokens.
+    ///
+    /// Attempts on silent servers time out, and the request manager retries them.
     pub fn handle_request(&mut self) {
-        let began = self.now;
+        let started_at = self.now;
         let sequence = self.next_sequence();
         let id = sequence.id;
         let mut actions = Vec::new();
         self.manager.accept(self.now, sequence, &mut actions);
         for _ in 0..MAX_ATTEMPTS {
-            let Some(dispatch) = dispatch_in(&actions) else { break };
+            let Some(dispatch) = find_dispatch(&actions) else { break };
             actions.clear();
             self.attempts += 1;
             self.respond(id, dispatch, &mut actions);
         }
         black_box(&actions);
         let interval = (SECOND as f64 / self.load.rate) as Nanos;
-        self.now = self.now.max(began + interval);
+        self.now = self.now.max(started_at + interval);
     }
 
     fn next_sequence(&mut self) -> NewSequence {
@@ -113,14 +115,14 @@
         }
     }
 
-    /// A server responds to an attempt, or the attempt times out.
+    /// Simulates the response of a server to an attempt. If the server is silent, the attempt times out.
     fn respond(&mut self, id: SequenceId, dispatch: Dispatch, actions: &mut Vec<Action>) {
         if self.is_silent(dispatch.server) {
             self.now += dispatch.timeout;
             self.manager.on_timeout(self.now, actions);
             return;
         }
-        self.now += STEP_TIME;
+        self.now += STEP_LATENCY;
         let report =
             LoadReport { memory_share: Some(0.2), queued_prompt_tokens: Some(500.0), in_flight: Some(2.0) };
         self.manager.load_reported(self.now, dispatch.server, report);
@@ -129,7 +131,7 @@
             return self.manager.attempt_ended(self.now, id, dispatch.attempt, end, actions);
         }
         self.manager.first_token(self.now, id, dispatch.attempt);
-        for _ in 0..FURTHER_TOKENS {
+        for _ in 0..TOKENS_AFTER_FIRST {
             self.now += TOKEN_INTERVAL;
             self.manager.token_received(self.now, id);
         }
@@ -138,7 +140,7 @@
     }
 }
 
-fn dispatch_in(actions: &[Action]) -> Option<Dispatch> {
+fn find_dispatch(actions: &[Action]) -> Option<Dispatch> {
     actions.iter().find_map(|action| match action {
         Action::Send(dispatch) => Some(*dispatch),
         _ => None,
--- a/capacity/src/inventory.rs
+++ b/capacity/src/inventory.rs
@@ -1,42 +1,42 @@
-//! Deployments and endpoint lists of any size, in the proportions of the service.
+//! Generates deployments and endpoint lists of any size, with zones, cells and roles in the proportions of the service.
 
 use petrelshore::interface::{
     CellId, Delivery, Deployment, Discovery, Endpoint, EndpointState, Idempotency, Nanos, Role, ServerId,
     ServerKind, ServerKindId, StartTimeClock, Tenant, TrafficType, Weights, ZoneId,
 };
 
-/// Nanoseconds of a millisecond.
+/// One millisecond, in nanoseconds.
 pub const MILLISECOND: Nanos = 1_000_000;
-/// Nanoseconds of a second.
+/// One second, in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MILLISECOND;
-/// Zones of the whole service.
+/// Number of zones of the whole service.
 pub const ZONES: usize = 7;
-/// Model servers of a cell.
+/// Number of model servers of a cell.
 pub const CELL_SERVERS: u64 = 20;
-/// So many of each [`GROUP_SERVERS`] are prefill servers: 26 in 100.
+/// Number of prefill servers in each group of [`GROUP_SERVERS`] servers: 26%.
 const GROUP_PREFILL_SERVERS: u64 = 13;
 const GROUP_SERVERS: u64 = 50;
-/// Prompt and answer tokens that a server's memory holds.
+/// Number of prompt and answer tokens that the memory of a model server holds.
 pub const MEMORY_TOKENS: f64 = 400_000.0;
-/// The odd constant of a multiplicative hash: it spreads server IDs as those of real servers are.
+/// The odd multiplier of a multiplicative hash. The hash spreads server IDs over 64 bits like those of real servers.
 const HASH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What varies between deployments of one size.
+/// The parameters in which generated deployments differ.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Model servers.
+    /// Number of model servers.
     pub servers: u64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
     /// The quota of each tenant, in requests per second over all gateways.
     pub tenant_rate: f64,
-    /// How long a server is in slow start.
+    /// How long a server is in slow start after it has started.
     pub slow_start: Nanos,
 }
 
-/// The deployment of a size, for a gateway of that zone.
+/// Generates the deployment of the given size, as a gateway in zone `zone` sees it.
 pub fn deployment(size: Size, zone: usize) -> Deployment {
     let traffic = TrafficType {
         priority_weight: 1.0,
@@ -71,17 +71,17 @@
     }
 }
 
-/// The zone of a server by its number: cells alternate between the zones.
+/// Returns the zone of the server with this number. Consecutive cells are assigned to the zones in turn.
 pub fn zone_of(number: u64) -> usize {
     (number / CELL_SERVERS) as usize % ZONES
 }
 
-/// Whether a server by its number is a prefill server.
+/// Returns whether the server with this number is a prefill server.
 pub fn is_prefill_server(number: u64) -> bool {
     (number * GROUP_PREFILL_SERVERS) % GROUP_SERVERS < GROUP_PREFILL_SERVERS
 }
 
-/// A server by its number.
+/// Generates the endpoint of the server with this number.
 pub fn endpoint(number: u64, started_at: Nanos) -> Endpoint {
     Endpoint {
         server: ServerId(number.wrapping_add(1).wrapping_mul(HASH_FACTOR)),
@@ -94,7 +94,8 @@
     }
 }
 
-/// An endpoint list of so many servers, of which this share started at `started_at` and the others long ago.
+/// Generates an endpoint list of `servers` servers. A share of `slow_start_share` of them started at `started_at`, the
+/// others at time 0.
 pub fn fleet(servers: u64, slow_start_share: f64, started_at: Nanos) -> Vec<Endpoint> {
     let in_slow_start = |number: u64| {
         ((number + 1) as f64 * slow_start_share).floor() > (number as f64 * slow_start_share).floor()
--- a/capacity/src/lib.rs
+++ b/capacity/src/lib.rs
@@ -1,8 +1,10 @@
-//! What the decisions cost and how they behave at the size of the whole service, without sockets.
+//! Measures the cost of scheduling decisions and simulates their effect at the size of the whole service, without
+//! sockets.
 //!
-//! [`slopes`] measures one gateway over growing fleets; [`gateway`] is the gateway that it measures, shared with the
-//! benchmark in `benches/`. [`fleet`] simulates all gateways before all model servers in virtual time. [`inventory`]
-//! generates endpoint lists, [`limits`] rejects what would not fit this machine, [`report`] prints.
+//! [`slopes`] measures one gateway with fleets of growing size, and [`fit`] fits a line to the measurements.
+//! [`gateway`] contains the measured gateway, which the benchmark in `benches/` uses too. [`fleet`] simulates all
+//! gateways and all model servers in virtual time. [`inventory`] generates deployments and endpoint lists, [`limits`]
+//! rejects sizes that do not fit this machine, and [`report`] prints the results.
 
 pub mod fit;
 pub mod fleet;
--- a/capacity/src/main.rs
+++ b/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! The `petrelshore-capacity` command.
+//! The `petrelshore-capacity` command: parses the arguments and runs the chosen measurement.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use petrelshore_capacity::fleet::{self, Scenario, Setup};
@@ -10,11 +10,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Measures what gateways cost and how they behave at the size of the whole service. Nothing goes over a socket.
+/// Measures the cost of gateways and simulates their behavior at the size of the whole service, without sockets.
 #[derive(Parser)]
 #[command(name = "petrelshore-capacity", version)]
 struct Arguments {
-    /// Prints one JSON object a line instead of tables.
+    /// Prints one JSON object per line instead of tables.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -23,9 +23,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// One gateway's cost for a complete request, for endpoint lists, and its memory, over growing fleets.
+    /// Measures the cost of requests and endpoint lists, and the memory, of one gateway with fleets of growing size.
     Slopes(SlopesArguments),
-    /// Gateways without sockets sharing one process before simple model servers, in virtual time.
+    /// Simulates gateways without sockets and simplified model servers in one process, in virtual time.
     Fleet(FleetArguments),
 }
 
@@ -40,61 +40,64 @@
     /// Shares of the servers in slow start, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 1.0 / 7.0, 1.0])]
     slow_start: Vec<f64>,
-    /// Shares of the servers that respond to nothing, from 0 to 1.
+    /// Shares of the servers that accept requests but never respond, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0])]
     silent: Vec<f64>,
-    /// Requests measured for each row.
+    /// Number of requests measured for each row.
     #[arg(long, default_value_t = 2_000)]
     requests: u64,
-    /// Milliseconds after which a row ends with fewer requests.
+    /// Maximum time to measure one row, in milliseconds; after this time the row ends with fewer requests.
     #[arg(long, default_value_t = 1_000)]
     row_ms: u64,
-    /// Numbers of requests after which memory is read.
+    /// Numbers of requests after which the memory of the process is read.
     #[arg(long, value_delimiter = ',', default_values_t = [10_000, 100_000, 1_000_000])]
     memory_at: Vec<u64>,
-    /// How servers are found.
+    /// How the gateway finds a server for a request.
     #[arg(long, value_enum, default_value_t = Policy::Candidates)]
     policy: Policy,
 }
 
 #[derive(clap::Args)]
 struct FleetArguments {
+    /// Number of gateways.
     #[arg(long, default_value_t = 990)]
     gateways: u64,
-    /// Model servers, 26 in 100 of them for prefill.
+    /// Number of model servers; 26% of the servers are prefill servers.
     #[arg(long, default_value_t = 4_200)]
     servers: u64,
+    /// Number of tenants.
     #[arg(long, default_value_t = 640)]
     tenants: u64,
-    /// Requests a second over all gateways; in proportion to the servers where it is not given.
+    /// Requests per second over all gateways; by default in proportion to the number of servers.
     #[arg(long)]
     rate: Option<u64>,
-    /// Seconds of virtual time.
+    /// Duration of the simulation in virtual time, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How servers are found; both one after the other where it is not given.
+    /// How gateways find a server for a request; by default both policies run one after the other.
     #[arg(long, value_enum)]
     policy: Option<Policy>,
-    /// What happens; all one after the other where it is not given.
+    /// Scenario to simulate; by default all scenarios run one after the other.
     #[arg(long, value_enum)]
     scene: Option<ScenarioName>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum ScenarioName {
-    /// Nothing but traffic.
+    /// Traffic without failures.
     Ordinary,
-    /// The model servers of a zone are lost at once, and all restart at once.
+    /// All model servers of a zone fail at the same time, and later restart at the same time.
     Zone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Policy {
-    /// Every server is examined for every request.
+    /// The gateway examines every server for every request.
     Scan,
-    /// A bounded number of candidates is examined, as the gateway does.
+    /// The gateway examines a bounded number of candidates, as in production.
     Candidates,
 }
 
@@ -107,18 +110,18 @@
     }
 }
 
-/// Requests per second of the whole service.
+/// Number of requests per second of the whole service.
 const SERVICE_RATE: f64 = 63_000.0;
-/// Model servers of the whole service.
+/// Number of model servers of the whole service.
 const SERVICE_SERVERS: f64 = 4_200.0;
 const MAX_TENANTS: u64 = 100_000;
 const MAX_REQUESTS: u64 = 100_000_000;
 const MAX_ROW_MS: u64 = 600_000;
 
-/// Why a command is not executed.
+/// The reason why a command is not executed.
 #[derive(Debug)]
 enum Error {
-    /// A size is out of range, or beyond this machine.
+    /// A size is out of range or does not fit this machine.
     Limit(LimitError),
     /// A share of the servers is not between 0 and 1.
     ShareOutOfRange(f64),
@@ -129,7 +132,7 @@
         match self {
             Error::Limit(error) => error.fmt(formatter),
             Error::ShareOutOfRange(share) => {
-                write!(formatter, "a part of the servers must be from 0 to 1, not {share}")
+                write!(formatter, "a share of the servers must be from 0 to 1, not {share}")
             }
         }
     }
@@ -146,16 +149,16 @@
 impl SlopesArguments {
     fn plan(&self) -> Result<Plan, Error> {
         for servers in &self.servers {
-            limits::in_range("--servers", *servers, limits::MAX_SERVERS)?;
+            limits::check_range("--servers", *servers, limits::MAX_SERVERS)?;
         }
         for tenants in self.tenants.iter().filter(|tenants| **tenants > 0) {
-            limits::in_range("--tenants", *tenants, MAX_TENANTS)?;
+            limits::check_range("--tenants", *tenants, MAX_TENANTS)?;
         }
         for requests in &self.memory_at {
-            limits::in_range("--memory-at", *requests, MAX_REQUESTS)?;
+            limits::check_range("--memory-at", *requests, MAX_REQUESTS)?;
         }
-        limits::in_range("--requests", self.requests, MAX_REQUESTS)?;
-        limits::in_range("--row-ms", self.row_ms, MAX_ROW_MS)?;
+        limits::check_range("--requests", self.requests, MAX_REQUESTS)?;
+        limits::check_range("--row-ms", self.row_ms, MAX_ROW_MS)?;
         for share in self.slow_start.iter().chain(&self.silent) {
             if !(0.0..=1.0).contains(share) {
                 return Err(Error::ShareOutOfRange(*share));
@@ -184,11 +187,11 @@
 }
 
 impl FleetArguments {
-    /// All chosen scenarios under all chosen policies.
+    /// Returns one setup for each combination of the chosen scenarios and the chosen policies.
     fn setups(&self) -> Result<Vec<Setup>, Error> {
-        limits::check(self.gateways, self.servers, limits::machine_memory())?;
+        limits::check_fleet(self.gateways, self.servers, limits::machine_memory())?;
         if self.tenants > 0 {
-            limits::in_range("--tenants", self.tenants, MAX_TENANTS)?;
+            limits::check_range("--tenants", self.tenants, MAX_TENANTS)?;
         }
         let scenarios =
             self.scene.map_or(vec![ScenarioName::Ordinary, ScenarioName::Zone], |scene| vec![scene]);
--- a/capacity/src/report.rs
+++ b/capacity/src/report.rs
@@ -1,35 +1,35 @@
-//! Rows as a table for people, or as one JSON object a line.
+//! Prints rows as a table or as one JSON object per line.
 
 use serde::Serialize;
 use serde_json::Value;
 use std::io::Write;
 
-/// How rows are printed.
+/// The output format of rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// A table for people.
+    /// A table with columns of fixed width.
     Table,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Prints rows as they are measured; a table's head precedes its first row.
+/// Prints each row as soon as it is measured. A table has a header line before the first row of each set of columns.
 pub struct Printer {
     format: Format,
     columns: Vec<String>,
 }
 
-/// The width of a table's columns.
+/// The width of a table column, in characters.
 const COLUMN_WIDTH: usize = 14;
 
 impl Printer {
-    /// A printer that has printed nothing yet.
+    /// Creates a printer that has printed nothing yet.
     pub fn new(format: Format) -> Self {
         Printer { format, columns: Vec::new() }
     }
 
-    /// Prints one row. Its fields are the columns.
-    pub fn row(&mut self, row: &impl Serialize) {
+    /// Prints one row. The fields of `row` are the columns.
+    pub fn print_row(&mut self, row: &impl Serialize) {
         let Ok(Value::Object(fields)) = serde_json::to_value(row) else { return };
         if self.format == Format::Json {
             return print_line(&Value::Object(fields).to_string());
@@ -43,17 +43,17 @@
             self.columns = columns;
         }
         let cells: Vec<String> =
-            fields.values().map(|value| format!("{:>COLUMN_WIDTH$}", cell(value))).collect();
+            fields.values().map(|value| format!("{:>COLUMN_WIDTH$}", format_cell(value))).collect();
         print_line(&cells.join(" "));
     }
 }
 
-/// Writes a line. Where the reader has closed the pipe the output is dropped.
+/// Writes a line to standard output. A write error, such as a pipe that its reader has closed, is ignored.
 fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Number(number) if number.is_f64() => format!("{:.3}", number.as_f64().unwrap_or_default()),
         Value::String(text) => text.clone(),
--- a/capacity/tests/command.rs
+++ b/capacity/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as a user starts it: small measurements, and what it rejects.
+//! Runs the command with small measurements and with invalid arguments.
 
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -7,22 +7,22 @@
     Command::new(env!("CARGO_BIN_EXE_petrelshore-capacity"))
         .args(arguments)
         .output()
-        .expect("the command runs")
+        .expect("the petrelshore-capacity binary starts")
 }
 
-/// The rows of a run that has to succeed.
+/// Runs the command with `--json` among the arguments, checks that it succeeds, and returns the printed rows.
 fn rows(arguments: &[&str]) -> Vec<Value> {
     let output = run(arguments);
     assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
-    let text = String::from_utf8(output.stdout).expect("text");
-    text.lines().map(|line| serde_json::from_str(line).expect("a JSON object a line")).collect()
+    let text = String::from_utf8(output.stdout).expect("standard output is UTF-8");
+    text.lines().map(|line| serde_json::from_str(line).expect("each line is a JSON object")).collect()
 }
 
 fn number(row: &Value, field: &str) -> f64 {
-    row[field].as_f64().unwrap_or_else(|| panic!("{field} is missing in {row}"))
+    row[field].as_f64().unwrap_or_else(|| panic!("field {field} is missing or not a number in {row}"))
 }
 
-const SLOPES: [&str; 16] = [
+const SLOPES_ARGUMENTS: [&str; 16] = [
     "--json",
     "slopes",
     "--servers",
@@ -43,7 +43,7 @@
 
 #[test]
 fn slopes_examine_a_bounded_number_of_servers() {
-    let rows = rows(&SLOPES);
+    let rows = rows(&SLOPES_ARGUMENTS);
     let costs: Vec<&Value> = rows.iter().filter(|row| row["us_per_request"].is_number()).collect();
     assert_eq!(costs.len(), 3 * 2 * 3 * 2 + 1);
     for row in &costs {
@@ -52,19 +52,34 @@
         }
         assert!(number(row, "us_per_request") > 0.0);
     }
-    // Counts, not times: the same in every run. Servers examined for a waiting request are not among them.
-    let most = costs.iter().map(|row| number(row, "examined_most")).fold(0.0, f64::max);
-    assert!(most <= 2_500.0, "{most} servers for one request with all its attempts");
-    let warm = |servers: f64| {
-        let of = |row: &&&Value| {
+    // The limits apply to counts of examined servers, which are the same in every run, unlike times. The counts exclude
+    // servers examined for a waiting request.
+    let max_examined = costs.iter().map(|row| number(row, "examined_most")).fold(0.0, f64::max);
+    assert!(
+        max_examined <= 2_500.0,
+        "{max_examined} servers were examined for one request with all its attempts"
+    );
+    let examined_when_warm = |servers: f64| {
+        let matches_case = |row: &&&Value| {
             number(row, "servers") == servers
                 && number(row, "slow_start") == 0.0
                 && number(row, "silent") == 0.0
                 && number(row, "tenants") == 640.0
         };
-        number(costs.iter().find(of).expect("a row"), "examined")
+        number(
+            costs
+                .iter()
+                .find(matches_case)
+                .expect("the measurement has a row for these servers and 640 tenants"),
+            "examined",
+        )
     };
-    assert!(warm(4_200.0) <= 1.5 * warm(1_000.0), "{} and {}", warm(4_200.0), warm(1_000.0));
+    assert!(
+        examined_when_warm(4_200.0) <= 1.5 * examined_when_warm(1_000.0),
+        "{} servers examined per request with 4,200 servers, {} with 1,000",
+        examined_when_warm(4_200.0),
+        examined_when_warm(1_000.0)
+    );
     let fits = rows.iter().filter(|row| row["fit_of"].is_string()).count();
     let lists = rows.iter().filter(|row| row["whole_bytes"].is_number()).count();
     let memory = rows.iter().filter(|row| row["memory_after"].is_number()).count();
@@ -98,7 +113,7 @@
 fn small_fleet_keeps_rules_and_slow_start_budget() {
     let runs =
         rows(&["--json", "fleet", "--gateways", "35", "--servers", "280", "--seconds", "8", "--seed", "3"]);
-    assert_eq!(runs.len(), 4, "two scenarios under two policies");
+    assert_eq!(runs.len(), 4, "one row for each of two scenarios under each of two policies");
     for run in &runs {
         for field in ["served", "cached", "max_over_mean", "slow_start_worst", "rules_broken", "peak_mib"] {
             number(run, field);
@@ -111,7 +126,10 @@
     let [scan, candidates] = [&runs[0], &runs[1]];
     assert_eq!((scan["policy"].as_str(), candidates["policy"].as_str()), (Some("scan"), Some("candidates")));
     assert!(number(candidates, "examined_per_request") < number(scan, "examined_per_request") / 2.0);
-    assert!(runs[3]["slow_start_worst"].as_f64() > Some(0.0), "the zone came back cold and was used");
+    assert!(
+        runs[3]["slow_start_worst"].as_f64() > Some(0.0),
+        "servers of the restarted zone received calls in slow start"
+    );
 }
 
 #[test]
@@ -133,8 +151,8 @@
             "--scene",
             "zone",
         ]);
-        let mut summary = rows.pop().expect("a summary");
-        // Times and memory are the machine's.
+        let mut summary = rows.pop().expect("the simulation prints a summary row");
+        // These fields depend on the machine.
         for field in ["us_per_request", "real_seconds", "peak_mib"] {
             summary[field].take();
         }
@@ -155,14 +173,17 @@
         (&["slopes", "--requests", "0"], "--requests must be from 1"),
         (&["slopes", "--slow-start", "1.5"], "from 0 to 1"),
     ];
-    for (arguments, why) in rejected {
+    for (arguments, expected_message) in rejected {
         let output = run(arguments);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && output.stdout.is_empty(), "{arguments:?}: {message}");
-        assert!(message.lines().count() == 1 && message.contains(why), "{arguments:?}: {message}");
+        assert!(
+            message.lines().count() == 1 && message.contains(expected_message),
+            "{arguments:?}: {message}"
+        );
     }
-    for unknown in [&["fleet", "--gateway", "3"][..], &["slope"], &[], &["fleet", "--policy", "best"]] {
-        let output = run(unknown);
-        assert!(!output.status.success() && output.stdout.is_empty(), "{unknown:?}");
+    for unparsable in [&["fleet", "--gateway", "3"][..], &["slope"], &[], &["fleet", "--policy", "best"]] {
+        let output = run(unparsable);
+        assert!(!output.status.success() && output.stdout.is_empty(), "{unparsable:?}");
     }
 }
