--- a/e2e/src/auditor.rs
+++ b/e2e/src/auditor.rs
@@ -1,8 +1,8 @@
-//! Judges the five rules from what was observed on the sockets, and from nothing else.
+//! Checks the five rules against a record of what clients and servers observed on their sockets.
 //!
-//! It uses no gateway's word: clients record what they sent and received, emulated servers record what arrived, was
-//! executed, reserved and released. Times of processes on one machine differ by scheduling, so each bound has some
-//! slack.
+//! The auditor doesn't rely on anything that a gateway reports: clients record what they sent and received, and
+//! emulated servers record what arrived, was executed, reserved and released. Scheduling on the machine delays the
+//! recorded times, so each bound has some slack.
 
 mod cache_releases;
 mod draining;
@@ -17,72 +17,74 @@
 pub use cache_releases::caches_left_behind;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// For the time that a busy machine adds between an event and its record.
+/// Allowance for the delay between an event and its record on a busy machine, in nanoseconds.
 const DEFAULT_SLACK: Nanos = 250 * MILLISECOND;
-/// What gateways put before their names where they name themselves to servers.
+/// The prefix of a gateway's name in the requests that the gateway sends to servers.
 const GATEWAY_PREFIX: &str = "petrelshore/";
 
-/// The numbers of the rules.
+// The numbers of the rules in violations.
 const FINAL_RESPONSE_RULE: u8 = 1;
 const DUPLICATE_RULE: u8 = 2;
 const DRAINING_RULE: u8 = 3;
 const SLOW_START_RULE: u8 = 4;
 const CACHE_RELEASE_RULE: u8 = 5;
 
-/// The bounds that the rules are judged by.
+/// The limits that the rules set, with times in nanoseconds.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Unused KV cache is released within this time.
+    /// The time within which an unused KV cache has to be released.
     pub release_timeout: Nanos,
-    /// Requests in transit may still reach a draining server for this long.
+    /// The time for which requests in transit may still arrive at a draining server after their gateway was notified.
     pub drain_grace: Nanos,
-    /// How often requests of each traffic type may be executed.
+    /// The permitted executions of a request, by traffic type.
     pub effects: BTreeMap<String, Effect>,
-    /// What every bound forgives.
+    /// The tolerance added to every time limit.
     pub slack: Nanos,
 }
 
-/// How often a request may be executed.
+/// The permitted executions of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Any number of times.
     Idempotent,
-    /// Repeatedly with its idempotency key, within a cell and this time.
+    /// Repeatedly with its idempotency key, within one cell and within this time after the first possible execution,
+    /// in nanoseconds.
     KeyedInCell(Nanos),
     /// At most once.
     AtMostOnce,
 }
 
 impl Bounds {
-    /// Bounds without traffic types: requests of unknown types count as idempotent.
+    /// Bounds without traffic types. Requests of a traffic type without an entry count as idempotent.
     pub fn new(release_timeout: Nanos, drain_grace: Nanos) -> Self {
         Bounds { release_timeout, drain_grace, effects: BTreeMap::new(), slack: DEFAULT_SLACK }
     }
 }
 
-/// One breach of a rule.
+/// A violation of one rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The rule's number.
     pub rule: u8,
-    /// When it was broken.
+    /// The time at which the violation was observed.
     pub at: Nanos,
-    /// What was observed.
+    /// A description of the observation that violates the rule.
     pub description: String,
 }
 
-/// The judgement, with what was examined: a clean verdict over nothing proves nothing.
+/// The result of an audit: violations, and counts of the events examined. Without events, the absence of violations
+/// proves nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Breaches, in the order of time.
+    /// Violations, ordered by time.
     pub violations: Vec<Violation>,
-    /// Requests that clients sent.
+    /// The number of requests that clients sent.
     pub requests: usize,
-    /// Requests that arrived at servers.
+    /// The number of attempts of clients' requests that arrived at servers.
     pub arrivals: usize,
-    /// KV caches that servers reserved.
+    /// The number of KV caches that servers reserved.
     pub reservations: usize,
-    /// Notifications that a server accepts nothing new.
+    /// The number of notifications to gateways that a server accepts no new requests.
     pub drain_notifications: usize,
 }
 
@@ -92,7 +94,7 @@
     }
 }
 
-/// Judges a whole record.
+/// Checks all rules against a complete record.
 pub fn judge(entries: &[Entry], bounds: &Bounds) -> Verdict {
     let mut verdict = Verdict::default();
     let history = History::from_entries(entries, &mut verdict);
@@ -107,7 +109,7 @@
     verdict
 }
 
-/// The name of a gateway that names itself to a server.
+/// Strips the prefix from a gateway's name in a request to a server.
 fn gateway_name(gateway: &str) -> &str {
     gateway.strip_prefix(GATEWAY_PREFIX).unwrap_or(gateway)
 }
--- a/e2e/src/auditor/cache_releases.rs
+++ b/e2e/src/auditor/cache_releases.rs
@@ -1,4 +1,4 @@
-//! Rule 5: with no attempt in flight, a reserved KV cache is used or released in time.
+//! Rule 5: while a sequence has no attempt in flight, its reserved KV cache is used or released in time.
 
 use super::history::{AttemptId, History};
 use super::{Bounds, CACHE_RELEASE_RULE, MILLISECOND, Verdict, gateway_name};
@@ -10,20 +10,20 @@
 #[derive(Default)]
 struct Sequence<'a> {
     gateway: &'a str,
-    /// Its first arrival at any server; zero before that.
-    began: Nanos,
+    /// The time at which the sequence's first attempt arrived at any server; zero before that.
+    first_arrival: Nanos,
     in_flight: usize,
-    held: BTreeSet<AttemptId<'a>>,
-    /// Since when KV cache is held with no attempt in flight.
+    reserved: BTreeSet<AttemptId<'a>>,
+    /// The time since which KV cache is reserved with no attempt in flight.
     idle_since: Option<Nanos>,
 }
 
-/// What the rule follows through a record.
+/// The state that the check of the rule tracks through a record.
 struct CacheAudit<'a> {
     history: &'a History<'a>,
     bounds: &'a Bounds,
     sequences: BTreeMap<&'a str, Sequence<'a>>,
-    /// Servers that read nothing from their sockets, or respond to nothing.
+    /// Servers that don't read from their sockets or don't respond.
     unresponsive: BTreeSet<&'a str>,
 }
 
@@ -54,23 +54,23 @@
         match &entry.event {
             Event::AttemptArrived { gateway, .. } => {
                 sequence.gateway = gateway_name(gateway);
-                if sequence.began == 0 {
-                    sequence.began = entry.at;
+                if sequence.first_arrival == 0 {
+                    sequence.first_arrival = entry.at;
                 }
                 sequence.in_flight += 1;
             }
             Event::AttemptEnded { .. } => sequence.in_flight = sequence.in_flight.saturating_sub(1),
-            // A server that reads nothing from its sockets can't be sent a release request.
+            // An unresponsive server can't process a release request, so a reservation there isn't checked.
             Event::CacheReserved { .. } if !self.unresponsive.contains(attempt.server) => {
-                sequence.held.insert(attempt);
+                sequence.reserved.insert(attempt);
                 verdict.reservations += 1;
             }
             Event::CacheReleased { .. } => {
-                sequence.held.remove(&attempt);
+                sequence.reserved.remove(&attempt);
             }
             _ => {}
         }
-        let reachable = sequence.held.iter().any(|held| !self.unresponsive.contains(held.server));
+        let reachable = sequence.reserved.iter().any(|attempt| !self.unresponsive.contains(attempt.server));
         let idle = reachable && sequence.in_flight == 0;
         sequence.idle_since = if idle { sequence.idle_since.or(Some(entry.at)) } else { None };
         self.sequences.insert(id, sequence);
@@ -86,20 +86,23 @@
 
     fn check_idle_time(&self, id: &str, sequence: &Sequence, until: Nanos, verdict: &mut Verdict) {
         let Some(since) = sequence.idle_since else { return };
-        // A killed gateway need not release what it held. What arrives while it is down was in transit before.
+        // A killed gateway need not release its KV caches. Attempts that arrive while the gateway is down were already
+        // in transit when the gateway was killed.
         let mut downtimes = self.history.downtimes(sequence.gateway).iter();
-        let killed =
-            downtimes.any(|downtime| downtime.restarted > sequence.began && downtime.killed <= until);
-        if until > since + self.bounds.release_timeout + self.bounds.slack && !killed {
-            let held = (until - since) / MILLISECOND;
-            let description = format!("a state of {id} was held for {held} ms with no attempt out");
+        let gateway_killed =
+            downtimes.any(|downtime| downtime.restarted > sequence.first_arrival && downtime.killed <= until);
+        if until > since + self.bounds.release_timeout + self.bounds.slack && !gateway_killed {
+            let millis = (until - since) / MILLISECOND;
+            let description = format!(
+                "a KV cache of sequence {id} stayed reserved for {millis} ms with no attempt in flight"
+            );
             verdict.add(CACHE_RELEASE_RULE, until, description);
         }
     }
 }
 
-/// How many KV caches servers still hold at the end, but for those of gateways that were killed since: servers drop
-/// those by themselves, later.
+/// Counts the KV caches that servers still hold at the end of a record. KV caches of gateways that were killed after
+/// the reservation are not counted: servers drop these KV caches later by themselves.
 pub fn caches_left_behind(entries: &[Entry]) -> usize {
     let mut held: BTreeMap<AttemptId, &str> = BTreeMap::new();
     let mut gateways: BTreeMap<&str, &str> = BTreeMap::new();
@@ -108,7 +111,7 @@
         match &entry.event {
             Event::AttemptArrived { gateway, request, .. } => {
                 let gateway = gateway_name(gateway);
-                // What arrives from a gateway that is down was in transit before.
+                // An attempt that arrives from a gateway that is down was in transit when the gateway was killed.
                 gateways.insert(request, if down.contains(gateway) { "" } else { gateway });
             }
             Event::GatewayRestarted { gateway } => {
--- a/e2e/src/auditor/duplicates.rs
+++ b/e2e/src/auditor/duplicates.rs
@@ -1,4 +1,5 @@
-//! Rule 2: no effect twice, and a rejection only where nothing can have been executed.
+//! Rule 2: a request is executed no more often than its traffic type allows, and its client gets a rejection only if
+//! nothing can have been executed.
 
 use super::history::{Arrival, AttemptId, History, Request};
 use super::{Bounds, DUPLICATE_RULE, Effect, Verdict};
@@ -24,7 +25,7 @@
             Effect::Idempotent => None,
             Effect::AtMostOnce => Some(second_execution(first, arrival)),
             Effect::KeyedInCell(window) => {
-                late_retry(history, first, arrival, first.at + window + bounds.slack)
+                uncovered_retry(history, first, arrival, first.at + window + bounds.slack)
             }
         };
         if let Some(description) = description {
@@ -35,13 +36,14 @@
     let may_retry = |outcome| matches!(outcome, FinalOutcome::Rejected | FinalOutcome::NotAccepted);
     if let Some(response) = responses.find(|response| may_retry(response.outcome)) {
         let (server, traffic) = (first.server, sent.traffic);
-        let description =
-            format!("client {client} was told a retry is harmless after {traffic} may have run at {server}");
+        let description = format!(
+            "client {client} was told that it may retry after {server} may have executed its {traffic} request"
+        );
         verdict.add(DUPLICATE_RULE, response.at, description);
     }
 }
 
-/// Whether a server rejected an attempt as over capacity, or for want of its KV cache.
+/// Returns whether the server rejected an attempt because the server was at capacity or the KV cache was missing.
 fn proven_not_executed(history: &History, arrival: &Arrival) -> bool {
     let attempt = AttemptId { server: arrival.server, request: arrival.request };
     matches!(history.rejections.get(&attempt), Some(&"full" | &"state_missing"))
@@ -49,14 +51,15 @@
 
 fn second_execution(first: &Arrival, arrival: &Arrival) -> String {
     let (request, server) = (arrival.request, arrival.server);
-    format!("once-only {request} came to {server} after it may have run at {}", first.server)
+    format!("at-most-once request {request} arrived at {server} after {} may have executed it", first.server)
 }
 
-/// Why an idempotency key does not cover a retry, if it does not.
-fn late_retry(history: &History, first: &Arrival, arrival: &Arrival, until: Nanos) -> Option<String> {
+/// Describes why an idempotency key doesn't cover a retry; `None` if it does.
+fn uncovered_retry(history: &History, first: &Arrival, arrival: &Arrival, until: Nanos) -> Option<String> {
     let (request, server) = (arrival.request, arrival.server);
     if history.cells.get(server) != history.cells.get(first.server) {
-        return Some(format!("tokened {request} left its group for {server}"));
+        return Some(format!("keyed request {request} was retried outside its cell, at {server}"));
     }
-    (arrival.at > until).then(|| format!("tokened {request} came to {server} after its window"))
+    (arrival.at > until)
+        .then(|| format!("keyed request {request} arrived at {server} after its idempotency window"))
 }
--- a/e2e/src/auditor/history.rs
+++ b/e2e/src/auditor/history.rs
@@ -1,11 +1,11 @@
-//! A record, sorted by request.
+//! The events of a record, grouped by request.
 
 use super::{FINAL_RESPONSE_RULE, SLOW_START_RULE, Verdict};
 use petrelshore_emulator::model::Step;
 use petrelshore_emulator::record::{Entry, Event, FinalOutcome, Nanos};
 use std::collections::BTreeMap;
 
-/// A request as its client sent it.
+/// The start of a request, as its client recorded it.
 pub(super) struct Sent<'a> {
     pub(super) at: Nanos,
     pub(super) gateway: &'a str,
@@ -13,16 +13,16 @@
     pub(super) deadline: Nanos,
 }
 
-/// A final response as its client saw it.
+/// A final response, as its client recorded it.
 #[derive(Clone, Copy)]
 pub(super) struct Response {
     pub(super) at: Nanos,
     pub(super) outcome: FinalOutcome,
-    /// From the request to the first token.
+    /// The time from the request to the first token, in nanoseconds.
     pub(super) first_token: Option<Nanos>,
 }
 
-/// A request that arrived at a server.
+/// An attempt that arrived at a server.
 pub(super) struct Arrival<'a> {
     pub(super) at: Nanos,
     pub(super) server: &'a str,
@@ -30,7 +30,7 @@
     pub(super) is_prefill: bool,
 }
 
-/// One client's request, with all that was observed of it.
+/// One client's request, with its responses and its attempts at servers.
 #[derive(Default)]
 pub(super) struct Request<'a> {
     pub(super) sent: Option<Sent<'a>>,
@@ -38,23 +38,23 @@
     pub(super) arrivals: Vec<Arrival<'a>>,
 }
 
-/// The time that a gateway was down after it was killed.
+/// A period for which a gateway was down after it was killed.
 pub(super) struct Downtime {
     pub(super) killed: Nanos,
     pub(super) restarted: Nanos,
 }
 
-/// Identifies an attempt.
+/// Identifies an attempt by its server and its request ID.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId<'a> {
     pub(super) server: &'a str,
     pub(super) request: &'a str,
 }
 
-/// A whole record.
+/// The events of a whole record.
 #[derive(Default)]
 pub(super) struct History<'a> {
-    /// By the number of the client's request.
+    /// Requests, by the number that the client gave them.
     pub(super) requests: BTreeMap<u64, Request<'a>>,
     /// The error codes of rejected attempts.
     pub(super) rejections: BTreeMap<AttemptId<'a>, &'a str>,
@@ -64,7 +64,7 @@
 }
 
 impl<'a> History<'a> {
-    /// Sorts a record; violations that single events prove go to the verdict.
+    /// Groups the entries of a record. Violations that a single event proves are added to the verdict.
     pub(super) fn from_entries(entries: &'a [Entry], verdict: &mut Verdict) -> Self {
         let mut history = History::default();
         for entry in entries {
@@ -85,7 +85,7 @@
                 self.requests.entry(*client).or_default().responses.push(response);
             }
             Event::DataAfterFinal { client } => {
-                let description = format!("client {client} got something after its final answer");
+                let description = format!("client {client} received data after its final response");
                 verdict.add(FINAL_RESPONSE_RULE, at, description);
             }
             Event::AttemptArrived { server, request, step, client: Some(client), .. } => {
@@ -101,7 +101,7 @@
                 self.cells.insert(server, cell);
             }
             Event::ServerOverloaded { server } => {
-                verdict.add(SLOW_START_RULE, at, format!("{server} was pushed over while cold"));
+                verdict.add(SLOW_START_RULE, at, format!("{server} was overloaded while it was warming up"));
             }
             Event::GatewayKilled { gateway } => {
                 let downtime = Downtime { killed: at, restarted: Nanos::MAX };
@@ -117,7 +117,7 @@
         }
     }
 
-    /// When a gateway was down.
+    /// The periods for which a gateway was down, ordered by time.
     pub(super) fn downtimes(&self, gateway: &str) -> &[Downtime] {
         self.downtimes.get(gateway).map_or(&[], Vec::as_slice)
     }
--- a/e2e/src/client.rs
+++ b/e2e/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of either API that trusts nothing: it reports what it read from its socket.
+//! A client of both APIs that reports exactly what it read from its socket.
 
 mod http;
 
@@ -22,30 +22,30 @@
     pub const ALL: [Api; 2] = [Api::Chat, Api::Grpc];
 }
 
-/// Where a gateway listens.
+/// The addresses that a gateway listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Chat completions.
+    /// The chat completions API.
     pub chat: SocketAddr,
     /// The gRPC service.
     pub grpc: SocketAddr,
 }
 
-/// One question, for either API.
+/// A chat request with one user message, for either API.
 #[derive(Clone, Debug)]
 pub struct Question {
-    /// The model.
+    /// The model that the request names.
     pub model: String,
     /// The user's message.
     pub text: String,
-    /// The most tokens of the answer.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: u64,
-    /// Headers, or metadata of a call.
+    /// Headers of the HTTP request, or metadata of the gRPC call.
     pub headers: Vec<(&'static str, String)>,
 }
 
 impl Question {
-    /// A question without headers.
+    /// Creates a question without headers.
     pub fn new(model: &str, text: impl Into<String>, max_tokens: u64) -> Self {
         Question { model: model.to_owned(), text: text.into(), max_tokens, headers: Vec::new() }
     }
@@ -56,7 +56,7 @@
         self
     }
 
-    /// Sends it to a gateway and reads the stream to its end; disconnects after `timeout`.
+    /// Sends the question to a gateway and reads the stream to its end, but disconnects after `timeout`.
     pub async fn send(&self, api: Api, addresses: Addresses, timeout: Duration) -> Observation {
         match api {
             Api::Chat => {
@@ -71,35 +71,35 @@
     }
 }
 
-/// What a client observed of one exchange.
+/// The observations of a client during one exchange.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// The HTTP status, or the gRPC code; zero where none was received.
+    /// The HTTP status or the gRPC status code; zero if none was received.
     pub status: u16,
-    /// The head of an HTTP response, in lower case.
+    /// The status line and headers of an HTTP response, in lower case.
     pub head: String,
-    /// The body of an HTTP response, or the text of an answer.
+    /// The body of an HTTP response, or the text of a gRPC answer.
     pub body: String,
-    /// The error code.
+    /// The error code of the response.
     pub code: Option<String>,
-    /// When the client may retry by itself.
+    /// The delay before an automatic retry; `None` if the response doesn't allow an automatic retry.
     pub retry_after: Option<Duration>,
-    /// When the first token was received.
+    /// The time from the start of the exchange to the first token.
     pub first_token: Option<Nanos>,
-    /// The longest time between two tokens.
+    /// The longest time between two consecutive reads with tokens.
     pub max_pause: Nanos,
-    /// How long the exchange took.
+    /// The duration of the exchange.
     pub took: Nanos,
-    /// Tokens received.
+    /// The number of tokens received.
     pub tokens: u64,
-    /// How the exchange ended.
+    /// The outcome of the exchange.
     pub outcome: FinalOutcome,
-    /// Something was received after the final response.
+    /// Set if data was received after the final response.
     pub after_final: bool,
 }
 
 impl Observation {
-    /// Nothing was received.
+    /// An observation in which nothing was received.
     pub fn nothing() -> Self {
         Observation {
             status: 0,
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Counts tokens that were received together; `last` is when the ones before were.
+    /// Counts tokens that were received together at the time `now`. `last` is the time of the previous tokens and is
+    /// set to `now`.
     pub fn count_tokens(&mut self, now: Nanos, tokens: u64, last: &mut Nanos) {
         if tokens == 0 {
             return;
@@ -130,7 +131,7 @@
         self.tokens += tokens;
     }
 
-    /// The outcome that the error code stands for.
+    /// Returns the outcome for the error code, if there is one.
     pub fn outcome_by_code(&self) -> Option<FinalOutcome> {
         Some(match self.code.as_deref()? {
             "rejected" => FinalOutcome::Rejected,
--- a/e2e/src/client/http.rs
+++ b/e2e/src/client/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of the client.
+//! The HTTP part of the client.
 
 use super::Observation;
 use async_io::Timer;
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// What each token of an emulated server's answer begins with.
+/// The start of each token in the stream of an emulated server's answer.
 const TOKEN_MARKER: &[u8] = b"\"content\":\"t";
 const STREAM_END: &str = "data: [DONE]";
 
-/// A request as text, ready for a socket.
+/// Returns the text of an HTTP request.
 pub fn request(path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("POST {path} HTTP/1.1\r\nhost: gateway\r\nconnection: close\r\n");
     for (name, value) in headers {
@@ -23,12 +23,12 @@
     text
 }
 
-/// The prefix that all questions share.
+/// Returns the prompt prefix that all questions share.
 pub fn shared_text() -> String {
     "You explain unlock, ride, dock and fault events. ".repeat(8)
 }
 
-/// A chat body with one question.
+/// Returns the body of a chat request with one question.
 pub fn chat_body(model: &str, question: &str, max_tokens: u64, stream: bool) -> String {
     serde_json::json!({
         "model": model, "stream": stream, "max_tokens": max_tokens,
@@ -40,7 +40,7 @@
     .to_string()
 }
 
-/// Sends a request and reads until the connection ends; disconnects after `timeout`.
+/// Sends a request and reads until the connection ends, but disconnects after `timeout`.
 pub async fn exchange(address: SocketAddr, request: &str, timeout: Duration) -> Observation {
     let started = Instant::now();
     let mut observation = Observation::nothing();
@@ -59,7 +59,7 @@
     observation
 }
 
-/// Sends a request and reads until the connection ends.
+/// Sends a request and appends the response to `received` until the connection ends.
 async fn read_response(
     address: SocketAddr,
     request: &str,
@@ -87,7 +87,7 @@
     started.elapsed().as_nanos() as Nanos
 }
 
-/// Parses what was received of a response.
+/// Parses a response, as far as it was received.
 fn parse(observation: &mut Observation, received: &[u8], disconnected: bool) {
     let text = String::from_utf8_lossy(received);
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -126,13 +126,13 @@
     if disconnected { FinalOutcome::Disconnected } else { FinalOutcome::NoResponse }
 }
 
-/// Whether a body has more than one final event, or anything behind its end.
+/// Returns whether a body has more than one final event, or data after the end marker.
 fn has_data_after_final(body: &str) -> bool {
     let final_events = body.matches(STREAM_END).count() + body.matches("data: {\"error\"").count();
     final_events > 1 || body.split("data: [DONE]\n\n").nth(1).is_some_and(|rest| !rest.is_empty())
 }
 
-/// The error's code, in a body or in a stream's last event.
+/// Returns the code of an error in a body or in the last event of a stream.
 fn error_code(body: &str) -> Option<String> {
     let error = body.rsplit("data: ").find(|part| part.starts_with("{\"error\""))?;
     let json: serde_json::Value = serde_json::from_str(error.trim()).ok()?;
@@ -143,7 +143,7 @@
     bytes.windows(pattern.len()).filter(|window| *window == pattern).count() as u64
 }
 
-/// The data of a chunked body, as far as it was received.
+/// Decodes a body with chunked transfer encoding, as far as it was received.
 fn join_chunks(body: &str) -> String {
     let mut rest = body;
     let mut joined = String::with_capacity(body.len());
--- a/e2e/src/fleet.rs
+++ b/e2e/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of emulated servers, and gateways before it, in one process.
+//! A fleet of emulated servers and its gateways, in one process.
 
 mod gateway;
 
@@ -14,57 +14,57 @@
 
 pub use gateway::{RunningGateway, StartError, settings_text, try_out};
 
-/// The inventory file that gateways read.
+/// The name of the inventory file that gateways read.
 pub const INVENTORY_FILE: &str = "boxes.csv";
 const ZONE: &str = "here";
 
-/// The executor of everything in this process.
+/// The executor of all servers, gateways and clients in this process.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// One server of a fleet, running or not.
+/// A server of a fleet, running or stopped.
 pub struct Member {
-    /// Its name in the inventory.
+    /// The server's name in the inventory.
     pub name: String,
-    /// Its kind in the inventory.
+    /// The server's kind in the inventory.
     pub kind: String,
-    /// Its cell.
+    /// The server's cell.
     pub cell: String,
-    /// Its zone.
+    /// The server's zone.
     pub zone: String,
-    /// What it can do.
+    /// The server's role, capacity and speed.
     pub profile: Profile,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// The inventory lists it as draining.
+    /// Set if the inventory lists the server as draining.
     pub draining: bool,
-    /// The inventory lists it.
+    /// Set if the inventory lists the server.
     pub listed: bool,
-    /// The server, where it runs.
+    /// The server, if it is running.
     pub server: Option<EmulatedServer>,
 }
 
-/// Emulated servers, and the inventory file that lists them.
+/// Emulated servers and the inventory file that lists them.
 pub struct Fleet {
-    /// Executes the servers.
+    /// The executor that the servers run on.
     pub executor: Executor,
-    /// What the servers observe.
+    /// The record that the servers write their observations to.
     pub record: Record,
-    /// Holds the inventory file.
+    /// The folder of the inventory file.
     pub folder: PathBuf,
-    /// The servers.
+    /// The servers of the fleet, running or stopped.
     pub members: Vec<Member>,
 }
 
-/// How many servers of each kind a fleet has.
+/// The number of cells of a fleet, and the number of servers of each role in a cell.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Cells.
+    /// The number of cells.
     pub cells: usize,
-    /// Prefill servers of each cell.
+    /// The number of prefill servers in each cell.
     pub prefill: usize,
-    /// Decode servers of each cell.
+    /// The number of decode servers in each cell.
     pub decode: usize,
-    /// Combined servers of each cell.
+    /// The number of combined servers in each cell.
     pub combined: usize,
 }
 
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Writes the inventory as it is now.
+    /// Replaces the inventory file with the current state of the servers.
     pub fn write_inventory(&self) -> io::Result<()> {
         let mut csv = "name,kind,address,cell,zone,state\n".to_owned();
         for member in self.members.iter().filter(|member| member.listed) {
@@ -130,17 +130,17 @@
         std::fs::rename(new_file, self.folder.join(INVENTORY_FILE))
     }
 
-    /// A server by its name.
+    /// Finds a server by its name.
     pub fn member(&mut self, name: &str) -> Option<&mut Member> {
         self.members.iter_mut().find(|member| member.name == name)
     }
 
-    /// A running server by its name.
+    /// Finds a running server by its name.
     pub fn server(&self, name: &str) -> Option<&EmulatedServer> {
         self.members.iter().find(|member| member.name == name)?.server.as_ref()
     }
 
-    /// All running servers.
+    /// Iterates over the running servers.
     pub fn servers(&self) -> impl Iterator<Item = &EmulatedServer> {
         self.members.iter().filter_map(|member| member.server.as_ref())
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Starts a killed server at its address, cold.
+    /// Starts a killed server cold, at its previous address.
     pub async fn restart(&mut self, name: &str) -> io::Result<()> {
         let (executor, record) = (self.executor.clone(), self.record.clone());
         let Some(member) = self.member(name) else { return Ok(()) };
--- a/e2e/src/fleet/gateway.rs
+++ b/e2e/src/fleet/gateway.rs
@@ -15,14 +15,14 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Why a gateway or its fleet did not start.
+/// The reason why a gateway or its fleet did not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The settings are invalid; one line for each problem.
+    /// The settings are invalid; the message has one line for each problem.
     Settings(String),
-    /// The settings name no address for gRPC.
+    /// The settings have no address for gRPC.
     GrpcAddressMissing,
-    /// An address can't be listened on.
+    /// The gateway can't listen on an address.
     Listen(String),
     /// The gateway rejects its settings or its inventory.
     Gateway(String),
@@ -44,8 +44,8 @@
 
 impl std::error::Error for StartError {}
 
-/// The settings of a gateway before a fleet; `more` may add or override records.
-pub fn settings_text(name: &str, gateways: usize, chat: &str, more: &str) -> String {
+/// Returns the settings of a gateway for a fleet. `extra_settings` may add or override fields.
+pub fn settings_text(name: &str, gateways: usize, chat: &str, extra_settings: &str) -> String {
     format!(
         r#"{{
   name = "{name}", zone = "here", gateways = {gateways},
@@ -72,23 +72,23 @@
       repeats = {{ scope = 'cell, window = "60s" }},
     }},
   }},
-}} & {{ {more} }}"#
+}} & {{ {extra_settings} }}"#
     )
 }
 
-/// A gateway with its APIs on loopback. Dropping it is a crash: its sockets break.
+/// A gateway with its APIs on loopback. Dropping it emulates a crash: its connections break.
 pub struct RunningGateway {
-    /// Its name.
+    /// The gateway's name.
     pub name: String,
-    /// The gateway.
+    /// The gateway itself.
     pub gateway: Gateway,
-    /// Where its APIs listen.
+    /// The addresses that the gateway's APIs listen on.
     pub addresses: Addresses,
     driver: Task<()>,
 }
 
 impl RunningGateway {
-    /// Starts a gateway from its settings; its files are in `folder`.
+    /// Starts a gateway from its settings, with its files in `folder`.
     pub async fn start(
         executor: &Executor,
         folder: &Path,
@@ -97,7 +97,7 @@
         Self::start_with(executor, folder, settings, PolicyKind::Scheduler).await
     }
 
-    /// The same with another policy.
+    /// Like [`RunningGateway::start`], with a chosen policy.
     pub async fn start_with(
         executor: &Executor,
         folder: &Path,
@@ -105,34 +105,34 @@
         policy_kind: PolicyKind,
     ) -> Result<RunningGateway, StartError> {
         let settings = read_settings(folder, settings).await?;
-        // All of it runs on an executor of its own, so that a crash ends all of it at once.
-        let own: Executor = Rc::new(LocalExecutor::new());
+        // The whole gateway runs on its own executor, so that a crash ends all of its tasks at once.
+        let gateway_executor: Executor = Rc::new(LocalExecutor::new());
         let listen_error = |error: std::io::Error| StartError::Listen(error.to_string());
         let chat_listener = chat::bind(settings.chat).await.map_err(listen_error)?;
         let grpc_address = settings.grpc.ok_or(StartError::GrpcAddressMissing)?;
         let grpc_listener = grpc::bind(grpc_address).await.map_err(listen_error)?;
         let addresses = Addresses { chat: chat_listener.address, grpc: grpc_listener.address };
         let name = settings.name.clone();
-        let gateway = Gateway::start_with(settings, Spawner::new(&own), policy_kind)
+        let gateway = Gateway::start_with(settings, Spawner::new(&gateway_executor), policy_kind)
             .map_err(|error| StartError::Gateway(error.to_string()))?;
         let ingress = chat::Ingress::new(gateway.clone());
         let apis =
             future::zip(chat::serve(chat_listener, ingress.clone()), grpc::serve(grpc_listener, ingress));
         let driver = executor.spawn(async move {
-            own.run(apis).await;
+            gateway_executor.run(apis).await;
         });
         Ok(RunningGateway { name, gateway, addresses, driver })
     }
 
-    /// Kills it: nothing of what it held gets a response.
+    /// Kills the gateway. Its requests in flight get no response.
     pub async fn kill(self, record: &Record) {
         record.write(Event::GatewayKilled { gateway: self.name.clone() });
         self.driver.cancel().await;
     }
 }
 
-/// Evaluates settings on a thread of their own: that takes a while, and on this one all other gateways would be
-/// suspended meanwhile, which no process that starts does to others.
+/// Evaluates settings on a separate thread. The evaluation takes a while and would suspend the other gateways on this
+/// thread. In a deployment, each gateway is a process of its own, and its start suspends no other gateway.
 async fn read_settings(folder: &Path, text: &str) -> Result<Settings, StartError> {
     let (file, text) = (folder.join("gateway.ncl"), text.to_owned());
     let settings = blocking::unblock(move || read_text(&file, &text)).await;
@@ -142,7 +142,7 @@
     })
 }
 
-/// The fleet and gateway of `petrelshore try`.
+/// Starts the fleet and the gateway of `petrelshore try`.
 pub async fn try_out(
     executor: Executor,
     folder: &Path,
--- a/e2e/src/grpc_client.rs
+++ b/e2e/src/grpc_client.rs
@@ -1,4 +1,4 @@
-//! The gRPC side of the client: frames are read as they arrive, with flow control of its own.
+//! The gRPC part of the client. The client reads frames as they arrive and manages HTTP/2 flow control itself.
 
 use crate::client::{Observation, Question, shared_text};
 use async_io::Timer;
@@ -17,27 +17,28 @@
 use tonic_types::StatusExt;
 use v1::chat_event::Event;
 
-/// Bytes of small messages that may wait to be read on a connection.
+/// The budget of a connection for small DATA frames that wait to be read, in bytes.
 const MAX_UNREAD_BYTES: usize = 64 << 20;
 
 const STATUS_TRAILER: &str = "grpc-status";
-/// The compression flag and the length before each message.
+/// The size of the compression flag and the length that precede each message.
 const MESSAGE_PREFIX_BYTES: usize = 5;
 
-/// Sends calls on a connection.
+/// Starts calls on a connection.
 pub type Sender = SendRequest<Bytes>;
-/// Drives a connection; a client polls it beside its calls.
+/// Drives a connection. A client has to poll it along with its calls.
 pub type Driver = h2::client::Connection<tokio_util::compat::Compat<TcpStream>, Bytes>;
 
 /// Opens a connection.
 pub async fn connect(address: SocketAddr) -> Option<(Sender, Driver)> {
     let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
-    // The library would end connections on which many small messages wait to be read, as those of a stalled stream do.
+    // With its default budget, h2 closes a connection on which many small messages wait to be read, as happens when the
+    // client stalls a stream.
     h2::client::Builder::new().data_frame_budget(MAX_UNREAD_BYTES).handshake(stream.compat()).await.ok()
 }
 
-/// A message with its prefix, as it is sent.
+/// Encodes a message with its gRPC prefix.
 pub fn framed(message: &impl Message) -> Bytes {
     let mut bytes = vec![0];
     bytes.extend_from_slice(&(message.encoded_len() as u32).to_be_bytes());
@@ -45,7 +46,7 @@
     bytes.into()
 }
 
-/// The request message of a question.
+/// Returns the request message for a question.
 pub fn message(question: &Question) -> v1::ChatRequest {
     let text = |role: v1::Role, text: String| v1::Message { role: role.into(), text };
     v1::ChatRequest {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Sends a call; its response is still to come.
+/// Sends a call and returns the future of its response.
 pub async fn call(sender: &mut Sender, question: &Question) -> Option<ResponseFuture> {
     let path = format!("http://gateway/{SERVICE}/Stream");
     let mut request = Request::post(path).header("content-type", "application/grpc").header("te", "trailers");
@@ -69,7 +70,7 @@
     Some(response)
 }
 
-/// Sends a question on a connection of its own and reads the stream to its end; disconnects after `timeout`.
+/// Sends a question on a new connection and reads the stream to its end, but disconnects after `timeout`.
 pub async fn exchange(address: SocketAddr, question: &Question, timeout: Duration) -> Observation {
     let started = Instant::now();
     let mut observation = Observation::nothing();
@@ -81,7 +82,7 @@
         };
         let drive = async {
             let _ = driver.await;
-            // What was received is read to its end.
+            // The connection has ended, but the call still reads the data that was received before.
             future::pending().await
         };
         future::or(call, drive).await;
@@ -99,12 +100,12 @@
     observation
 }
 
-/// Reads a response to its trailers.
+/// Reads a response up to its trailers.
 pub async fn read(response: ResponseFuture, started: Instant, observation: &mut Observation) {
     read_with(response, started, observation, |_| ()).await;
 }
 
-/// The same, reporting how many tokens were received together each time.
+/// Like [`read`], and calls `on_tokens` with the number of tokens each time that tokens are received.
 pub async fn read_with(
     response: ResponseFuture,
     started: Instant,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Reads all complete events of a buffer; returns their tokens, or `None` where one is invalid.
+/// Reads all complete events of a buffer. Returns their number of tokens, or `None` if an event is invalid.
 fn read_events(buffer: &mut BytesMut, ended: &mut bool, observation: &mut Observation) -> Option<u64> {
     let mut tokens = 0;
     while let Some(message) = next_message(buffer) {
@@ -150,7 +151,7 @@
     Some(tokens)
 }
 
-/// Removes the next message from a buffer, where it is complete.
+/// Removes the next message from a buffer, if the message is complete.
 fn next_message(buffer: &mut BytesMut) -> Option<Bytes> {
     let length = (buffer.get(1..MESSAGE_PREFIX_BYTES)?).get_u32() as usize;
     if buffer.len() < MESSAGE_PREFIX_BYTES + length {
@@ -165,7 +166,7 @@
     observation.status = status.code() as u16;
     observation.code = status.get_details_error_info().map(|info| info.reason.to_lowercase());
     let pushback = trailers.get("grpc-retry-pushback-ms").and_then(|value| value.to_str().ok()?.parse().ok());
-    // Clients retry by themselves after these codes only, and not against a pushback.
+    // gRPC clients retry automatically only after these codes, and only if the server's pushback allows a retry.
     let may_retry = matches!(status.code(), Code::Unavailable | Code::ResourceExhausted);
     observation.retry_after = pushback.filter(|_| may_retry).map(Duration::from_millis);
     observation.outcome = match status.code() {
--- a/e2e/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -1,5 +1,5 @@
-//! Rehearsals on loopback: fleets of emulated servers with gateways before them, clients, faults by script, and the
-//! auditor that judges the five rules from what was observed on the sockets.
+//! Rehearsals on loopback: gateways in front of a fleet of emulated servers, with clients and scripted faults. The
+//! auditor checks the five rules against what clients and servers observed on their sockets.
 
 pub mod auditor;
 pub mod client;
--- a/e2e/src/load.rs
+++ b/e2e/src/load.rs
@@ -1,5 +1,5 @@
-//! Steady load: a number of concurrent streams, through a gateway or straight at a prefill and a decode server, with
-//! times to the first token and between tokens.
+//! Generates steady load with a number of concurrent streams, either through a gateway or directly to a prefill and a
+//! decode server, and measures the times to the first token and between tokens.
 
 mod direct;
 
@@ -18,27 +18,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Streams that share a connection where the protocol allows it.
+/// The maximum number of streams that share a connection if the protocol allows sharing.
 const STREAMS_PER_CONNECTION: usize = 100;
-/// The part of the time in which streams start, and in which nothing is counted.
+/// The start phase lasts the duration of the load divided by this number. Streams start at even intervals during this
+/// phase, and token times of answers that start during this phase are not recorded.
 const START_PHASE_DIVISOR: u32 = 5;
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Two minutes, in microseconds.
+/// The largest time that a histogram holds: two minutes, in microseconds.
 const MAX_TIME_MICROS: u64 = 120_000_000;
 const READ_BUFFER_BYTES: usize = 8192;
 const STREAM_END: &[u8] = b"data: [DONE]";
-/// What each token begins with, through a gateway and straight from a server.
+// The start of each token in a stream, through a gateway and directly from a server.
 const GATEWAY_TOKEN_MARKER: &[u8] = b"\"content\":\"t";
 const SERVER_TOKEN_MARKER: &[u8] = b"\"text\":\"t";
 
-/// Where streams go.
+/// The destination of the streams.
 #[derive(Clone, Copy, Debug)]
 pub enum Target {
-    /// Chat completions of a gateway.
+    /// The chat completions API of a gateway.
     Gateway(SocketAddr),
     /// The gRPC service of a gateway.
     Grpc(SocketAddr),
-    /// The two exchanges that a gateway would make, by the client itself.
+    /// The client itself makes the two exchanges that a gateway would make.
     Direct {
         /// The prefill server.
         prefill: SocketAddr,
@@ -47,34 +48,34 @@
     },
 }
 
-/// The load.
+/// The parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Concurrent streams.
+    /// The number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each answer.
+    /// The number of tokens of each answer.
     pub tokens: u64,
-    /// How long it lasts.
+    /// The time for which streams start new answers.
     pub duration: Duration,
-    /// The model.
+    /// The model that requests name.
     pub model: String,
-    /// The API key.
+    /// The API key, if the gateway requires one.
     pub key: Option<String>,
 }
 
-/// Why load was not generated.
+/// The reason why no load was generated.
 #[derive(Debug)]
 pub enum LoadError {
-    /// An address does not accept connections.
+    /// Connecting to an address failed.
     Unreachable(SocketAddr),
-    /// No histogram for the times.
+    /// A histogram for the times could not be created.
     Histogram(hdrhistogram::CreationError),
 }
 
 impl fmt::Display for LoadError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LoadError::Unreachable(address) => write!(formatter, "{address} is not reached"),
+            LoadError::Unreachable(address) => write!(formatter, "can't connect to {address}"),
             LoadError::Histogram(error) => error.fmt(formatter),
         }
     }
@@ -82,17 +83,17 @@
 
 impl std::error::Error for LoadError {}
 
-/// What was measured, times in microseconds.
+/// The results of a load, with times in microseconds.
 pub struct Measurements {
     /// Times to the first token.
     pub first_token: Histogram<u64>,
     /// Times between tokens.
     pub between_tokens: Histogram<u64>,
-    /// Complete answers.
+    /// The number of complete answers.
     pub answers: u64,
-    /// Tokens of complete answers.
+    /// The number of tokens in complete answers.
     pub tokens: u64,
-    /// Incomplete answers.
+    /// The number of failed or incomplete answers.
     pub failed: u64,
 }
 
@@ -102,11 +103,12 @@
         Ok(Measurements { first_token: empty()?, between_tokens: empty()?, answers: 0, tokens: 0, failed: 0 })
     }
 
-    /// Records tokens that were received together; returns when.
-    fn record_tokens(&mut self, began: Instant, last: Option<Instant>) -> Instant {
+    /// Records the time of tokens that were received together, and returns that time. `last` is the time of the
+    /// previous tokens of the answer.
+    fn record_tokens(&mut self, started: Instant, last: Option<Instant>) -> Instant {
         let now = Instant::now();
         match last {
-            None => self.first_token.saturating_record((now - began).as_micros() as u64),
+            None => self.first_token.saturating_record((now - started).as_micros() as u64),
             Some(last) => self.between_tokens.saturating_record((now - last).as_micros() as u64),
         }
         now
@@ -118,39 +120,39 @@
     }
 }
 
-/// A shared connection, driven for as long as this is kept.
+/// A connection that several streams share. Dropping it stops the task that drives the connection.
 struct SharedConnection {
     sender: grpc_client::Sender,
     _driver: Task<Option<h2::Error>>,
 }
 
-/// What all streams share.
+/// The state that all streams share.
 struct Generator {
     target: Target,
     load: Load,
     measurements: RefCell<Measurements>,
-    /// Streams begin no further answers after this.
-    until: Instant,
-    /// Answers that begin earlier are not part of the times.
-    counted_from: Instant,
+    /// Streams start no new answers after this time.
+    end_time: Instant,
+    /// Token times of answers that start earlier are not recorded.
+    recorded_from: Instant,
 }
 
-/// Whether an answer is part of the times.
+/// Specifies whether the token times of an answer are recorded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Timing {
     Recorded,
     Skipped,
 }
 
-/// Keeps the streams going for the time, each beginning anew when it ends.
+/// Runs the streams for the duration of the load. Each stream requests one answer after another.
 pub async fn run(executor: &Executor, target: Target, load: &Load) -> Result<Measurements, LoadError> {
     let start_phase = load.duration / START_PHASE_DIVISOR;
     let generator = Rc::new(Generator {
         target,
         load: load.clone(),
         measurements: RefCell::new(Measurements::new()?),
-        until: Instant::now() + load.duration,
-        counted_from: Instant::now() + start_phase,
+        end_time: Instant::now() + load.duration,
+        recorded_from: Instant::now() + start_phase,
     });
     let connections = connect(executor, target, load.streams).await?;
     let mut streams = Vec::new();
@@ -171,7 +173,7 @@
     Ok(generator.measurements.replace(empty))
 }
 
-/// The shared connections of a target whose protocol allows them.
+/// Opens the shared connections to a target; none if the target's protocol doesn't allow sharing.
 async fn connect(
     executor: &Executor,
     target: Target,
@@ -191,10 +193,10 @@
 impl Generator {
     async fn run_stream(&self, number: usize, mut sender: Option<grpc_client::Sender>) {
         let mut turn = 0;
-        while Instant::now() < self.until {
+        while Instant::now() < self.end_time {
             turn += 1;
-            let counted = Instant::now() >= self.counted_from;
-            let timing = if counted { Timing::Recorded } else { Timing::Skipped };
+            let recorded = Instant::now() >= self.recorded_from;
+            let timing = if recorded { Timing::Recorded } else { Timing::Skipped };
             let question = format!("stream {number} turn {turn}");
             let answer = match &mut sender {
                 Some(sender) => self.answer_by_grpc(sender, &question, timing).await,
@@ -210,34 +212,34 @@
         }
     }
 
-    fn record_tokens(&self, began: Instant, last: &mut Option<Instant>, timing: Timing) {
+    fn record_tokens(&self, started: Instant, last: &mut Option<Instant>, timing: Timing) {
         if timing == Timing::Recorded {
-            *last = Some(self.measurements.borrow_mut().record_tokens(began, *last));
+            *last = Some(self.measurements.borrow_mut().record_tokens(started, *last));
         }
     }
 
-    /// The tokens of one answer on a shared connection; `None` where it is incomplete.
+    /// Requests one answer on a shared connection. Returns its number of tokens, or `None` if the answer is incomplete.
     async fn answer_by_grpc(
         &self,
         sender: &mut grpc_client::Sender,
         question: &str,
         timing: Timing,
     ) -> Option<u64> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut question = Question::new(&self.load.model, question, self.load.tokens);
         if let Some(key) = &self.load.key {
             question = question.with("authorization", &format!("Bearer {key}"));
         }
         let response = grpc_client::call(sender, &question).await?;
         let (mut observation, mut last) = (Observation::nothing(), None);
-        let on_tokens = |_| self.record_tokens(began, &mut last, timing);
-        grpc_client::read_with(response, began, &mut observation, on_tokens).await;
+        let on_tokens = |_| self.record_tokens(started, &mut last, timing);
+        grpc_client::read_with(response, started, &mut observation, on_tokens).await;
         (observation.outcome == FinalOutcome::Completed).then_some(observation.tokens)
     }
 
-    /// The tokens of one answer on a connection of its own; `None` where it is incomplete.
+    /// Requests one answer on a new connection. Returns its number of tokens, or `None` if the answer is incomplete.
     async fn answer_by_http(&self, question: &str, timing: Timing) -> Option<u64> {
-        let began = Instant::now();
+        let started = Instant::now();
         match self.target {
             Target::Gateway(address) => {
                 let key = self.load.key.as_ref().map(|key| format!("Bearer {key}"));
@@ -245,24 +247,25 @@
                     key.iter().map(|key| ("authorization", key.as_str())).collect();
                 let body = chat_body(&self.load.model, question, self.load.tokens, true);
                 let request = request("/v1/chat/completions", &headers, &body);
-                self.read_stream(address, &request, GATEWAY_TOKEN_MARKER, began, timing).await
+                self.read_stream(address, &request, GATEWAY_TOKEN_MARKER, started, timing).await
             }
             Target::Direct { prefill, decode } => {
                 let request = direct::prefill(prefill, &self.load, question).await?;
-                self.read_stream(decode, &request, SERVER_TOKEN_MARKER, began, timing).await
+                self.read_stream(decode, &request, SERVER_TOKEN_MARKER, started, timing).await
             }
-            // Its streams share connections.
+            // Streams to a gRPC target use shared connections.
             Target::Grpc(_) => None,
         }
     }
 
-    /// Sends a request and reads its stream; returns its tokens.
+    /// Sends a request and reads the stream of the response. Returns the number of tokens, or `None` if the stream is
+    /// incomplete.
     async fn read_stream(
         &self,
         address: SocketAddr,
         request: &str,
         token_marker: &[u8],
-        began: Instant,
+        started: Instant,
         timing: Timing,
     ) -> Option<u64> {
         let mut stream = TcpStream::connect(address).await.ok()?;
@@ -276,7 +279,7 @@
             let tokens = tail.windows(token_marker.len()).filter(|window| *window == token_marker).count();
             let ended = tail.windows(STREAM_END.len()).any(|window| window == STREAM_END);
             if tokens > 0 {
-                self.record_tokens(began, &mut last, timing);
+                self.record_tokens(started, &mut last, timing);
                 total += tokens as u64;
             }
             if ended {
--- a/e2e/src/load/direct.rs
+++ b/e2e/src/load/direct.rs
@@ -1,4 +1,4 @@
-//! The exchanges of a client that uses prefill and decode servers without a gateway.
+//! The prefill exchange of a client that uses prefill and decode servers without a gateway.
 
 use super::Load;
 use crate::client::request;
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Sends a question to a prefill server; returns the request for the decode server.
+/// Sends a question to a prefill server and returns the request to send to the decode server.
 pub(super) async fn prefill(address: SocketAddr, load: &Load, question: &str) -> Option<String> {
     let transfer = json!({ "do_remote_decode": true, "do_remote_prefill": false });
     let response = exchange(address, &completion(load, question, 1, false, transfer)).await?;
@@ -24,7 +24,7 @@
     request("/v1/completions", &[("x-request-id", &request_id)], &body.to_string())
 }
 
-/// Sends a request and reads the JSON of its response.
+/// Sends a request and returns the JSON body of the response.
 async fn exchange(address: SocketAddr, request: &str) -> Option<Value> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
--- a/e2e/src/rehearse.rs
+++ b/e2e/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! Executes a script: gateways, fleet, clients and timed faults on loopback; then the auditor's verdict.
+//! Executes a script: runs the fleet, gateways, clients and timed faults on loopback, and then audits the record.
 
 mod faults;
 mod outcome;
@@ -24,19 +24,20 @@
 
 const SECOND: Nanos = 1_000_000_000;
 const NANOS_PER_MS: f64 = 1e6;
-/// How long requests in transit may still reach a draining server, from the gateway's notification on.
+/// The time for which requests in transit may still arrive at a draining server after their gateway was notified, in
+/// nanoseconds.
 const DRAIN_GRACE: Nanos = SECOND / 4;
 
-/// Why a rehearsal was not executed.
+/// The reason why a rehearsal was not completed.
 #[derive(Debug)]
 pub enum Error {
     /// The script has no gateway.
     NoGateway,
     /// A gateway or the fleet did not start.
     Start(StartError),
-    /// The inventory or a restarted server failed.
+    /// Writing the inventory or starting a server failed.
     Io(std::io::Error),
-    /// A gateway rejects the changed inventory.
+    /// A gateway rejected the changed inventory.
     Reload(String),
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// What the tasks of a rehearsal share.
+/// The state that the tasks of a rehearsal share.
 struct Rehearsal {
     executor: Executor,
     folder: PathBuf,
@@ -73,36 +74,38 @@
     gateways: RefCell<Vec<Option<RunningGateway>>>,
     addresses: Vec<Addresses>,
     names: Vec<String>,
-    /// Settings records of all gateways beside the usual ones.
-    more: String,
+    /// Settings of all gateways in addition to the default ones.
+    extra_settings: String,
     policy_kind: PolicyKind,
     settings: Settings,
     next_client: Cell<u64>,
     requests: RefCell<Vec<ClientRequest>>,
 }
 
-/// One request of a client, over all its retries.
+/// A request of a client, including its retries.
 struct ClientRequest {
     model: &'static str,
     api: Api,
     outcome: FinalOutcome,
     within_slo: bool,
-    /// From the first attempt on.
+    /// The time from the first attempt to the first token, in nanoseconds.
     first_token: Option<Nanos>,
 }
 
-/// Executes a script; its files go to `folder`, and `progress` gets a line now and then.
+/// Executes a script. `folder` holds the files of the run. `progress` is called with a line for each fault, and when
+/// all clients have finished.
 pub async fn rehearse(
     executor: &Executor,
     folder: &Path,
     script: &Script,
-    more: &str,
+    extra_settings: &str,
     policy_kind: PolicyKind,
     progress: impl Fn(String),
 ) -> Result<Outcome, Error> {
     let mut fleet = start_fleet(executor, folder, &script.fleet).await?;
-    let rehearsal = Rehearsal::start(executor, folder, &fleet.record, script, more, policy_kind).await?;
-    let clients = rehearsal.start_clients(script);
+    let rehearsal =
+        Rehearsal::start(executor, folder, &fleet.record, script, extra_settings, policy_kind).await?;
+    let client_groups = rehearsal.start_clients(script);
     let started = rehearsal.record.now();
     let mut faults = script.faults.clone();
     faults.sort_by(|first, second| first.at_ms.total_cmp(&second.at_ms));
@@ -111,13 +114,13 @@
         progress(fault.to_string());
         inject(&mut fleet, &rehearsal, fault).await?;
     }
-    for arrivals in clients {
-        for request in arrivals.await {
+    for group in client_groups {
+        for request in group.await {
             request.await;
         }
     }
-    progress("clients are done".to_owned());
-    // What has to be released is given its time.
+    progress("all clients have finished".to_owned());
+    // Gives gateways time to release KV caches before the audit.
     Timer::after(Duration::from_nanos(2 * rehearsal.settings.deployment.release_timeout)).await;
     Ok(rehearsal.outcome())
 }
@@ -147,16 +150,17 @@
         folder: &Path,
         record: &Record,
         script: &Script,
-        more: &str,
+        extra_settings: &str,
         policy_kind: PolicyKind,
     ) -> Result<Rc<Rehearsal>, Error> {
         let count = (script.gateways as usize).max(1);
         let (warm_up_ms, overload_factor) = (script.fleet.warm_up_ms, script.fleet.overload_factor);
-        let more = format!("cold.lasts = \"{warm_up_ms}ms\", cold.multiple = {overload_factor}, {more}");
+        let extra_settings =
+            format!("cold.lasts = \"{warm_up_ms}ms\", cold.multiple = {overload_factor}, {extra_settings}");
         let names: Vec<String> = (1..=count).map(|number| format!("gw-{number}")).collect();
         let mut gateways = Vec::new();
         for name in &names {
-            let settings = settings_text(name, count, "127.0.0.1:0", &more);
+            let settings = settings_text(name, count, "127.0.0.1:0", &extra_settings);
             gateways.push(RunningGateway::start_with(executor, folder, &settings, policy_kind).await?);
         }
         let settings = gateways.first().ok_or(Error::NoGateway)?.gateway.settings().clone();
@@ -167,7 +171,7 @@
             addresses: gateways.iter().map(|gateway| gateway.addresses).collect(),
             gateways: RefCell::new(gateways.into_iter().map(Some).collect()),
             names,
-            more,
+            extra_settings,
             policy_kind,
             settings,
             next_client: Cell::new(0),
@@ -175,7 +179,7 @@
         }))
     }
 
-    /// Judges what was recorded.
+    /// Audits the record and summarizes the requests.
     fn outcome(&self) -> Outcome {
         let gateways = self.gateways.borrow();
         let left_in_gateways = gateways.iter().flatten().map(|gateway| gateway.gateway.tracked()).sum();
@@ -187,7 +191,7 @@
     }
 }
 
-/// The bounds of the rules, as the gateways' settings have them.
+/// Returns the bounds of the rules for the settings of the gateways.
 pub fn bounds(settings: &Settings) -> Bounds {
     use petrelshore_chat_gateway::Idempotency;
     let mut bounds = Bounds::new(settings.deployment.release_timeout, DRAIN_GRACE);
--- a/e2e/src/rehearse/faults.rs
+++ b/e2e/src/rehearse/faults.rs
@@ -1,18 +1,18 @@
-//! The timed faults of a script.
+//! Injects the timed faults of a script.
 
 use super::{Error, Rehearsal};
 use crate::fleet::{Fleet, INVENTORY_FILE, RunningGateway, settings_text};
 use crate::script::{FaultKind, TimedFault};
 use petrelshore_emulator::record::Event;
 
-/// Injects one fault: into servers first, then into the inventory, then into gateways.
+/// Injects a fault, first into servers, then into the inventory, then into gateways.
 pub(super) async fn inject(
     fleet: &mut Fleet,
     rehearsal: &Rehearsal,
     fault: &TimedFault,
 ) -> Result<(), Error> {
     let members = fleet.members.iter().map(|member| member.name.clone());
-    let servers: Vec<String> = members.filter(|name| fault.names(name)).collect();
+    let servers: Vec<String> = members.filter(|name| fault.matches_server(name)).collect();
     for server in &servers {
         inject_into_server(fleet, fault, server).await?;
     }
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Writes the inventory, has all gateways read it, and records that for the auditor.
+/// Writes the inventory, makes all gateways reload it, and records the notifications for the auditor.
 fn publish_inventory(
     fleet: &Fleet,
     rehearsal: &Rehearsal,
@@ -81,8 +81,10 @@
         }
         FaultKind::StartGateway => {
             let addresses = rehearsal.addresses[number];
-            let more = format!("listen.grpc = \"{}\", {}", addresses.grpc, rehearsal.more);
-            let settings = settings_text(name, rehearsal.names.len(), &addresses.chat.to_string(), &more);
+            let extra_settings =
+                format!("listen.grpc = \"{}\", {}", addresses.grpc, rehearsal.extra_settings);
+            let settings =
+                settings_text(name, rehearsal.names.len(), &addresses.chat.to_string(), &extra_settings);
             let (executor, folder) = (&rehearsal.executor, &rehearsal.folder);
             let gateway =
                 RunningGateway::start_with(executor, folder, &settings, rehearsal.policy_kind).await?;
--- a/e2e/src/rehearse/outcome.rs
+++ b/e2e/src/rehearse/outcome.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal showed.
+//! The results of a rehearsal.
 
 use super::ClientRequest;
 use crate::auditor::Verdict;
@@ -8,32 +8,33 @@
 use petrelshore_settings::Settings;
 use std::collections::BTreeMap;
 
-/// A minute, in microseconds.
+/// The largest time to the first token that a histogram holds: one minute, in microseconds.
 const MAX_FIRST_TOKEN_MICROS: u64 = 60_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// What a rehearsal showed.
+/// The results of a rehearsal.
 #[derive(Default)]
 pub struct Outcome {
-    /// The auditor's judgement.
+    /// The result of the audit.
     pub verdict: Verdict,
     /// The whole record.
     pub entries: Vec<Entry>,
-    /// Priority weight answered within the latency objective over weight requested; retries count with their request.
+    /// The priority weight of requests answered within the latency objective, divided by the priority weight of all
+    /// requests. A request counts once, including its retries, and requests whose clients disconnected don't count.
     pub service: f64,
-    /// The same for each API that was used, so that none starves unseen.
+    /// `service` for each API that was used, which shows if one API starves beside the other.
     pub service_by_api: BTreeMap<Api, f64>,
-    /// How requests ended, by traffic type and the outcome's name.
+    /// The number of requests by traffic type and name of the outcome.
     pub outcomes: BTreeMap<String, BTreeMap<String, usize>>,
-    /// Microseconds to the first token, by traffic type.
+    /// Times to the first token by traffic type, in microseconds.
     pub first_tokens: BTreeMap<String, Histogram<u64>>,
-    /// Sequences that gateways still tracked at the end.
+    /// The number of requests that gateways still tracked at the end.
     pub left_in_gateways: usize,
-    /// KV caches that servers still held at the end.
+    /// The number of KV caches that servers still held at the end.
     pub left_in_servers: usize,
 }
 
-/// Priority weight of requests.
+/// The priority weights of all requests and of those answered within the latency objective.
 #[derive(Clone, Copy, Default)]
 struct Weights {
     requested: f64,
@@ -81,7 +82,7 @@
     index.map_or(0.0, |index| settings.deployment.types[index].priority_weight)
 }
 
-/// Three digits up to a minute; the bounds are valid by construction.
+/// Creates a histogram with three significant digits for up to one minute. These bounds are always valid.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_max(MAX_FIRST_TOKEN_MICROS, 3).unwrap_or_else(|_| Histogram::new(3).unwrap())
 }
--- a/e2e/src/rehearse/traffic.rs
+++ b/e2e/src/rehearse/traffic.rs
@@ -11,42 +11,42 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Clients that get no response at all disconnect after this; no rule allows a response that late.
+/// The time after which a client without a complete response disconnects. No rule allows a response that late.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
-/// A session starts anew once its history is longer.
+/// The length at which the history of a session is cleared.
 const MAX_HISTORY_BYTES: usize = 16_000;
-/// When an early disconnect comes at the earliest, in milliseconds.
+/// The minimum time until an early disconnect, in milliseconds.
 const MIN_DISCONNECT_MS: u64 = 20;
-/// How much later it may come.
+/// The range of the random time added to the minimum, in milliseconds.
 const DISCONNECT_SPREAD_MS: u64 = 400;
-/// The pause before a retry where the response names none.
+/// The pause before a retry if the response specifies none.
 const DEFAULT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// A connection that ends this soon, without any response, was refused.
+/// A connection that ends within this time without a response counts as refused, in nanoseconds.
 const REFUSED_WITHIN: Nanos = SECOND / 100;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The requests of a group of clients, once all have been sent.
-type Arrivals = Task<Vec<Task<()>>>;
+/// The task that starts all requests of a group of clients and returns the tasks of these requests.
+type ClientGroupTask = Task<Vec<Task<()>>>;
 
-/// What one client sends.
-struct Plan {
+/// The random choices for one request.
+struct RequestPlan {
     question: String,
-    /// Disconnects early.
+    /// The time after which the client disconnects early, if it does.
     disconnects_after: Option<Duration>,
-    /// The gateway of the first attempt.
+    /// The index of the gateway for the first attempt.
     gateway: usize,
 }
 
-/// A request that was sent once.
+/// One attempt of a client's request.
 struct Attempt {
     sent: Nanos,
     observation: Observation,
 }
 
 impl Rehearsal {
-    /// Starts all groups of clients of a script.
-    pub(super) fn start_clients(self: &Rc<Self>, script: &Script) -> Vec<Arrivals> {
+    /// Starts all client groups of a script.
+    pub(super) fn start_clients(self: &Rc<Self>, script: &Script) -> Vec<ClientGroupTask> {
         let mut groups = Vec::new();
         for (number, clients) in script.clients.iter().enumerate() {
             let random = Rand64::new((script.seed as u128) << 8 | number as u128);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Sends requests at random times, as independent clients do.
+/// Starts requests with exponentially distributed pauses, as independent clients send them.
 async fn send_requests(
     rehearsal: Rc<Rehearsal>,
     clients: Clients,
@@ -80,12 +80,12 @@
         let disconnects_after = (random.rand_float() < clients.disconnect_share)
             .then(|| Duration::from_millis(MIN_DISCONNECT_MS + random.rand_range(0..DISCONNECT_SPREAD_MS)));
         let gateway = random.rand_range(0..rehearsal.names.len() as u64) as usize;
-        let plan = Plan { question, disconnects_after, gateway };
+        let plan = RequestPlan { question, disconnects_after, gateway };
         requests.push(rehearsal.executor.spawn(request(rehearsal.clone(), clients.clone(), plan)));
     }
 }
 
-/// A question, with the history of its session where clients have sessions.
+/// Draws a question, including the history of its session if the clients have sessions.
 fn draw_question(random: &mut Rand64, clients: &Clients, histories: &mut [String]) -> String {
     let mut question = String::new();
     if !histories.is_empty() {
@@ -109,15 +109,15 @@
     (0..count).map(|_| WORDS[random.rand_range(0..WORDS.len() as u64) as usize]).collect()
 }
 
-/// One client's request, with its retries where a response allows them.
-async fn request(rehearsal: Rc<Rehearsal>, clients: Clients, plan: Plan) {
+/// Sends a client's request, and retries it where a retry is allowed.
+async fn request(rehearsal: Rc<Rehearsal>, clients: Clients, plan: RequestPlan) {
     let model = clients.model.name();
     let settings = &rehearsal.settings;
     let index = settings.traffic.iter().position(|traffic| traffic.name == model).unwrap_or(0);
     let latency_slo = settings.deployment.types[index].latency_slo;
-    let began = rehearsal.record.now();
+    let started = rehearsal.record.now();
     // All attempts of a request use one API.
-    let api = clients.api.of(rehearsal.next_client.get());
+    let api = clients.api.for_client(rehearsal.next_client.get());
     let outcome = FinalOutcome::NoResponse;
     let mut request = ClientRequest { model, api, outcome, within_slo: false, first_token: None };
     let mut gateway = plan.gateway;
@@ -125,7 +125,7 @@
         let Attempt { sent, observation } =
             send_attempt(&rehearsal, &clients, &plan, &request, index, gateway).await;
         request.outcome = observation.outcome;
-        request.first_token = observation.first_token.map(|after| sent + after - began);
+        request.first_token = observation.first_token.map(|after| sent + after - started);
         request.within_slo = observation.outcome == FinalOutcome::Completed
             && request.first_token.is_some_and(|after| after <= latency_slo);
         let idempotent = matches!(settings.traffic[index].idempotency, Idempotency::Idempotent);
@@ -139,11 +139,11 @@
     rehearsal.requests.borrow_mut().push(request);
 }
 
-/// Sends a request once, and records what its client sees.
+/// Sends a request once and records what its client observes.
 async fn send_attempt(
     rehearsal: &Rehearsal,
     clients: &Clients,
-    plan: &Plan,
+    plan: &RequestPlan,
     request: &ClientRequest,
     traffic: usize,
     gateway: usize,
@@ -174,8 +174,8 @@
     Attempt { sent, observation }
 }
 
-/// Whether a client may send its request again: a response says so, or the connection broke and nothing was executed
-/// or it may be executed again.
+/// Returns whether a client may retry its request: either the response allows a retry, or the connection broke and the
+/// request is idempotent or was not executed.
 fn may_retry(observation: &Observation, idempotent: bool) -> bool {
     match observation.outcome {
         FinalOutcome::Rejected | FinalOutcome::NotAccepted => true,
--- a/e2e/src/script.rs
+++ b/e2e/src/script.rs
@@ -1,4 +1,4 @@
-//! Scripts of rehearsals: typed files that name fleet, clients and timed faults.
+//! Rehearsal scripts: Nickel files that define the fleet, the clients and the timed faults of a rehearsal.
 
 use crate::client::Api;
 use petrelshore_emulator::profile::Fault;
@@ -11,51 +11,51 @@
 const MILLIS_PER_SECOND: f64 = 1e3;
 const NANOS_PER_MS: f64 = 1e6;
 
-/// A rehearsal.
+/// The script of a rehearsal.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Script {
-    /// Its name.
+    /// The name of the rehearsal.
     pub name: String,
-    /// Draws arrivals, prompts and what clients do.
+    /// The seed of the random arrivals, prompts and client decisions.
     pub seed: f64,
-    /// How long clients send requests, in milliseconds.
+    /// The time for which clients send requests, in milliseconds.
     #[serde(rename = "lasts_ms")]
     pub duration_ms: f64,
     /// The emulated servers.
     pub fleet: FleetShape,
-    /// Gateways.
+    /// The number of gateways.
     pub gateways: f64,
     /// Groups of clients.
     pub clients: Vec<Clients>,
-    /// Faults.
+    /// The faults to inject, in any order.
     pub faults: Vec<TimedFault>,
 }
 
 /// The emulated servers of a rehearsal.
 #[derive(Clone, Debug, Deserialize)]
 pub struct FleetShape {
-    /// Cells.
+    /// The number of cells.
     pub cells: f64,
-    /// Prefill servers of each cell.
+    /// The number of prefill servers in each cell.
     #[serde(rename = "readers")]
     pub prefill: f64,
-    /// Decode servers of each cell.
+    /// The number of decode servers in each cell.
     #[serde(rename = "writers")]
     pub decode: f64,
-    /// Combined servers of each cell.
+    /// The number of combined servers in each cell.
     #[serde(rename = "mixed")]
     pub combined: f64,
-    /// Answers that a server generates at once.
+    /// The number of answers that a server generates concurrently.
     pub slots: f64,
     /// The time between two tokens, in milliseconds.
     pub token_ms: f64,
-    /// The prefill speed.
+    /// The prefill speed of a server, in tokens per second.
     #[serde(rename = "read_tokens_per_second")]
     pub prefill_tokens_per_second: f64,
-    /// How long a server takes to warm up, in milliseconds.
+    /// The time that a server takes to warm up, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub warm_up_ms: f64,
-    /// A server that warms up fails at this multiple of its capacity.
+    /// A server that is warming up fails when its load exceeds this multiple of its current capacity.
     #[serde(rename = "cold_multiple")]
     pub overload_factor: f64,
 }
@@ -63,23 +63,23 @@
 /// A group of clients.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Clients {
-    /// The model that they use.
+    /// The model that the clients use.
     pub model: Model,
-    /// The APIs that they use.
+    /// The APIs that the clients use.
     #[serde(rename = "front")]
     pub api: ApiChoice,
-    /// Requests per second.
+    /// The rate of requests of the whole group, per second.
     pub per_second: f64,
-    /// Words of each question.
+    /// The number of words of each question.
     pub words: f64,
-    /// The most tokens of an answer.
+    /// The maximum number of tokens of an answer.
     pub max_tokens: f64,
-    /// Sessions, each with a growing history; none where every question stands alone.
+    /// The number of sessions, each with a growing history. With zero, each question is independent.
     pub sessions: f64,
     /// The share of clients that disconnect early.
     #[serde(rename = "leave_share")]
     pub disconnect_share: f64,
-    /// The most retries of a request.
+    /// The maximum number of retries of a request.
     pub retries: f64,
 }
 
@@ -91,13 +91,13 @@
     Chat,
     /// The gRPC service.
     Grpc,
-    /// Every second client each.
+    /// Chat completions and the gRPC service in turn.
     Both,
 }
 
 impl ApiChoice {
-    /// The API of a client with this number.
-    pub fn of(self, client: u64) -> Api {
+    /// Returns the API for the request with this client number.
+    pub fn for_client(self, client: u64) -> Api {
         match self {
             ApiChoice::Chat => Api::Chat,
             ApiChoice::Grpc => Api::Grpc,
@@ -106,7 +106,7 @@
     }
 }
 
-/// A model, each with a traffic type of its own.
+/// A model of the rehearsal. Each model has its own traffic type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Model {
@@ -121,7 +121,7 @@
 }
 
 impl Model {
-    /// Its name in requests and settings.
+    /// Returns the name of the model in requests and settings.
     pub fn name(self) -> &'static str {
         match self {
             Model::RiderQuery => "rider-query",
@@ -132,44 +132,44 @@
     }
 }
 
-/// A fault at its time.
+/// A fault that is injected at a given time.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TimedFault {
-    /// When it is injected, in milliseconds.
+    /// The time from the start of the clients to the fault, in milliseconds.
     pub at_ms: f64,
-    /// Names of servers, or prefixes of names with a star.
+    /// Names of servers, or prefixes of names followed by a `*`.
     pub servers: Vec<String>,
-    /// Numbers of gateways, from one.
+    /// Numbers of gateways, counted from one.
     pub gateways: Vec<f64>,
-    /// What happens.
+    /// The kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// A factor, tokens, or milliseconds, by the kind.
+    /// A slowdown factor, a number of tokens or milliseconds, depending on the kind.
     #[serde(rename = "by")]
     pub amount: f64,
 }
 
-/// What a fault does.
+/// The effect of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Servers accept everything and send no response.
+    /// Servers accept all requests and send no response.
     Silent,
     /// Servers accept connections and read nothing.
     Hangs,
-    /// Servers work slower.
+    /// Servers work more slowly.
     Slow,
-    /// Servers reject everything as over capacity.
+    /// Servers reject all requests because they are at capacity.
     Full,
     /// Servers fail after working for a while.
     FailsSlowly,
-    /// Servers break connections after some tokens.
+    /// Servers reset connections after some tokens.
     ResetAfter,
-    /// Servers end streams without their end marker after some tokens.
+    /// Servers end streams after some tokens, without the end marker.
     EndsBadly,
     /// Servers send an invalid event after some tokens.
     Garbage,
-    /// Servers behave again.
+    /// Servers work normally again.
     Recover,
     /// Servers lose their prefix cache.
     Forget,
@@ -181,7 +181,7 @@
     Drain,
     /// The inventory lists servers as ready.
     Undrain,
-    /// The inventory lists servers no more.
+    /// The inventory no longer lists servers.
     Unlist,
     /// Gateways are killed.
     KillGateway,
@@ -192,7 +192,7 @@
 }
 
 impl TimedFault {
-    /// The fault of a server, where it is one.
+    /// Returns the fault to set in servers; `None` for a kind that isn't a server fault.
     pub fn server_fault(&self) -> Option<Fault> {
         Some(match self.kind {
             FaultKind::Silent => Fault::Silent,
@@ -208,8 +208,8 @@
         })
     }
 
-    /// Whether it names a server.
-    pub fn names(&self, server: &str) -> bool {
+    /// Returns whether the fault applies to a server with this name.
+    pub fn matches_server(&self, server: &str) -> bool {
         self.servers.iter().any(|name| match name.strip_suffix('*') {
             Some(prefix) => server.starts_with(prefix),
             None => server == name,
@@ -224,7 +224,7 @@
     }
 }
 
-/// Reads a script; the error says what is wrong with it and where.
+/// Reads a script from a file. The error names the file, the field and the problem.
 pub fn read(file: &Path) -> Result<Script, Problem> {
     let text = std::fs::read_to_string(file).map_err(|error| Problem {
         file: file.to_owned(),
@@ -234,7 +234,7 @@
     read_text(file, &text)
 }
 
-/// Reads a script from its text; `file` is named in errors.
+/// Reads a script from its text. Errors name `file` as the source.
 pub fn read_text(file: &Path, text: &str) -> Result<Script, Problem> {
     evaluate(file, text, SCHEMA, "Script")
 }
