--- a/cli/tests/common/chat.rs
+++ b/cli/tests/common/chat.rs
@@ -1,4 +1,4 @@
-//! The gateway of the chat API as a process, before a decode server in a process of its own and a scripted prefill server.
+//! The chat gateway as a process, with a decode server in a separate process and a scripted prefill server.
 
 use super::EVENT_TIMEOUT;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PREFILLED: &str =
+const PREFILL_RESPONSE: &str =
     r#"{"choices":[],"kv_transfer_params":{"at":"p"},"usage":{"prompt_tokens":3,"completion_tokens":1}}"#;
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A process of the command, with the first address on its ready line.
+/// A process of the `petrelshore` command, with the first address of its ready line.
 struct Process {
     child: Child,
     address: SocketAddr,
@@ -42,77 +42,79 @@
     }
 }
 
-/// An emulated model server in a process of its own.
-pub struct StandIn {
+/// An emulated model server in a separate process.
+pub struct EmulatedServer {
     process: Process,
     pub address: SocketAddr,
 }
 
-impl StandIn {
-    pub fn start(role: &str) -> StandIn {
+impl EmulatedServer {
+    pub fn start(role: &str) -> EmulatedServer {
         let process = Process::start(&["stand-in", "--role", role]);
-        StandIn { address: process.address, process }
+        EmulatedServer { address: process.address, process }
     }
 
-    /// Stops the process in the middle of whatever it does.
-    pub fn stop(&self) {
+    /// Suspends the process with SIGSTOP.
+    pub fn suspend(&self) {
         let id = self.process.child.id().to_string();
         assert!(Command::new("kill").args(["-STOP", &id]).status().unwrap().success());
     }
 }
 
-/// What a prefill server was asked, with the time.
+/// A request that the prefill server received.
 #[derive(Clone)]
-struct EngineRequest {
+struct ReceivedRequest {
     path: String,
-    /// The id by which a KV cache is released.
-    cache: String,
-    at: Instant,
+    /// The id that a release request names for the KV cache.
+    cache_id: String,
+    received_at: Instant,
 }
 
-/// A prefill server that answers at once, and notes what it is asked.
-pub struct PrefillEngine {
+/// A prefill server that answers immediately and records each request.
+pub struct RecordingPrefillServer {
     pub address: SocketAddr,
-    requests: Arc<Mutex<Vec<EngineRequest>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl PrefillEngine {
-    pub fn start() -> PrefillEngine {
+impl RecordingPrefillServer {
+    pub fn start() -> RecordingPrefillServer {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let engine = PrefillEngine { address: listener.local_addr().unwrap(), requests: Arc::default() };
-        let (address, requests) = (engine.address, engine.requests.clone());
+        let server =
+            RecordingPrefillServer { address: listener.local_addr().unwrap(), requests: Arc::default() };
+        let (address, requests) = (server.address, server.requests.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let requests = requests.clone();
-                thread::spawn(move || serve(stream, address, &requests));
+                thread::spawn(move || serve_connection(stream, address, &requests));
             }
         });
-        engine
+        server
     }
 
-    /// How long the KV cache of the n-th prefill was kept until its release.
-    pub fn kept_of_prefill(&self, number: usize) -> Duration {
-        let until = Instant::now() + EVENT_TIMEOUT;
+    /// Waits for the release of the n-th prefill's KV cache (counted from 0) and returns the time from the prefill
+    /// request to the release.
+    pub fn cache_hold_time(&self, number: usize) -> Duration {
+        let deadline = Instant::now() + EVENT_TIMEOUT;
         loop {
             let requests = self.requests.lock().unwrap().clone();
             let prefill = requests.iter().filter(|request| request.path == "/v1/completions").nth(number);
             let released = prefill.and_then(|prefill| {
-                let is_release = |request: &&EngineRequest| {
-                    request.path == "/v1/kv/release" && request.cache == prefill.cache
+                let is_release = |request: &&ReceivedRequest| {
+                    request.path == "/v1/kv/release" && request.cache_id == prefill.cache_id
                 };
-                Some(requests.iter().find(is_release)?.at - prefill.at)
+                Some(requests.iter().find(is_release)?.received_at - prefill.received_at)
             });
-            if let Some(kept) = released {
-                return kept;
+            if let Some(hold_time) = released {
+                return hold_time;
             }
-            assert!(Instant::now() < until, "no release of prefill {number}");
+            assert!(Instant::now() < deadline, "no release of prefill {number}");
             thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-/// Where decode servers fetch a KV cache.
-fn prefilled(address: SocketAddr, id: &str) -> String {
+/// Body of a prefill response; it tells decode servers where to fetch the KV cache.
+fn prefill_response(address: SocketAddr, id: &str) -> String {
     let transfer = serde_json::json!({
         "do_remote_prefill": true, "remote_request_id": id,
         "remote_host": address.ip().to_string(), "remote_port": address.port(),
@@ -121,7 +123,7 @@
     serde_json::json!({"choices": [], "kv_transfer_params": transfer, "usage": usage}).to_string()
 }
 
-fn serve(mut stream: TcpStream, address: SocketAddr, requests: &Mutex<Vec<EngineRequest>>) {
+fn serve_connection(mut stream: TcpStream, address: SocketAddr, requests: &Mutex<Vec<ReceivedRequest>>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
         let (mut start_line, mut id, mut length) = (String::new(), String::new(), 0);
@@ -141,19 +143,19 @@
         let mut body = vec![0; length];
         reader.read_exact(&mut body).unwrap();
         let body: serde_json::Value = serde_json::from_slice(&body).unwrap();
-        let cache = body["request_id"].as_str().map_or(id, str::to_owned);
+        let cache_id = body["request_id"].as_str().map_or(id, str::to_owned);
         let path = start_line.split(' ').nth(1).unwrap_or_default().to_owned();
-        let noted = EngineRequest { path, cache: cache.clone(), at: Instant::now() };
-        requests.lock().unwrap().push(noted);
-        let body = prefilled(address, &cache);
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-        if stream.write_all(answer.as_bytes()).is_err() {
+        let received = ReceivedRequest { path, cache_id: cache_id.clone(), received_at: Instant::now() };
+        requests.lock().unwrap().push(received);
+        let body = prefill_response(address, &cache_id);
+        let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+        if stream.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// The gateway.
+/// A running chat gateway.
 pub struct ChatGateway {
     process: Process,
     folder: PathBuf,
@@ -184,8 +186,8 @@
         ChatGateway { process, folder }
     }
 
-    /// Asks for a stream; its connection stays open.
-    pub fn ask(&self) -> ChatClient {
+    /// Sends a streaming chat request and leaves its connection open.
+    pub fn send_request(&self) -> ChatClient {
         let body =
             r#"{"model":"ask","stream":true,"max_tokens":3,"messages":[{"role":"user","content":"why"}]}"#;
         let mut stream = TcpStream::connect(self.process.address).unwrap();
@@ -198,13 +200,13 @@
     }
 }
 
-/// A client that waits for its answer.
+/// A client connection with a request in flight.
 pub struct ChatClient(TcpStream);
 
 impl ChatClient {
-    /// Whether its answer comes whole within the time.
-    pub fn ends_within(mut self, time: Duration) -> bool {
-        self.0.set_read_timeout(Some(time)).unwrap();
+    /// Returns whether the response completes, with no pause longer than `timeout`.
+    pub fn ends_within(mut self, timeout: Duration) -> bool {
+        self.0.set_read_timeout(Some(timeout)).unwrap();
         let mut text = String::new();
         self.0.read_to_string(&mut text).is_ok() && text.contains("[DONE]")
     }
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers of the tests that run the gateway as a process.
-#![allow(dead_code)] // Each test file uses its own part.
+//! Helpers for tests that run the gateway as a process.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 pub mod chat;
 pub mod model_server_process;
@@ -14,40 +14,41 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// For what must come at all; nothing here is judged by how fast it is.
+/// Time limit for events that have to happen; no test measures speed with this limit.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A gateway before an emulated server of each kind.
-pub struct PlatformWorld {
-    process: Gateway,
-    pub reader: ModelServer,
-    pub writer: ModelServer,
+/// A gateway with one emulated prefill server, one emulated decode server and a discovery agent.
+pub struct PlatformTestbed {
+    gateway: Gateway,
+    pub prefill: ModelServer,
+    pub decode: ModelServer,
     pub agent: DiscoveryAgent,
 }
 
-impl Deref for PlatformWorld {
+impl Deref for PlatformTestbed {
     type Target = Gateway;
 
     fn deref(&self) -> &Gateway {
-        &self.process
+        &self.gateway
     }
 }
 
-impl DerefMut for PlatformWorld {
+impl DerefMut for PlatformTestbed {
     fn deref_mut(&mut self) -> &mut Gateway {
-        &mut self.process
+        &mut self.gateway
     }
 }
 
-pub fn command(file: &PathBuf) -> Command {
+pub fn platform_command(file: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_petrelshore"));
     command.arg("platform").env("LB_CONFIG", file);
     command.stderr(Stdio::piped());
     command
 }
 
-/// A file of its own for each call: tests of one program run at once, and two may have the same name.
-pub fn file(name: &str) -> PathBuf {
+/// Returns a new configuration path for each call: the tests of one program run in parallel, and two of them may pass
+/// the same name.
+pub fn config_path(name: &str) -> PathBuf {
     static FILES: AtomicUsize = AtomicUsize::new(0);
     let number = FILES.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("petrelshore-platform-{name}-{}-{number}.json", std::process::id()))
@@ -57,56 +58,57 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-impl PlatformWorld {
-    pub fn start(name: &str) -> PlatformWorld {
-        Self::start_as(name, command)
+impl PlatformTestbed {
+    pub fn start(name: &str) -> PlatformTestbed {
+        Self::start_with_command(name, platform_command)
     }
 
-    pub fn start_as(name: &str, command: impl Fn(&PathBuf) -> Command) -> PlatformWorld {
-        let reader = ModelServer::start(true, ServerBehavior::Good).unwrap();
-        Self::start_with(name, command, reader, ["reader", "writer"], |text| text)
+    pub fn start_with_command(name: &str, command: impl Fn(&PathBuf) -> Command) -> PlatformTestbed {
+        let prefill = ModelServer::start(true, ServerBehavior::Good).unwrap();
+        Self::start_with(name, command, prefill, ["reader", "writer"], |text| text)
     }
 
-    /// Before a server beside a writer, both of these kinds, with a configuration that is changed so.
+    /// Starts the gateway with the given first server and a decode server, which are listed with the given kinds.
+    /// `edit_config` changes the configuration text before the gateway reads it.
     pub fn start_with(
         name: &str,
         command: impl Fn(&PathBuf) -> Command,
-        reader: ModelServer,
+        prefill: ModelServer,
         kinds: [&str; 2],
-        change: impl Fn(String) -> String,
-    ) -> PlatformWorld {
-        let writer = ModelServer::start(false, ServerBehavior::Good).unwrap();
+        edit_config: impl Fn(String) -> String,
+    ) -> PlatformTestbed {
+        let decode = ModelServer::start(false, ServerBehavior::Good).unwrap();
         let entries =
-            [entry("r", reader.address, kinds[0], "active"), entry("w", writer.address, kinds[1], "active")];
+            [entry("r", prefill.address, kinds[0], "active"), entry("w", decode.address, kinds[1], "active")];
         let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
-        PlatformWorld {
-            process: Gateway::start_as(name, command, agent.address, &entries, change),
-            reader,
-            writer,
+        PlatformTestbed {
+            gateway: Gateway::start_with_command(name, command, agent.address, &entries, edit_config),
+            prefill,
+            decode,
             agent,
         }
     }
 
-    /// Sends bytes on a new connection; all that comes back until it is closed.
-    pub fn exchange(&self, bytes: &[u8]) -> String {
+    /// Sends bytes on a new connection and returns everything that the gateway sends until it closes the connection.
+    pub fn send_and_read(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect();
         let _ = stream.write_all(bytes);
-        let mut exchange = Vec::new();
-        let _ = stream.read_to_end(&mut exchange);
-        String::from_utf8_lossy(&exchange).into_owned()
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response);
+        String::from_utf8_lossy(&response).into_owned()
     }
 
-    /// Waits until something holds.
-    pub fn wait_for(&self, what: &str, holds: impl Fn() -> bool) {
-        let read_log_until = Instant::now() + EVENT_TIMEOUT;
-        while !holds() {
-            assert!(Instant::now() < read_log_until, "{what}");
+    /// Waits until the condition holds.
+    pub fn wait_for(&self, what: &str, condition: impl Fn() -> bool) {
+        let deadline = Instant::now() + EVENT_TIMEOUT;
+        while !condition() {
+            assert!(Instant::now() < deadline, "timed out waiting until {what}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 }
 
-/// Reads the log up to a line with these words.
+/// Reads the log up to and including the first line that contains `words`, and returns that line.
 pub fn read_log_until(log: &mut impl BufRead, words: &str) -> String {
     loop {
         let mut line = String::new();
@@ -117,41 +119,43 @@
     }
 }
 
-pub const EXTRA: &str = "prompt_len=100,prefix_len=0,max_out=50";
+pub const REQ_EXTRA: &str = "prompt_len=100,prefix_len=0,max_out=50";
 
-pub fn request_text(id: u64, more: &str) -> String {
+pub fn request_text(id: u64, extra_headers: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: {id:016x}\r\nReq-Kind: chat\r\n\
-         Req-Key: 00000000000000bb\r\nReq-Deadline-Ms: 4000\r\nReq-Extra: {EXTRA}\r\n{more}Content-Length: 2\r\n\r\n{{}}"
+         Req-Key: 00000000000000bb\r\nReq-Deadline-Ms: 4000\r\nReq-Extra: {REQ_EXTRA}\r\n\
+         {extra_headers}Content-Length: 2\r\n\r\n{{}}"
     )
 }
 
-/// The next answer on a connection: its status line, its body without its framing, and whether that was whole.
-pub fn answer(lines: &mut impl BufRead) -> (String, String, bool) {
+/// Reads the next response on a connection. Returns its status line, its body without the framing, and whether the body
+/// was complete.
+pub fn read_response(connection: &mut impl BufRead) -> (String, String, bool) {
     let (mut status, mut length, mut body) = (String::new(), None, String::new());
-    lines.read_line(&mut status).unwrap();
+    connection.read_line(&mut status).unwrap();
     loop {
         let mut line = String::new();
-        if lines.read_line(&mut line).unwrap() <= 2 {
+        if connection.read_line(&mut line).unwrap() <= 2 {
             break;
         }
-        if let Some(exchange) = line.strip_prefix("Content-Length: ") {
-            length = exchange.trim().parse().ok();
+        if let Some(value) = line.strip_prefix("Content-Length: ") {
+            length = value.trim().parse().ok();
         }
     }
     if let Some(length) = length {
         let mut bytes = vec![0; length];
-        lines.read_exact(&mut bytes).unwrap();
+        connection.read_exact(&mut bytes).unwrap();
         return (status, String::from_utf8(bytes).unwrap(), true);
     }
     loop {
         let mut line = String::new();
-        if lines.read_line(&mut line).unwrap_or(0) == 0 {
+        if connection.read_line(&mut line).unwrap_or(0) == 0 {
             return (status, body, false);
         }
         let size = usize::from_str_radix(line.trim(), 16).unwrap();
         let mut bytes = vec![0; size + 2];
-        lines.read_exact(&mut bytes).unwrap();
+        connection.read_exact(&mut bytes).unwrap();
         if size == 0 {
             return (status, body, true);
         }
@@ -159,16 +163,16 @@
     }
 }
 
-/// A model server, or discovery's agent, whose connections the test holds itself: it sees each request whole before it
-/// says anything, and what it says goes out byte for byte.
+/// A model server or discovery agent whose connections the test handles itself: the test reads each complete request
+/// and writes the exact bytes of the response.
 pub struct ScriptedServer {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
-/// One connection to it.
+/// A connection that a [`ScriptedServer`] accepted.
 pub struct ScriptedConnection {
-    lines: BufReader<TcpStream>,
+    stream: BufReader<TcpStream>,
 }
 
 impl ScriptedServer {
@@ -181,17 +185,17 @@
         let (stream, _) = self.listener.accept().unwrap();
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        ScriptedConnection { lines: BufReader::new(stream) }
+        ScriptedConnection { stream: BufReader::new(stream) }
     }
 
-    /// A connection, if one comes within the time.
+    /// Accepts a connection if one arrives within `time`.
     pub fn accept_within(&self, time: Duration) -> Option<ScriptedConnection> {
-        let read_log_until = Instant::now() + time;
+        let deadline = Instant::now() + time;
         self.listener.set_nonblocking(true).unwrap();
         let accepted = loop {
             match self.listener.accept() {
                 Ok((stream, _)) => break Some(stream),
-                Err(_) if Instant::now() < read_log_until => std::thread::sleep(Duration::from_millis(1)),
+                Err(_) if Instant::now() < deadline => std::thread::sleep(Duration::from_millis(1)),
                 Err(_) => break None,
             }
         };
@@ -200,76 +204,79 @@
         stream.set_nonblocking(false).unwrap();
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Some(ScriptedConnection { lines: BufReader::new(stream) })
+        Some(ScriptedConnection { stream: BufReader::new(stream) })
     }
 }
 
 impl ScriptedConnection {
-    /// The next request whole, its head and its body as they came; empty where the connection ends first.
-    pub fn request(&mut self) -> String {
+    /// Reads the next complete request, head and body, unchanged. Returns an empty string if the connection ends first.
+    pub fn read_request(&mut self) -> String {
         let (mut text, mut length) = (String::new(), 0);
         loop {
             let from = text.len();
-            if self.lines.read_line(&mut text).unwrap_or(0) == 0 {
+            if self.stream.read_line(&mut text).unwrap_or(0) == 0 {
                 return String::new();
             }
-            if let Some(exchange) = text[from..].strip_prefix("Content-Length: ") {
-                length = exchange.trim().parse().unwrap();
+            if let Some(value) = text[from..].strip_prefix("Content-Length: ") {
+                length = value.trim().parse().unwrap();
             }
             if &text[from..] == "\r\n" {
                 break;
             }
         }
         let mut body = vec![0; length];
-        self.lines.read_exact(&mut body).unwrap();
+        self.stream.read_exact(&mut body).unwrap();
         text + std::str::from_utf8(&body).unwrap()
     }
 
-    pub fn say(&mut self, text: &str) {
-        self.lines.get_mut().write_all(text.as_bytes()).unwrap();
+    pub fn send(&mut self, text: &str) {
+        self.stream.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Its socket, where what is said may not arrive.
+    /// The socket, for writes that may fail because the gateway has closed the connection.
     pub fn socket(&mut self) -> &mut TcpStream {
-        self.lines.get_mut()
+        self.stream.get_mut()
     }
 
-    /// The next request's line, if one comes whole within the time; empty where the connection ends.
-    pub fn line_within(&mut self, time: Duration) -> Option<String> {
-        self.lines.get_mut().set_read_timeout(Some(time)).unwrap();
-        let came = self.lines.fill_buf().is_ok();
-        self.lines.get_mut().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
-        came.then(|| self.request().lines().next().unwrap_or_default().to_owned())
+    /// Reads the next request and returns its request line, if the request starts to arrive within `time`. The line is
+    /// empty if the connection ends.
+    pub fn request_line_within(&mut self, time: Duration) -> Option<String> {
+        self.stream.get_mut().set_read_timeout(Some(time)).unwrap();
+        let arrived = self.stream.fill_buf().is_ok();
+        self.stream.get_mut().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
+        arrived.then(|| self.read_request().lines().next().unwrap_or_default().to_owned())
     }
 
-    /// Whether the other end has closed, or closes within the time, with nothing more sent.
+    /// Returns whether the gateway closes the connection within `time` without sending anything more.
     pub fn ends_within(&mut self, time: Duration) -> bool {
-        self.lines.get_mut().set_read_timeout(Some(time)).unwrap();
-        let ended = matches!(self.lines.fill_buf(), Ok([]));
-        self.lines.get_mut().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
+        self.stream.get_mut().set_read_timeout(Some(time)).unwrap();
+        let ended = matches!(self.stream.fill_buf(), Ok([]));
+        self.stream.get_mut().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         ended
     }
 }
 
-/// A reader's answer, and the head of a writer's stream.
-pub const READ: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}";
-pub const STREAM: &str =
+/// Response of a prefill server.
+pub const PREFILL_RESPONSE: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}";
+/// Response head of a decode server's event stream.
+pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-pub const LAST: &str = "0\r\n\r\n";
+/// The last chunk of a chunked body.
+pub const LAST_CHUNK: &str = "0\r\n\r\n";
 
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// An event with this word in it.
+/// A server-sent event whose content is `word`.
 pub fn event(word: &str) -> String {
     format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{word}\"}}}}]}}\n\n")
 }
 
-/// A gateway before servers and an agent that the test holds.
+/// A gateway process; the test provides its servers and its discovery agent.
 pub struct Gateway {
     pub child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub log: BufReader<std::process::ChildStderr>,
     pub file: PathBuf,
 }
@@ -287,27 +294,28 @@
         name: &str,
         discovery: SocketAddr,
         entries: &[String],
-        change: impl Fn(String) -> String,
+        edit_config: impl Fn(String) -> String,
     ) -> Gateway {
-        Self::start_as(name, command, discovery, entries, change)
+        Self::start_with_command(name, platform_command, discovery, entries, edit_config)
     }
 
-    /// With these entries known from the start, and a configuration that is changed so.
-    pub fn start_as(
+    /// Starts the gateway with the given entries as its initial endpoint list. `edit_config` changes the configuration
+    /// text before the gateway reads it.
+    pub fn start_with_command(
         name: &str,
         command: impl Fn(&PathBuf) -> Command,
         discovery: SocketAddr,
         entries: &[String],
-        change: impl Fn(String) -> String,
+        edit_config: impl Fn(String) -> String,
     ) -> Gateway {
-        let file = file(name);
-        std::fs::write(&file, change(config(loopback(), discovery, &entries.join(",")))).unwrap();
+        let file = config_path(name);
+        std::fs::write(&file, edit_config(config(loopback(), discovery, &entries.join(",")))).unwrap();
         let mut child = command(&file).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let ready = read_log_until(&mut log, "ready");
-        let at =
+        let address =
             ready.split("listen=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap().parse().unwrap();
-        Gateway { child, at, log, file }
+        Gateway { child, address, log, file }
     }
 
     pub fn signal(&self, signal: &str) {
@@ -316,20 +324,20 @@
     }
 
     pub fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.at).unwrap();
+        let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         stream
     }
 }
 
-/// Model servers of this deployment may be sent health checks.
+/// Edits the configuration so that the gateway may send health checks to model servers.
 pub fn with_health_checks(text: String) -> String {
     assert!(text.contains("\"retryAfter\""));
     text.replace("\"retryAfter\"", "\"probes\":true,\"retryAfter\"")
 }
 
-/// Clients of this deployment do not ask for the rest of a stream that broke.
+/// Edits the configuration to say that clients do not request the rest of a broken stream.
 pub fn without_resume(text: String) -> String {
     assert!(text.contains("\"resume\":true"));
     text.replace("\"resume\":true", "\"resume\":false")
--- a/cli/tests/common/model_server_process.rs
+++ b/cli/tests/common/model_server_process.rs
@@ -1,13 +1,14 @@
-//! A model server in a process of its own, which a signal can stop: its machine then still accepts connections and bytes.
+//! A model server in a separate process that a signal can suspend. The kernel still accepts connections and bytes for
+//! the suspended process.
 
 use petrelshore_emulator::platform::{ModelServer, ServerBehavior};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 
-/// Tells the process of a test that it is to be a model server, and of which role.
+/// Environment variable that makes a test process run as a model server; its value is the role.
 const ROLE_VARIABLE: &str = "PETRELSHORE_TEST_MODEL_SERVER";
-const READY: &str = "model server on ";
+const READY_PREFIX: &str = "model server on ";
 
 /// The step that a model server process executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,14 +26,14 @@
     }
 }
 
-/// A running model server process. It is killed when this is dropped.
+/// A running model server process, which is killed when this value is dropped.
 pub struct ModelServerProcess {
     child: Child,
     pub address: SocketAddr,
 }
 
 impl ModelServerProcess {
-    /// Runs the test `entry_point` of this test program as a model server: it has to call [`run_if_asked`].
+    /// Runs the test `entry_point` of this test program as a model server; that test has to call [`run_if_requested`].
     pub fn start(entry_point: &str, role: Role) -> ModelServerProcess {
         let mut child = Command::new(std::env::current_exe().unwrap())
             .args(["--exact", entry_point, "--nocapture"])
@@ -43,18 +44,18 @@
             .unwrap();
         let output = BufReader::new(child.stdout.take().unwrap());
         let ready = output.lines().map_while(Result::ok).find_map(|line| {
-            let (_, address) = line.split_once(READY)?;
+            let (_, address) = line.split_once(READY_PREFIX)?;
             address.trim().parse().ok()
         });
         ModelServerProcess { child, address: ready.unwrap() }
     }
 
-    /// Stops the process in the middle of whatever it does.
-    pub fn stop(&self) {
+    /// Suspends the process with SIGSTOP.
+    pub fn suspend(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -72,10 +73,11 @@
     }
 }
 
-/// Serves as a model server until the test that started this process has ended; returns at once where none did.
-pub fn run_if_asked() {
+/// Runs as a model server until the test that started this process ends. Returns immediately if no test started this
+/// process as a model server.
+pub fn run_if_requested() {
     let Ok(role) = std::env::var(ROLE_VARIABLE) else { return };
     let server = ModelServer::start(role == Role::Prefill.name(), ServerBehavior::Good).unwrap();
-    println!("{READY}{}", server.address);
+    println!("{READY_PREFIX}{}", server.address);
     let _ = std::io::stdin().read_to_end(&mut Vec::new());
 }
--- a/cli/tests/common/proxy.rs
+++ b/cli/tests/common/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy before one server, whose open connections can fall silent without an error: what is sent on them is accepted
-//! and goes nowhere, while new ones work.
+//! A TCP proxy in front of one server that can silence its open connections without an error: it accepts and discards
+//! what is sent on them, while new connections work.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,40 +9,41 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// A proxy that listens. Its threads end with the process.
+/// A listening proxy. Its threads end with the process.
 pub struct Proxy {
     pub address: SocketAddr,
-    /// Connections that were accepted before the latest silence carry nothing any more.
-    silences: Arc<AtomicUsize>,
+    /// The number of calls of `silence_open_connections`. A connection that was accepted before the latest call
+    /// forwards nothing any more.
+    silence_count: Arc<AtomicUsize>,
 }
 
 impl Proxy {
     pub fn start(server: SocketAddr) -> Proxy {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let proxy = Proxy { address: listener.local_addr().unwrap(), silences: Arc::default() };
-        let silences = proxy.silences.clone();
+        let proxy = Proxy { address: listener.local_addr().unwrap(), silence_count: Arc::default() };
+        let silence_count = proxy.silence_count.clone();
         thread::spawn(move || {
             for client in listener.incoming().flatten() {
                 let Ok(server) = TcpStream::connect(server) else { continue };
-                forward_both_ways(client, server, &silences);
+                forward_both_ways(client, server, &silence_count);
             }
         });
         proxy
     }
 
-    /// All open connections fall silent.
+    /// Discards all bytes that arrive on the connections that are open now.
     pub fn silence_open_connections(&self) {
-        self.silences.fetch_add(1, Ordering::SeqCst);
+        self.silence_count.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-fn forward_both_ways(client: TcpStream, server: TcpStream, silences: &Arc<AtomicUsize>) {
+fn forward_both_ways(client: TcpStream, server: TcpStream, silence_count: &Arc<AtomicUsize>) {
     let (Ok(client_writer), Ok(server_writer)) = (client.try_clone(), server.try_clone()) else { return };
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     for (from, to) in [(client, server_writer), (server, client_writer)] {
-        let silences = silences.clone();
-        let accepted_after = silences.load(Ordering::SeqCst);
-        thread::spawn(move || forward(from, to, || silences.load(Ordering::SeqCst) > accepted_after));
+        let silence_count = silence_count.clone();
+        let count_at_accept = silence_count.load(Ordering::SeqCst);
+        thread::spawn(move || forward(from, to, || silence_count.load(Ordering::SeqCst) > count_at_accept));
     }
 }
 
--- a/cli/tests/daemon.rs
+++ b/cli/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The command as a process: start, reload, stop, and what it says when it can't.
+//! The `petrelshore` command as a process: start, reload, stop, and the message of a failed start.
 
 use futures_lite::future;
 use petrelshore_e2e::client::{Observation, Question};
@@ -12,11 +12,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A process that is ended with its test, by its own id.
+/// A process that is killed when its test ends.
 struct Running {
     child: Child,
     address: SocketAddr,
-    /// Of the second listener, where there is one.
+    /// The address of the second listener, if there is one.
     second: Option<SocketAddr>,
 }
 
@@ -33,7 +33,7 @@
     command
 }
 
-/// Starts a process and reads the address off its ready line.
+/// Starts a process and reads its addresses from its ready line.
 fn start(arguments: &[&str]) -> Running {
     let mut child = petrelshore(arguments).stderr(Stdio::null()).spawn().unwrap();
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
@@ -76,8 +76,8 @@
     std::fs::write(folder.join("boxes.csv"), format!("name,kind,address,zone\n{rows}")).unwrap();
 }
 
-/// Asks for a stream and returns the open socket.
-fn ask(to: SocketAddr, tokens: u32) -> TcpStream {
+/// Sends a streaming chat request and returns the open socket.
+fn send_request(to: SocketAddr, tokens: u32) -> TcpStream {
     let body = format!(
         r#"{{"model":"ask","stream":true,"max_tokens":{tokens},"messages":[{{"role":"user","content":"why"}}]}}"#
     );
@@ -91,15 +91,15 @@
     stream
 }
 
-fn rest(mut stream: TcpStream) -> String {
+fn read_to_end(mut stream: TcpStream) -> String {
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
     text
 }
 
-fn ended(running: &mut Running) -> Option<i32> {
-    let read_log_until = Instant::now() + Duration::from_secs(30);
-    while Instant::now() < read_log_until {
+fn exit_code(running: &mut Running) -> Option<i32> {
+    let deadline = Instant::now() + Duration::from_secs(30);
+    while Instant::now() < deadline {
         if let Some(status) = running.child.try_wait().unwrap() {
             return status.code();
         }
@@ -118,16 +118,16 @@
     let server = stand_in("one", "20");
     write_list(&folder, &[("one", server.address)]);
     let mut gateway = start(&["serve", &write_settings(&folder, "20s")]);
-    let mut stream = ask(gateway.address, 30);
+    let mut stream = send_request(gateway.address, 30);
     let mut first = [0u8; 1];
     stream.read_exact(&mut first).unwrap();
     signal(&gateway, "-TERM");
     std::thread::sleep(Duration::from_millis(150));
-    let late = rest(ask(gateway.address, 3));
+    let late = read_to_end(send_request(gateway.address, 3));
     assert!(late.contains("503") && late.contains("draining") && late.contains("retry-after"), "{late}");
-    let text = rest(stream);
+    let text = read_to_end(stream);
     assert!(text.contains("t30 ") && text.contains("[DONE]"), "{text}");
-    assert_eq!(ended(&mut gateway), Some(0));
+    assert_eq!(exit_code(&mut gateway), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -137,13 +137,13 @@
     let server = stand_in("one", "100");
     write_list(&folder, &[("one", server.address)]);
     let mut gateway = start(&["serve", &write_settings(&folder, "300ms")]);
-    let mut stream = ask(gateway.address, 900);
+    let mut stream = send_request(gateway.address, 900);
     let mut first = [0u8; 1];
     stream.read_exact(&mut first).unwrap();
     signal(&gateway, "-TERM");
-    let text = rest(stream);
+    let text = read_to_end(stream);
     assert!(text.contains("\"code\":\"aborted\"") && !text.contains("[DONE]"), "{text}");
-    assert_eq!(ended(&mut gateway), Some(0));
+    assert_eq!(exit_code(&mut gateway), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -153,16 +153,16 @@
     let (old, new) = (stand_in("old", "20"), stand_in("new", "5"));
     write_list(&folder, &[("old", old.address)]);
     let gateway = start(&["serve", &write_settings(&folder, "5s")]);
-    let mut stream = ask(gateway.address, 60);
+    let mut stream = send_request(gateway.address, 60);
     let mut first = [0u8; 1];
     stream.read_exact(&mut first).unwrap();
     write_list(&folder, &[("new", new.address)]);
     signal(&gateway, "-HUP");
-    let text = rest(stream);
+    let text = read_to_end(stream);
     assert!(text.contains("t60 ") && text.contains("[DONE]"), "{text}");
     drop(old);
-    // Only the new one is left, and it is cold: the first answers come as its part allows.
-    let served = || (0..20).any(|_| rest(ask(gateway.address, 3)).contains("[DONE]"));
+    // Only the new server is left, and it is in slow start: it answers as its share of the load allows.
+    let served = || (0..20).any(|_| read_to_end(send_request(gateway.address, 3)).contains("[DONE]"));
     assert!(served());
     std::fs::write(folder.join("boxes.csv"), "name,kind,address,zone\nnew,mixed,127.0").unwrap();
     signal(&gateway, "-HUP");
@@ -178,14 +178,14 @@
     write_list(&folder, &[("one", server.address)]);
     let file = write_settings(&folder, "5s");
     let text = std::fs::read_to_string(&file).unwrap();
-    let scripted_world = "listen = { chat = \"127.0.0.1:0\", operator = \"127.0.0.1:0\" }";
-    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", scripted_world)).unwrap();
+    let listeners = "listen = { chat = \"127.0.0.1:0\", operator = \"127.0.0.1:0\" }";
+    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", listeners)).unwrap();
     let gateway = start(&["serve", &file]);
-    assert!(rest(ask(gateway.address, 3)).contains("[DONE]"));
+    assert!(read_to_end(send_request(gateway.address, 3)).contains("[DONE]"));
     let get = |path: &str| {
         let mut stream = TcpStream::connect(gateway.second.unwrap()).unwrap();
         stream.write_all(format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n").as_bytes()).unwrap();
-        rest(stream)
+        read_to_end(stream)
     };
     assert!(get("/health").contains("ready"));
     let metrics = get("/metrics");
@@ -204,18 +204,18 @@
     write_list(&folder, &[("one", server.address)]);
     let file = write_settings(&folder, "20s");
     let text = std::fs::read_to_string(&file).unwrap();
-    let scripted_world = "listen = { chat = \"127.0.0.1:0\", grpc = \"127.0.0.1:0\" }";
-    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", scripted_world)).unwrap();
+    let listeners = "listen = { chat = \"127.0.0.1:0\", grpc = \"127.0.0.1:0\" }";
+    std::fs::write(&file, text.replace("listen.chat = \"127.0.0.1:0\"", listeners)).unwrap();
     let mut gateway = start(&["serve", &file]);
     let grpc = gateway.second.unwrap();
-    let (mut seen, mut exchange) = (Observation::nothing(), false);
+    let (mut seen, mut stop_sent) = (Observation::nothing(), false);
     let exchange = async {
-        let (mut sender, driver) = grpc_client::connect(grpc).await.expect("the daemon listens");
+        let (mut sender, driver) = grpc_client::connect(grpc).await.expect("the gateway does not listen");
         let asked = async {
             let response = grpc_client::call(&mut sender, &Question::new("ask", "why", 100)).await.unwrap();
-            // At its first token the daemon is told to stop.
+            // The gateway gets SIGTERM when the first token arrives.
             let first = |_| {
-                if !std::mem::replace(&mut exchange, true) {
+                if !std::mem::replace(&mut stop_sent, true) {
                     signal(&gateway, "-TERM");
                 }
             };
@@ -229,7 +229,7 @@
     };
     future::block_on(exchange);
     assert_eq!((seen.outcome, seen.tokens), (FinalOutcome::Completed, 100), "{seen:?}");
-    assert_eq!(ended(&mut gateway), Some(0));
+    assert_eq!(exit_code(&mut gateway), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -241,23 +241,23 @@
         let Output { status, stderr, .. } = petrelshore(arguments).output().unwrap();
         (status.code(), String::from_utf8(stderr).unwrap())
     };
-    let (code, said) = run(&["serve", &file]);
-    assert!(code == Some(1) && said.contains("boxes.csv"), "{said}");
+    let (code, stderr) = run(&["serve", &file]);
+    assert!(code == Some(1) && stderr.contains("boxes.csv"), "{stderr}");
     write_list(&folder, &[("one", "127.0.0.1:9".parse().unwrap())]);
-    let (code, said) = run(&["check", &file]);
-    assert_eq!(code, Some(0), "{said}");
+    let (code, stderr) = run(&["check", &file]);
+    assert_eq!(code, Some(0), "{stderr}");
     std::fs::write(folder.join("boxes.csv"), "name,kind,address,zone\none,mixed,there,here\n").unwrap();
-    let (code, said) = run(&["check", &file]);
-    assert!(code == Some(1) && said.contains("boxes.csv:2: field address"), "{said}");
+    let (code, stderr) = run(&["check", &file]);
+    assert!(code == Some(1) && stderr.contains("boxes.csv:2: field address"), "{stderr}");
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     write_list(&folder, &[("one", "127.0.0.1:9".parse().unwrap())]);
     let text = std::fs::read_to_string(&file).unwrap().replace("127.0.0.1:0", &address);
     std::fs::write(&file, text).unwrap();
-    let (code, said) = run(&["serve", &file]);
-    assert!(code == Some(1) && said.contains(&address), "{said}");
-    let (code, said) = run(&["serve", "/nowhere.ncl"]);
-    assert!(code == Some(1) && said.lines().count() == 1 && said.contains("/nowhere.ncl"), "{said}");
+    let (code, stderr) = run(&["serve", &file]);
+    assert!(code == Some(1) && stderr.contains(&address), "{stderr}");
+    let (code, stderr) = run(&["serve", "/nowhere.ncl"]);
+    assert!(code == Some(1) && stderr.lines().count() == 1 && stderr.contains("/nowhere.ncl"), "{stderr}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -274,17 +274,20 @@
     let mut child = command.stderr(Stdio::null()).spawn().unwrap();
     let mut ready = String::new();
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut ready).unwrap();
-    assert!(!folder.join("last.json").exists(), "no write has gone well yet");
+    assert!(!folder.join("last.json").exists(), "the list was stored although every disk write fails");
     faults.set(Fault::DiskFails, 0).unwrap();
-    let read_log_until = Instant::now() + Duration::from_secs(10);
-    while !folder.join("last.json").exists() && Instant::now() < read_log_until {
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while !folder.join("last.json").exists() && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let kept = std::fs::read_to_string(folder.join("last.json"));
+    let stored = std::fs::read_to_string(folder.join("last.json"));
     let _ = child.kill();
     let _ = child.wait();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert!(kept.is_ok_and(|text| text.contains("one")), "what was taken on is kept");
+    assert!(
+        stored.is_ok_and(|text| text.contains("one")),
+        "the applied list was not stored after the disk recovered"
+    );
 }
 
 #[test]
@@ -303,18 +306,18 @@
     let address = ready.split([' ', ',']).find_map(|word| word.parse::<SocketAddr>().ok()).unwrap();
     faults.set(Fault::Interrupted, 20).unwrap();
     faults.set(Fault::ConnectFails, 3).unwrap();
-    let served = (0..60).filter(|_| rest(ask(address, 3)).contains("[DONE]")).count();
+    let served = (0..60).filter(|_| read_to_end(send_request(address, 3)).contains("[DONE]")).count();
     let _ = child.kill();
     let _ = child.wait();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(served, 60);
 }
 
-/// At which server a request came, and its text.
-type Came = (usize, String);
+/// The index of the server that received a request, and the request's text.
+type ReceivedRequest = (usize, String);
 
-/// The next request on a connection, its head and its body; empty where it ends.
-fn request(lines: &mut BufReader<TcpStream>) -> String {
+/// Reads the next request, head and body, on a connection. Returns an empty string if the connection ends.
+fn read_request(lines: &mut BufReader<TcpStream>) -> String {
     let (mut text, mut length) = (String::new(), 0);
     loop {
         let from = text.len();
@@ -322,8 +325,8 @@
             return String::new();
         }
         let line = text[from..].to_lowercase();
-        if let Some(exchange) = line.strip_prefix("content-length: ") {
-            length = exchange.trim().parse().unwrap();
+        if let Some(value) = line.strip_prefix("content-length: ") {
+            length = value.trim().parse().unwrap();
         }
         if line == "\r\n" {
             break;
@@ -337,8 +340,8 @@
 #[test]
 fn removed_prefill_server_still_gets_its_release() {
     let folder = folder("delisted");
-    let (seen, lines_of) = (Arc::new(Mutex::new(Vec::<Came>::new())), ["r1", "r2", "w1", "w2"]);
-    let listeners = lines_of.map(|_| TcpListener::bind(("127.0.0.1", 0)).unwrap());
+    let (seen, names) = (Arc::new(Mutex::new(Vec::<ReceivedRequest>::new())), ["r1", "r2", "w1", "w2"]);
+    let listeners = names.map(|_| TcpListener::bind(("127.0.0.1", 0)).unwrap());
     let addresses = [0, 1, 2, 3].map(|n| listeners[n].local_addr().unwrap());
     for (n, listener) in listeners.into_iter().enumerate() {
         let seen = seen.clone();
@@ -348,13 +351,13 @@
                 std::thread::spawn(move || {
                     let mut lines = BufReader::new(stream);
                     loop {
-                        let text = request(&mut lines);
+                        let text = read_request(&mut lines);
                         if text.is_empty() {
                             return;
                         }
                         seen.lock().unwrap().push((n, text));
                         if n >= 2 {
-                            // A writer that never answers, so that the state waits.
+                            // A decode server never answers, so that the KV cache stays held.
                             continue;
                         }
                         let answer = r#"{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens":3}}"#;
@@ -368,7 +371,7 @@
     let list = |without: Option<usize>| {
         let row = |n: usize| {
             let kind = if n < 2 { "reader" } else { "writer" };
-            format!("{},{kind},{},here\n", lines_of[n], addresses[n])
+            format!("{},{kind},{},here\n", names[n], addresses[n])
         };
         let rows: String = (0..4).filter(|n| Some(*n) != without).map(row).collect();
         std::fs::write(folder.join("boxes.csv"), format!("name,kind,address,zone\n{rows}")).unwrap();
@@ -381,22 +384,22 @@
     let mixed = text.lines().find(|line| line.contains("kinds.mixed")).unwrap().to_owned();
     std::fs::write(&file, text.replace(&mixed, kinds)).unwrap();
     let gateway = start(&["serve", &file]);
-    let client = ask(gateway.address, 3);
-    let wait_for = |what: &str, holds: &dyn Fn(&[Came]) -> bool| {
-        let read_log_until = Instant::now() + Duration::from_secs(5);
-        while !holds(&seen.lock().unwrap()) {
-            assert!(Instant::now() < read_log_until, "{what}: {:?}", seen.lock().unwrap());
+    let client = send_request(gateway.address, 3);
+    let wait_for = |what: &str, condition: &dyn Fn(&[ReceivedRequest]) -> bool| {
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while !condition(&seen.lock().unwrap()) {
+            assert!(Instant::now() < deadline, "timed out waiting until {what}: {:?}", seen.lock().unwrap());
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    wait_for("the write is out", &|seen| seen.iter().any(|(n, _)| *n >= 2));
-    let reader = seen.lock().unwrap()[0].0;
-    list(Some(reader));
+    wait_for("the decode request is sent", &|seen| seen.iter().any(|(n, _)| *n >= 2));
+    let prefill = seen.lock().unwrap()[0].0;
+    list(Some(prefill));
     signal(&gateway, "-HUP");
     std::thread::sleep(Duration::from_millis(200));
     drop(client);
-    let exchange = |seen: &[Came]| seen.iter().filter(|(n, _)| *n == reader).count() >= 2;
-    wait_for("its reader is told", &exchange);
+    let released = |seen: &[ReceivedRequest]| seen.iter().filter(|(n, _)| *n == prefill).count() >= 2;
+    wait_for("the prefill server receives the release", &released);
     drop(gateway);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/cli/tests/soak.rs
+++ b/cli/tests/soak.rs
@@ -1,9 +1,10 @@
-//! Short runs of the soak on fixed seeds: overlapping faults against processes of this build.
+//! Short soak runs with fixed seeds: overlapping faults against gateway processes of this build.
 
 use petrelshore_soak::{Plan, run};
 use std::path::{Path, PathBuf};
 
-/// Their longest deadlines are 3 s, 0.9 s and 1.6 s: a stop ends sooner where they are shorter.
+/// The longest client deadlines of these seeds are 3 s, 0.9 s and 1.6 s; a shutdown ends sooner when deadlines are
+/// shorter.
 const SEEDS: [u64; 3] = [1, 5, 12];
 const SECONDS: u64 = 12;
 
@@ -26,7 +27,7 @@
         let (served, requests) = (report.served, report.requests);
         assert!(
             !report.overlaps.is_empty() && requests > 200 && 2 * served > requests,
-            "seed {seed}: {served} of {requests}"
+            "seed {seed}: {served} of {requests} requests served, or no overlapping faults"
         );
     }
 }
--- a/cli/tests/stopped_servers.rs
+++ b/cli/tests/stopped_servers.rs
@@ -1,16 +1,15 @@
-//! Incident: KV caches were kept behind model servers whose processes had stopped.
+//! KV caches that are held for model servers whose processes have stopped running.
 //!
-//! Seen: prompts were prefilled, the decode requests written, and for seconds nothing took them; the KV caches were
-//! neither fetched nor released. Course: the process of a decode server stopped running. Its machine went on: connections
-//! to it were established and bytes accepted. The gateway had its request written, saw a second connection come up, and
-//! took that as the proof that the server has the request: the time of the KV cache stood still until the attempt's own
-//! timeout. Cause: what answers for a machine was taken as the answer of a server. Proof: a server process that is
-//! stopped by a signal, in these tests, gives the same course; one whose machine is cut off does not.
+//! When a decode server's process stopped, its machine still accepted connections and bytes. The gateway wrote the
+//! decode request, saw a second connection come up, and took the new connection as proof that the server had received
+//! the request. The release timer then stood still, and the KV cache was neither fetched nor released until the attempt
+//! timed out seconds later. The cause is that the kernel of a machine answers for a process that does not run.
+//! Suspending the server process with a signal reproduces the failure; cutting off its machine does not.
 
 mod common;
 
-use common::chat::{ChatGateway, PrefillEngine, StandIn};
-use common::model_server_process::{ModelServerProcess, Role, run_if_asked};
+use common::chat::{ChatGateway, EmulatedServer, RecordingPrefillServer};
+use common::model_server_process::{ModelServerProcess, Role, run_if_requested};
 use common::proxy::Proxy;
 use common::*;
 use petrelshore_emulator::platform::{DiscoveryAgent, ModelServer, ServerBehavior, entry};
@@ -19,52 +18,52 @@
 use std::time::{Duration, Instant};
 
 const ENTRY_POINT: &str = "model_server_process";
-/// A KV cache must be released within this, by the settings of these tests.
+/// The release time in the settings of these tests, within which a KV cache has to be released.
 const RELEASE_WITHIN: Duration = Duration::from_millis(500);
 const RELEASE_SLACK: Duration = Duration::from_millis(300);
-/// For how long a connection has to be idle before it is used again, and some more.
+/// Longer than a connection has to be idle before the gateway reuses it.
 const REUSE_DELAY: Duration = Duration::from_millis(250);
-/// Where and for how long servers know an idempotency key, for classes that have one.
+/// The scope in which servers recognize an idempotency key and the time for which they do, for classes with keys.
 const KEY_SCOPE: &str = "\"dedupScope\":\"zone\",\"window\":2500000000";
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[test]
 fn model_server_process() {
-    run_if_asked();
+    run_if_requested();
 }
 
-/// A gateway before a prefill server of this process and decode servers of others.
-struct World {
+/// A gateway with a prefill server in this process and the given decode servers.
+struct Testbed {
     gateway: Gateway,
     prefill: ModelServer,
     _agent: DiscoveryAgent,
 }
 
-impl World {
-    fn start(name: &str, decode: &[SocketAddr], semantics: &str) -> World {
+impl Testbed {
+    fn start(name: &str, decode: &[SocketAddr], semantics: &str) -> Testbed {
         Self::start_with(name, decode, semantics, |text| text)
     }
 
-    /// With a configuration that is changed so.
+    /// `edit_config` changes the configuration text before the gateway reads it.
     fn start_with(
         name: &str,
         decode: &[SocketAddr],
         semantics: &str,
-        change: impl Fn(String) -> String,
-    ) -> World {
+        edit_config: impl Fn(String) -> String,
+    ) -> Testbed {
         let prefill = ModelServer::start(true, ServerBehavior::Good).unwrap();
         let mut entries = vec![entry("p", prefill.address, "reader", "active")];
         entries.extend(
             decode.iter().enumerate().map(|(n, at)| entry(&format!("d{n}"), *at, "writer", "active")),
         );
         let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
-        let of_class =
-            |text: String| change(text.replace("\"free\"", &format!("\"{semantics}\",{KEY_SCOPE}")));
-        let gateway = Gateway::start(name, agent.address, &entries, of_class);
-        World { gateway, prefill, _agent: agent }
+        let edit_class =
+            |text: String| edit_config(text.replace("\"free\"", &format!("\"{semantics}\",{KEY_SCOPE}")));
+        let gateway = Gateway::start(name, agent.address, &entries, edit_class);
+        Testbed { gateway, prefill, _agent: agent }
     }
 
-    /// Sends a request; its connection stays open.
+    /// Sends a request and leaves its connection open.
     fn send(&self, id: u64) -> TcpStream {
         let mut client = self.gateway.connect();
         client.write_all(request_text(id, "").as_bytes()).unwrap();
@@ -72,31 +71,31 @@
     }
 
     fn is_served(&self, id: u64) -> bool {
-        let (status, _, whole) = answer(&mut BufReader::new(self.send(id)));
-        status.starts_with("HTTP/1.1 200") && whole
+        let (status, _, complete) = read_response(&mut BufReader::new(self.send(id)));
+        status.starts_with("HTTP/1.1 200") && complete
     }
 
-    /// How long the KV cache of a request was kept: from its prefill to its release.
-    fn kept(&self, id: u64) -> Duration {
-        let prefilled = seen_at(&self.prefill, "POST", id);
-        seen_at(&self.prefill, "DELETE", id) - prefilled
+    /// Waits for the release of a request's KV cache and returns the time from the prefill to the release.
+    fn cache_hold_time(&self, id: u64) -> Duration {
+        let prefilled_at = wait_for_request(&self.prefill, "POST", id);
+        wait_for_request(&self.prefill, "DELETE", id) - prefilled_at
     }
 }
 
-fn assert_released_in_time(kept: Duration, what: &str) {
-    assert!(kept <= RELEASE_WITHIN + RELEASE_SLACK, "{what}: the KV cache was kept for {kept:?}");
+fn assert_released_in_time(hold_time: Duration, what: &str) {
+    assert!(hold_time <= RELEASE_WITHIN + RELEASE_SLACK, "{what}: the KV cache was held for {hold_time:?}");
 }
 
 #[test]
 fn cache_behind_stopped_server_is_released_on_pooled_connection() {
     for semantics in ["free", "single_shot", "guarded"] {
         let decode = ModelServerProcess::start(ENTRY_POINT, Role::Decode);
-        let world = World::start(&format!("stopped-pooled-{semantics}"), &[decode.address], semantics);
-        assert!(world.is_served(1));
+        let testbed = Testbed::start(&format!("stopped-pooled-{semantics}"), &[decode.address], semantics);
+        assert!(testbed.is_served(1));
         std::thread::sleep(REUSE_DELAY);
-        decode.stop();
-        let _client = world.send(2);
-        assert_released_in_time(world.kept(2), semantics);
+        decode.suspend();
+        let _client = testbed.send(2);
+        assert_released_in_time(testbed.cache_hold_time(2), semantics);
     }
 }
 
@@ -105,13 +104,13 @@
     for semantics in ["free", "single_shot", "guarded"] {
         let decode = ModelServerProcess::start(ENTRY_POINT, Role::Decode);
         // The gateway has not served any request yet.
-        let changes: [fn(String) -> String; 2] = [|text| text, with_health_checks];
-        for change in changes {
+        let config_edits: [fn(String) -> String; 2] = [|text| text, with_health_checks];
+        for edit_config in config_edits {
             let name = format!("stopped-new-{semantics}");
-            let world = World::start_with(&name, &[decode.address], semantics, change);
-            decode.stop();
-            let _client = world.send(1);
-            assert_released_in_time(world.kept(1), semantics);
+            let testbed = Testbed::start_with(&name, &[decode.address], semantics, edit_config);
+            decode.suspend();
+            let _client = testbed.send(1);
+            assert_released_in_time(testbed.cache_hold_time(1), semantics);
             decode.resume();
         }
     }
@@ -122,13 +121,13 @@
     for semantics in ["free", "single_shot", "guarded"] {
         let decode = ModelServer::start(false, ServerBehavior::Good).unwrap();
         let proxy = Proxy::start(decode.address);
-        let world = World::start(&format!("silent-{semantics}"), &[proxy.address], semantics);
-        assert!(world.is_served(1));
+        let testbed = Testbed::start(&format!("silent-{semantics}"), &[proxy.address], semantics);
+        assert!(testbed.is_served(1));
         std::thread::sleep(REUSE_DELAY);
         proxy.silence_open_connections();
-        // The server runs, and new connections to it work.
+        // The server is running, and new connections to it work.
         let started = Instant::now();
-        assert!(world.is_served(2), "{semantics}");
+        assert!(testbed.is_served(2), "{semantics}");
         assert_released_in_time(started.elapsed(), semantics);
     }
 }
@@ -136,43 +135,45 @@
 #[test]
 fn gateway_of_the_chat_api_releases_cache_behind_stopped_server() {
     for pooled in [false, true] {
-        let decode = StandIn::start("writer");
-        let prefill = PrefillEngine::start();
+        let decode = EmulatedServer::start("writer");
+        let prefill = RecordingPrefillServer::start();
         let gateway = ChatGateway::start(&format!("stopped-{pooled}"), prefill.address, decode.address);
         if pooled {
-            assert!(gateway.ask().ends_within(EVENT_TIMEOUT));
+            assert!(gateway.send_request().ends_within(EVENT_TIMEOUT));
             std::thread::sleep(REUSE_DELAY);
         }
-        decode.stop();
-        let _client = gateway.ask();
-        let kept = prefill.kept_of_prefill(usize::from(pooled));
-        assert_released_in_time(kept, if pooled { "pooled" } else { "new" });
+        decode.suspend();
+        let _client = gateway.send_request();
+        let hold_time = prefill.cache_hold_time(usize::from(pooled));
+        assert_released_in_time(hold_time, if pooled { "pooled" } else { "new" });
     }
 }
 
-/// Waits until a server has seen a request that starts so for this id; when that was seen.
-fn seen_at(server: &ModelServer, method: &str, id: u64) -> Instant {
+/// Waits until a server has received a request with this method and id, and returns the time at which the request was
+/// seen.
+fn wait_for_request(server: &ModelServer, method: &str, id: u64) -> Instant {
     let id = format!("{id:016x}");
-    let until = Instant::now() + EVENT_TIMEOUT;
+    let deadline = Instant::now() + EVENT_TIMEOUT;
     loop {
         let requests = server.requests();
         if requests.iter().any(|request| request.starts_with(method) && request.contains(&id)) {
             return Instant::now();
         }
-        assert!(Instant::now() < until, "no {method} for {id}: {requests:?}");
+        assert!(Instant::now() < deadline, "the server received no {method} for {id}: {requests:?}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A gateway before a decode server that takes requests and never answers them, and a prefill server at this address.
-fn before_silent_decode(name: &str, prefill: SocketAddr) -> (Gateway, ModelServer, DiscoveryAgent) {
+/// Starts a gateway with the prefill server at `prefill` and a decode server that answers the first request and accepts
+/// later requests without answering them.
+fn start_with_silent_decode(name: &str, prefill: SocketAddr) -> (Gateway, ModelServer, DiscoveryAgent) {
     let decode = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let entries = [entry("p", prefill, "reader", "active"), entry("d", decode.address, "writer", "active")];
     let agent = DiscoveryAgent::start(&entries.join(",")).unwrap();
     let gateway = Gateway::start(name, agent.address, &entries, with_health_checks);
     let mut first = gateway.connect();
     first.write_all(request_text(1, "").as_bytes()).unwrap();
-    assert!(answer(&mut BufReader::new(first)).2);
+    assert!(read_response(&mut BufReader::new(first)).2);
     std::thread::sleep(REUSE_DELAY);
     decode.set(ServerBehavior::Silent);
     (gateway, decode, agent)
@@ -182,26 +183,26 @@
 fn release_is_sent_again_where_its_connection_has_fallen_silent() {
     let prefill = ModelServer::start(true, ServerBehavior::Good).unwrap();
     let proxy = Proxy::start(prefill.address);
-    let (gateway, decode, _agent) = before_silent_decode("release-silent", proxy.address);
+    let (gateway, decode, _agent) = start_with_silent_decode("release-silent", proxy.address);
     let mut client = gateway.connect();
     client.write_all(request_text(2, "").as_bytes()).unwrap();
-    seen_at(&decode, "POST", 2);
+    wait_for_request(&decode, "POST", 2);
     std::thread::sleep(REUSE_DELAY);
     proxy.silence_open_connections();
     drop(client);
-    let left = Instant::now();
-    assert_released_in_time(seen_at(&prefill, "DELETE", 2) - left, "silent connection");
+    let disconnected_at = Instant::now();
+    assert_released_in_time(wait_for_request(&prefill, "DELETE", 2) - disconnected_at, "silent connection");
 }
 
 #[test]
 fn release_goes_by_way_of_another_server_where_its_own_has_stopped() {
     let prefill = ModelServerProcess::start(ENTRY_POINT, Role::Prefill);
-    let (gateway, decode, _agent) = before_silent_decode("release-stopped", prefill.address);
+    let (gateway, decode, _agent) = start_with_silent_decode("release-stopped", prefill.address);
     let mut client = gateway.connect();
     client.write_all(request_text(2, "").as_bytes()).unwrap();
-    seen_at(&decode, "POST", 2);
-    prefill.stop();
+    wait_for_request(&decode, "POST", 2);
+    prefill.suspend();
     drop(client);
-    let left = Instant::now();
-    assert_released_in_time(seen_at(&decode, "DELETE", 2) - left, "stopped server");
+    let disconnected_at = Instant::now();
+    assert_released_in_time(wait_for_request(&decode, "DELETE", 2) - disconnected_at, "stopped server");
 }
