--- a/e2e/tests/rehearsals.rs
+++ b/e2e/tests/rehearsals.rs
@@ -1,4 +1,4 @@
-//! Short rehearsals with several gateways, judged by the auditor over all of them together.
+//! Short rehearsals with several gateways. The auditor judges one record of all gateways.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -19,22 +19,23 @@
     outcome
 }
 
-/// What was recorded for the sequences that violations name, so that a rare one can be explained by its run.
+/// Returns the recorded faults, the kills and restarts of gateways, and the events of the sequences that the violations
+/// name, so that a rare failure can be analyzed from the output of the test.
 fn trace(outcome: &Outcome) -> String {
-    let broken: Vec<&str> = outcome
+    let words: Vec<&str> = outcome
         .verdict
         .violations
         .iter()
         .flat_map(|violation| violation.description.split([' ', '-']))
         .collect();
-    let names = |request: &str| broken.contains(&request.split('-').next().unwrap_or(request));
+    let is_named = |request: &str| words.contains(&request.split('-').next().unwrap_or(request));
     let lines = outcome.entries.iter().filter(|entry| match &entry.event {
         Event::FaultSet { .. } | Event::GatewayKilled { .. } | Event::GatewayRestarted { .. } => true,
         Event::AttemptArrived { request, .. }
         | Event::AttemptRejected { request, .. }
         | Event::AttemptEnded { request, .. }
         | Event::CacheReserved { request, .. }
-        | Event::CacheReleased { request, .. } => names(request),
+        | Event::CacheReleased { request, .. } => is_named(request),
         _ => false,
     });
     lines.map(|entry| format!("{entry:?}\n")).collect()
@@ -63,9 +64,9 @@
     );
     assert_eq!(outcome.verdict.violations, [], "{}", trace(&outcome));
     assert_eq!((outcome.left_in_gateways, outcome.left_in_servers), (0, 0));
-    // It saw something: work was asked, sent, held and answered.
-    let generated: usize = outcome.outcomes.values().filter_map(|outcomes| outcomes.get("generated")).sum();
-    assert!(outcome.verdict.requests > 100 && outcome.verdict.reservations > 20 && generated > 50);
+    // The absence of violations proves something only if requests were sent, reserved KV cache and were completed.
+    let completed: usize = outcome.outcomes.values().filter_map(|outcomes| outcomes.get("generated")).sum();
+    assert!(outcome.verdict.requests > 100 && outcome.verdict.reservations > 20 && completed > 50);
 }
 
 #[test]
@@ -88,9 +89,9 @@
           ],
         }"#,
     );
-    // Neither API starves beside the other.
+    // Neither API is starved by the traffic of the other.
     let served: Vec<f64> = outcome.service_by_api.values().copied().collect();
-    assert!(served.len() == 2 && served.iter().all(|served| *served > 0.5), "{:?}", outcome.service_by_api);
+    assert!(served.len() == 2 && served.iter().all(|share| *share > 0.5), "{:?}", outcome.service_by_api);
     assert_eq!(outcome.verdict.violations, [], "{}", trace(&outcome));
     assert_eq!((outcome.left_in_gateways, outcome.left_in_servers), (0, 0));
     assert!(outcome.verdict.drain_notifications == 9 && outcome.service > 0.5, "service {}", outcome.service);
--- a/e2e/tests/testbed/mod.rs
+++ b/e2e/tests/testbed/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet with one gateway before it, for the cases of both APIs.
+//! A fleet of emulated servers behind one gateway, for the test cases of both APIs.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -18,10 +18,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longer than any rule allows a response to take.
-pub const LONG: Duration = Duration::from_secs(30);
+/// Timeout of a client, longer than any rule allows a response to take.
+pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a client reaches the gateway under test.
+/// The API and the addresses by which a client reaches the gateway under test.
 #[derive(Clone, Copy)]
 pub struct Route {
     pub api: Api,
@@ -30,10 +30,11 @@
 
 impl Route {
     pub async fn send(self, question: Question) -> Observation {
-        question.send(self.api, self.addresses, LONG).await
+        question.send(self.api, self.addresses, CLIENT_TIMEOUT).await
     }
 }
 
+/// A running fleet and gateway. Each request and its response are recorded for the auditor.
 pub struct Testbed {
     pub api: Api,
     pub executor: Executor,
@@ -48,11 +49,13 @@
         Route { api: self.api, addresses: self.gateway.addresses }
     }
 
-    /// Sends a question and records what was observed, as the auditor needs it.
+    /// Sends a question for this model with the text "why"; see `send`.
     pub async fn ask(&self, model: &'static str, max_tokens: u64, timeout: Duration) -> Observation {
         self.send(Question::new(model, "why", max_tokens), timeout).await
     }
 
+    /// Sends a question and records the request and the observed response for the auditor. Appends the client's number
+    /// to the text, from which the emulated servers read the client of an attempt.
     pub async fn send(&self, mut question: Question, timeout: Duration) -> Observation {
         let client = self.clients.get();
         self.clients.set(client + 1);
@@ -72,27 +75,28 @@
         observation
     }
 
-    /// Sets the fault of all servers whose names begin so.
-    pub fn set_fault(&self, names: &str, fault: Fault) {
-        let named = self.fleet.servers().filter(|server| server.name().starts_with(names));
-        named.for_each(|server| server.set_fault(fault));
+    /// Sets the fault of all servers whose names begin with `prefix`.
+    pub fn set_fault(&self, prefix: &str, fault: Fault) {
+        let servers = self.fleet.servers().filter(|server| server.name().starts_with(prefix));
+        servers.for_each(|server| server.set_fault(fault));
     }
 
-    /// How many requests for a step arrived at servers.
+    /// Returns the number of requests for a step that arrived at servers.
     pub fn arrivals(&self, step: Step) -> usize {
         let is_step =
             |event: &Event| matches!(event, Event::AttemptArrived { step: name, .. } if name == step.name());
         self.fleet.record.entries().iter().filter(|entry| is_step(&entry.event)).count()
     }
 
-    /// Waits until nothing is left anywhere; the auditor then must find no violation.
+    /// Waits until the gateway tracks no request, and the servers hold no KV cache and have no request in flight. Then
+    /// asserts that the auditor finds no violation, and returns its verdict.
     pub async fn assert_clean(&self) -> Verdict {
-        let left = || {
+        let remaining = || {
             let in_servers = self.fleet.servers().map(|server| server.held_caches() + server.in_flight());
             self.gateway.gateway.tracked() + in_servers.sum::<usize>()
         };
         for _ in 0..200 {
-            if left() == 0 {
+            if remaining() == 0 {
                 break;
             }
             Timer::after(Duration::from_millis(50)).await;
@@ -100,44 +104,51 @@
         let servers: Vec<_> =
             self.fleet.servers().map(|server| (server.held_caches(), server.in_flight())).collect();
         assert_eq!(
-            left(),
+            remaining(),
             0,
             "left behind: {} in the gateway, {servers:?} in servers",
             self.gateway.gateway.tracked()
         );
         let verdict = judge(&self.fleet.record.entries(), &bounds(self.gateway.gateway.settings()));
-        assert_eq!(verdict.violations, [], "rules were broken");
+        assert_eq!(verdict.violations, [], "the auditor found violations");
         verdict
     }
 }
 
-/// A profile that generates tokens fast.
-pub fn quick(profile: Profile) -> Profile {
+/// Sets a token interval of 5 ms.
+pub fn fast_decode(profile: Profile) -> Profile {
     Profile { token_interval: 5_000_000, ..profile }
 }
 
-/// Runs a case by both APIs before a fleet of this shape.
-pub fn case<F: Future<Output = ()>>(name: &str, shape: Shape, more: &str, run: impl Fn(Testbed) -> F) {
-    case_with(name, shape, more, quick, run);
+/// Runs a test case once for each API, with a fleet of this shape whose servers decode fast.
+pub fn run_case<F: Future<Output = ()>>(
+    name: &str,
+    shape: Shape,
+    settings: &str,
+    run: impl Fn(Testbed) -> F,
+) {
+    run_case_with_profile(name, shape, settings, fast_decode, run);
 }
 
-pub fn case_with<F: Future<Output = ()>>(
+/// Runs a test case once for each API, with a fleet of this shape and these profiles.
+pub fn run_case_with_profile<F: Future<Output = ()>>(
     name: &str,
     shape: Shape,
-    more: &str,
+    settings: &str,
     profile: impl Fn(Profile) -> Profile,
     run: impl Fn(Testbed) -> F,
 ) {
     for api in Api::ALL {
-        case_of(api, name, &shape, more, &profile, &run);
+        run_case_for_api(api, name, &shape, settings, &profile, &run);
     }
 }
 
-pub fn case_of<F: Future<Output = ()>>(
+/// Runs a test case with one API. The gateway gets `settings` in addition to its default ones.
+pub fn run_case_for_api<F: Future<Output = ()>>(
     api: Api,
     name: &str,
     shape: &Shape,
-    more: &str,
+    settings: &str,
     profile: impl Fn(Profile) -> Profile,
     run: impl Fn(Testbed) -> F,
 ) {
@@ -148,7 +159,7 @@
             Fleet::start(executor.clone(), &folder, shape, |role| profile(Profile::default_for(role)))
                 .await
                 .unwrap();
-        let text = settings_text("gw-1", 1, "127.0.0.1:0", more);
+        let text = settings_text("gw-1", 1, "127.0.0.1:0", settings);
         let gateway = RunningGateway::start(&executor, &folder, &text).await.unwrap();
         let (executor, folder) = (executor.clone(), folder.clone());
         run(Testbed { api, executor, fleet, gateway, folder, clients: Default::default() }).await;
@@ -157,13 +168,14 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// One cell of a prefill server and two decode servers.
-pub fn small() -> Shape {
+/// One cell with a prefill server and two decode servers.
+pub fn small_fleet() -> Shape {
     Shape { cells: 1, prefill: 1, decode: 2, combined: 0 }
 }
 
 impl Testbed {
-    /// The same after a client has stalled for as long as it may.
+    /// Waits for the final answer of each request, so that a stalled client reaches the stall limit, and then does the
+    /// same as `assert_clean`.
     pub async fn assert_clean_after_stall(&self) {
         for _ in 0..300 {
             if self.gateway.gateway.unanswered() == 0 {
