--- a/cli/tests/common/proxy.rs
+++ b/cli/tests/common/proxy.rs
@@ -31,7 +31,7 @@
         proxy
     }
 
-    /// Discards all bytes that arrive on the connections that are open now.
+    /// From now on, discards all bytes that arrive on the connections that are open at this call.
     pub fn silence_open_connections(&self) {
         self.silence_count.fetch_add(1, Ordering::SeqCst);
     }
--- a/cli/tests/fleet_size.rs
+++ b/cli/tests/fleet_size.rs
@@ -13,7 +13,7 @@
 const SERVERS: usize = 4_200;
 /// Limit of a gateway's resident memory, in MiB.
 const MAX_RESIDENT_MIB: u64 = 256;
-/// Limit of a gateway's control traffic.
+/// Limit of a gateway's control traffic, in both directions together.
 const MAX_BYTES_PER_SECOND: u64 = 6_000;
 /// The time for which the control traffic is counted.
 const COUNTING_TIME: Duration = Duration::from_secs(6);
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -477,8 +477,8 @@
         assert_eq!(send(id, if id % 2 == 0 { "chat" } else { "unlock" }), "200");
         assert_eq!(servers.map(|server| requests_for(server, id)).iter().sum::<usize>(), 1);
     }
-    // The server that received more requests drains: it gets no new request once the gateway has
-    // applied the list.
+    // The server that received more requests drains: it gets no new request once the gateway has applied the
+    // list.
     let first = usize::from(servers[0].requests().len() < servers[1].requests().len());
     let (draining, other) = (servers[first], servers[1 - first]);
     let listed = |status: &str| {
