--- a/gateway-core/src/cache_releases.rs
+++ b/gateway-core/src/cache_releases.rs
@@ -40,7 +40,7 @@
 /// Number of connections reserved for release requests, in addition to one for each sequence in flight.
 pub const RELEASE_CONNECTIONS: usize = 8;
 
-/// What the gateway knows about a KV cache that is to be released.
+/// The gateway's knowledge of a KV cache that is to be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheState {
     /// The prefill server has answered that it holds the KV cache.
@@ -155,7 +155,7 @@
         candidates.into_iter().take(MAX_RELAYS).map(|(_, server)| server).collect()
     }
 
-    /// When to call [`CacheReleases::on_timeout`] next; none without a pending release.
+    /// Time at which [`CacheReleases::on_timeout`] has to be called next; none without a pending release.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.send_queue.first().map(|(at, _)| *at)
     }
--- a/gateway-core/src/capacity.rs
+++ b/gateway-core/src/capacity.rs
@@ -14,13 +14,15 @@
 const RATE_HALF_LIFE: Nanos = 4_000_000_000;
 /// Share of the capacity that is reserved for the traffic types of the highest priority.
 const PRIORITY_RESERVE_SHARE: f64 = 0.1;
-/// Bounds of Retry-After, in nanoseconds. Settings may lower the upper bound.
+/// Bounds of Retry-After, in nanoseconds. Settings may replace the upper bound, but the result is never below the lower
+/// bound.
 const MIN_RETRY_AFTER: Nanos = 100_000_000;
 const MAX_RETRY_AFTER: Nanos = 30_000_000_000;
 /// Added to the observed rate of releases, in sequences per second. Without it, Retry-After would stay constant while
 /// no sequence is released or rejected: the sums of releases and rejections decay alike, so their ratio doesn't change.
 const BASE_RELEASES_PER_SECOND: f64 = 1.0;
-/// Share of the capacity that one client address may hold. At least [`MIN_CLIENT_SEQUENCES`] are always allowed.
+/// Share of the capacity that one client address may hold. The limit of an address is never below
+/// [`MIN_CLIENT_SEQUENCES`].
 const MAX_CLIENT_SHARE: f64 = 0.25;
 const MIN_CLIENT_SEQUENCES: usize = 64;
 
@@ -50,7 +52,7 @@
     rejected: DecayingSum,
 }
 
-/// Why a sequence was not admitted.
+/// The reason why a sequence was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityError {
     /// The gateway has no capacity left for a sequence of this priority.
--- a/gateway-core/src/client_connections.rs
+++ b/gateway-core/src/client_connections.rs
@@ -70,7 +70,7 @@
 /// The result of [`ConnectionTable::accept`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// Whether the new connection is admitted.
+    /// The decision on the new connection.
     pub admission: Admission,
     /// The connection that the caller has to close to make room for the new one.
     pub evicted: Option<ConnectionId>,
--- a/gateway-core/src/error_response.rs
+++ b/gateway-core/src/error_response.rs
@@ -1,8 +1,8 @@
 //! The error that a client gets instead of an answer, and whether the client may retry automatically.
 //!
 //! Every API encodes these errors in its own protocol, but this module alone decides which of them may be retried. An
-//! error permits a retry only if nothing ran. After an abort the work may have run, so no API may encode an abort as an
-//! error that clients retry automatically.
+//! error permits a retry only if no work ran that must not run twice. After an abort such work may have run, so no API
+//! may encode an abort as an error that clients retry automatically.
 
 use crate::FailureReason;
 use crate::buffered::{FinalAnswer, Rejection};
@@ -15,7 +15,7 @@
 /// Tells whether a client may retry automatically after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// Nothing ran: a retry is safe after this time, in nanoseconds.
+    /// No work ran that must not run twice: a retry is safe after this time, in nanoseconds.
     After(Nanos),
     /// Nothing ran, but the unchanged request would fail again: it has to be corrected first.
     AfterCorrection,
@@ -23,10 +23,10 @@
     Never,
 }
 
-/// Why a request was not answered.
+/// The reason why a request was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCause {
-    /// The request was admitted, and rejected before anything ran.
+    /// The request was admitted, and then rejected: no work ran that must not run twice.
     Rejected(FailureReason),
     /// The request was aborted after something may have run.
     Aborted(FailureReason),
@@ -76,9 +76,9 @@
 /// The error that a client gets instead of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Why the request was not answered.
+    /// The reason why the request was not answered.
     pub cause: ErrorCause,
-    /// Whether the client may retry.
+    /// The retry that the client is permitted, if any.
     pub retry: Retry,
 }
 
--- a/gateway-core/src/flow_control.rs
+++ b/gateway-core/src/flow_control.rs
@@ -104,7 +104,7 @@
         self.streams.remove(&stream);
     }
 
-    /// When to call [`FlowControl::stream_to_reset`] next; none while the window is not exhausted.
+    /// Time at which [`FlowControl::stream_to_reset`] has to be called next; none while the window is not exhausted.
     pub fn next_timeout(&self) -> Option<Nanos> {
         self.blocked_since.map(|since| since + BLOCKED_TIMEOUT)
     }
--- a/gateway-core/src/graceful_shutdown.rs
+++ b/gateway-core/src/graceful_shutdown.rs
@@ -23,8 +23,8 @@
 /// Time before the kill at which the last stream is migrated, in nanoseconds. The next gateway may get its stop signal
 /// right after this gateway has exited, and must have time to resume the stream before that.
 const MIGRATION_MARGIN: Nanos = 1_100 * MILLISECOND;
-/// Time before the kill at which the last stream is migrated while no other gateway is available, in nanoseconds. It is
-/// shorter, since another gateway may be available again by then.
+/// Time before the kill at which the last stream is migrated while no other gateway is available, in nanoseconds. This
+/// margin is shorter than [`MIGRATION_MARGIN`], since another gateway may have become available again by then.
 const LATE_MIGRATION_MARGIN: Nanos = 600 * MILLISECOND;
 /// Time before the kill from which new requests are rejected, in nanoseconds.
 const ACCEPT_MARGIN: Nanos = 900 * MILLISECOND;
@@ -88,26 +88,27 @@
     Unavailable,
 }
 
-/// When running streams are migrated, as times since the stop signal in nanoseconds.
+/// The period in which running streams are migrated, as times since the stop signal in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MigrationWindow {
-    /// When the first stream may be ended.
+    /// Time from which streams may be ended.
     pub start: Nanos,
-    /// When the last stream is ended.
+    /// Time at which the last stream is ended.
     pub end: Nanos,
 }
 
 /// The schedule of a shutdown, as times since the stop signal in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// When running streams are ended for their clients to resume at another gateway; none if clients don't resume
-    /// streams.
+    /// The period in which running streams are ended so that their clients resume them at another gateway; none if
+    /// clients don't resume streams.
     pub migrate_streams: Option<MigrationWindow>,
     /// The time until which new requests are accepted.
     pub accept_until: Nanos,
-    /// When requests that are still in flight are ended; none if they may run to their end.
+    /// The time at which requests that are still in flight are ended; none if these requests may run to their end.
     pub terminate_at: Option<Nanos>,
-    /// When the process has to have exited, whatever is still in flight; none if requests may run to their end.
+    /// The time by which the process has to have exited, whatever is still in flight; none if requests may run to
+    /// their end.
     pub exit_by: Option<Nanos>,
 }
 
--- a/gateway-core/src/http2_abuse.rs
+++ b/gateway-core/src/http2_abuse.rs
@@ -180,7 +180,7 @@
         self.detected
     }
 
-    /// When to call [`AbuseDetector::on_timeout`] next.
+    /// Time at which [`AbuseDetector::on_timeout`] has to be called next.
     pub fn next_timeout(&self) -> Nanos {
         match (self.calls, self.pinged_at) {
             (0, _) => self.last_call_ended.max(self.last_frame) + IDLE_TIMEOUT,
--- a/gateway-core/src/idempotency.rs
+++ b/gateway-core/src/idempotency.rs
@@ -22,13 +22,13 @@
 /// An idempotency key, which belongs to a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdempotencyKey {
-    /// The unique name of the tenant.
+    /// A text that identifies the tenant. No other tenant has the same text.
     pub tenant: String,
     /// The key, as chosen by the tenant.
     pub key: String,
 }
 
-/// How a request with a key ended. `E` is the final answer of the gateway.
+/// The result of a request with a key. `E` is the type of the gateway's final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CompletedRequest<E> {
     /// The answer is stored.
--- a/gateway-core/src/ingress_limits.rs
+++ b/gateway-core/src/ingress_limits.rs
@@ -9,7 +9,7 @@
 
 /// Share of the maximum connections, and of the maximum bytes, that one address may hold.
 const MAX_ADDRESS_SHARE: f64 = 0.5;
-/// Number of connections that one address may always hold, however small its share is.
+/// The minimum limit on the connections of one address, however small its share is.
 const MIN_CONNECTIONS_PER_ADDRESS: usize = 64;
 /// The maximum size of all bodies together, as a multiple of the maximum size of one body.
 const MAX_BODIES: usize = 64;
@@ -30,7 +30,7 @@
     by_address: BTreeMap<u64, Usage>,
 }
 
-/// Why a connection or further bytes of a body are rejected.
+/// The reason why a connection or further bytes of a body are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IngressError {
     /// The body exceeds the size limit of one body.
--- a/gateway-core/src/invariants.rs
+++ b/gateway-core/src/invariants.rs
@@ -1,12 +1,12 @@
-//! Run-time checks of the invariants. A count above zero is a fault of this program, whatever the traffic. A runtime
-//! logs the counts together with its other counts.
+//! Run-time checks of the invariants. A count above zero is a fault of this program, whatever the traffic. The runtime
+//! of the passthrough request table logs the counts together with its other counts.
 
 use crate::attempt_outcome::is_open;
 use petrelshore::attempt_history::{first_possible_run, first_possible_run_of};
 use petrelshore::interface::{Attempt, AttemptStatus, Idempotency, Nanos, Sequence, Step};
 use std::collections::BTreeMap;
 
-/// A final answer is late if it is given more than this time after the client's deadline. In nanoseconds.
+/// A final answer is late if it is given more than this time after the client's deadline, in nanoseconds.
 const ANSWER_TOLERANCE: Nanos = 500_000_000;
 /// A release is late if it happens more than this time after the release timeout, in nanoseconds. The tolerance is for
 /// the turn of the event loop that a release needs.
--- a/gateway-core/src/policy/baseline.rs
+++ b/gateway-core/src/policy/baseline.rs
@@ -23,7 +23,7 @@
     endpoints: BTreeMap<ServerId, Endpoint>,
 }
 
-/// Whether a client may safely retry a failed request.
+/// Tells whether a client may safely retry a failed request.
 #[derive(Clone, Copy)]
 enum ClientRetry {
     /// The request has not run, or may run again.
--- a/gateway-core/src/request_manager/expiry.rs
+++ b/gateway-core/src/request_manager/expiry.rs
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Handles the expired timer of a sequence: its attempt timed out, its stream made no progress, or the sequence is
-    /// scheduled again.
+    /// Handles the expired timer of a sequence: its attempt timed out, its stream made no progress or exceeded its
+    /// completion deadline, or the sequence is scheduled again.
     fn timer_expired(&mut self, now: Nanos, id: SequenceId, actions: &mut Vec<Action>) {
         let Some(tracked) = self.sequences.get(&id) else { return };
         let Some(attempt) = tracked.sequence.attempts.len().checked_sub(1) else {
--- a/gateway-core/src/request_table/buffered/message.rs
+++ b/gateway-core/src/request_table/buffered/message.rs
@@ -108,13 +108,14 @@
 pub enum Admission {
     /// The request is in flight and gets a final answer.
     Accepted(SequenceId),
-    /// An earlier request with the same idempotency key has ended; its stored answer is replayed.
+    /// An earlier request with the same idempotency key has ended. Its stored answer is replayed, or an abort if the
+    /// answer is not stored.
     Replayed {
         /// An id for the replayed answer.
         id: SequenceId,
-        /// The complete text of the stored answer.
+        /// The complete text of the stored answer; empty if the answer is not stored.
         text: Rc<str>,
-        /// The stored final answer.
+        /// The final answer that is replayed.
         last: FinalAnswer,
     },
     /// The request was not accepted.
