--- a/platform-engine-client/src/exchange.rs
+++ b/platform-engine-client/src/exchange.rs
@@ -17,7 +17,7 @@
 /// limit, the stated time is outdated, so the request is aborted before its last byte is written.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
-/// Where and under which conditions a request is sent.
+/// The destination of a request, and the conditions under which the request is sent.
 #[derive(Clone, Copy)]
 pub(crate) struct Route<'a> {
     /// The address of the model server.
@@ -90,8 +90,8 @@
         usable.then(|| self.check_out(route.address)).flatten()
     }
 
-    /// Sends a request over a pooled connection. Returns `None` if, before the request was completely written, the
-    /// connection broke or the server failed to answer a probe on it or closed it after the probe.
+    /// Sends a request over a pooled connection. Returns `None` if the server did not answer the probe or closed the
+    /// connection after the probe, or if the connection broke before the request was completely written.
     pub(crate) async fn exchange_on_pooled(
         &self,
         route: &Route<'_>,
--- a/platform-engine-client/src/request.rs
+++ b/platform-engine-client/src/request.rs
@@ -38,8 +38,8 @@
     pub probe: Option<LivenessProbe>,
     /// True if the request must not use a pooled connection.
     pub new_connection: bool,
-    /// Checks whether the request may still be sent. It is called at the start of the exchange and again right before
-    /// the first byte is written.
+    /// Checks whether the request may still be sent. The check is called at the start of the exchange and again right
+    /// before the first byte is written.
     pub send_check: SendCheck,
     /// The progress of the exchange, which can still be read after the exchange has been cancelled.
     pub trace: Rc<ExchangeTrace>,
--- a/platform-engine-client/tests/server_behaviour/sending.rs
+++ b/platform-engine-client/tests/server_behaviour/sending.rs
@@ -21,8 +21,8 @@
     let server = ModelServer::start(false, ServerBehavior::Good).unwrap();
     let client = client(4);
     async_io::block_on(async {
-        // The send check runs before a connection is established and again after that. It denies from the first or from
-        // the second call on.
+        // The send check runs before a connection is established and again after that. The check denies from
+        // the first or from the second call on.
         for denied_from in [0, 1] {
             let checks = Rc::new(Cell::new(0));
             let send_check = Rc::new(move || match checks.replace(checks.get() + 1) >= denied_from {
@@ -83,7 +83,8 @@
                 AttemptEnd::NotSent.proves_not_run()
                     && AttemptEnd::NotSent.outcome(false) == Outcome::NeverSent
             );
-            // The unused connection is in the pool. The call closes it, and the server has received nothing on it.
+            // Closes the unused connection, which is in the pool. The server must have received nothing on this
+            // connection.
             client.retain_endpoints(|_| false);
             assert_eq!(read_to_end(stream), b"", "release: {release}");
         });
@@ -165,12 +166,12 @@
     let address = listener.local_addr().unwrap();
     let large = Bytes::from(vec![b' '; 16 << 20]);
     let stuck = AttemptRequest { body: large, ..request_holding_cache(address) };
-    // On a new connection, which the server's machine establishes although no process reads from it.
+    // Sends on a new connection. The server's machine establishes the connection although no process reads from it.
     let new = client(4);
     let unprobed = AttemptRequest { probe: None, body: stuck.body.clone(), ..request_holding_cache(address) };
     let ended = prefill_within(&new, &unprobed, Duration::from_secs(2));
     assert_eq!(ended, (Some(AttemptEnd::NotConnected), false));
-    // On a pooled connection.
+    // Sends on a pooled connection.
     let pooled = client(4);
     let (first, finished) = (request(address), async_channel::bounded::<()>(1));
     let server = std::thread::spawn(move || {
--- a/platform-gateway/src/answer.rs
+++ b/platform-gateway/src/answer.rs
@@ -21,8 +21,8 @@
     FinalAnswer(FinalAnswer),
 }
 
-/// The answer to a request in flight. Dropping it before the final answer was read reports to the gateway that the
-/// client has left.
+/// The answer to a request in flight. Dropping the answer before the final answer was read reports to the gateway that
+/// the client has left.
 pub struct Answer {
     pub(crate) id: SequenceId,
     pub(crate) state: Rc<GatewayState>,
--- a/platform-gateway/src/attempts.rs
+++ b/platform-gateway/src/attempts.rs
@@ -35,7 +35,7 @@
     /// The attempt ended, which must be reported to the request table.
     Ended(AttemptEnd),
     /// The ingress no longer reads the answer: the client has left or has its final answer. Nothing is reported, since
-    /// the request table already knows.
+    /// the request table already knows that the answer has ended.
     AnswerClosed,
 }
 
--- a/platform-gateway/src/discovery.rs
+++ b/platform-gateway/src/discovery.rs
@@ -27,8 +27,8 @@
 // the end of the previous watch.
 
 /// The maximum time that a watch request asks the agent to wait for changes. The time is short because a lost change or
-/// a silent agent is noticed only when the request ends. It is also limited to `WATCH_TIMEOUT_DRAIN_GRACES` times the
-/// drain grace.
+/// a silent agent is noticed only when the request ends. The time is also limited to `WATCH_TIMEOUT_DRAIN_GRACES` times
+/// the drain grace, but is at least `REQUEST_TIMEOUT`.
 const MAX_WATCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 const WATCH_TIMEOUT_DRAIN_GRACES: u32 = 2;
 /// Timeout of a request that does not ask the agent to wait. The agent answers such a request at once.
--- a/platform-gateway/src/event_log.rs
+++ b/platform-gateway/src/event_log.rs
@@ -108,8 +108,9 @@
         }
     }
 
-    /// Logs the end of a release request: within the budget as delayed if no server answered, or if the answer took the
-    /// relay interval or longer; as finished otherwise.
+    /// Logs the end of a release request. The release is logged as delayed if no server answered or if the answer took
+    /// the relay interval or longer, as long as the budget for delayed releases lasts. Any other release is logged as
+    /// finished.
     pub(crate) fn log_release(&self, release: &CacheRelease, sent_at: Nanos, answered_by: Option<ServerId>) {
         let elapsed = self.event_loop.now().saturating_sub(sent_at);
         let within_relay_interval = elapsed < self.event_loop.requests().relay_interval();
--- a/platform-gateway/src/gateway.rs
+++ b/platform-gateway/src/gateway.rs
@@ -91,7 +91,7 @@
         Ok(Answer { id, state: state.clone(), events, final_answer, completed: false })
     }
 
-    /// Number of requests in the request table, answered or not.
+    /// Number of requests in the request table: requests in flight, and answered requests for which work remains.
     pub fn tracked(&self) -> usize {
         self.0.event_loop.requests().tracked()
     }
--- a/platform-gateway/src/state.rs
+++ b/platform-gateway/src/state.rs
@@ -39,7 +39,7 @@
 /// State shared by the tasks of one gateway and by the ingress, all on one thread. No task may hold a borrow across an
 /// await.
 pub(crate) struct GatewayState {
-    /// The request table with its clock and timer. Every task applies its events to it.
+    /// The request table with its clock and timer. Every task applies its events to the table.
     pub(crate) event_loop: EventLoop<Requests>,
     pub(crate) spawner: Spawner,
     pub(crate) client: Client,
--- a/platform-ingress/src/failure.rs
+++ b/platform-ingress/src/failure.rs
@@ -54,7 +54,8 @@
 }
 
 impl CloseReason {
-    /// Returns whether the gateway closes the connection by its own decision, which the client can't influence.
+    /// Returns true if the gateway closes the connection by its own decision. The other reasons are ordinary: the
+    /// client closed the connection or left it idle, the response announced the close, or the gateway shuts down.
     pub(crate) fn is_own_decision(self) -> bool {
         match self {
             CloseReason::ClientClosed
--- a/platform-ingress/src/registry.rs
+++ b/platform-ingress/src/registry.rs
@@ -26,9 +26,9 @@
 /// The divisor of the memory size that gives the limit on bytes that clients send behind their open requests, over all
 /// connections.
 const PIPELINE_MEMORY_DIVISOR: usize = 8;
-/// The upper bound of the limit on these bytes for one connection.
+/// The upper bound of the limit on the bytes that one client sends behind its open request.
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
-/// The lower bound of the same limit.
+/// The lower bound of the limit on the bytes that one client sends behind its open request.
 const MIN_PIPELINED_BYTES: usize = 4 << 10;
 /// The maximum size of a request body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 256 << 10;
--- a/platform-protocol/src/config.rs
+++ b/platform-protocol/src/config.rs
@@ -37,9 +37,9 @@
     pub drain_grace: Nanos,
     /// The time after which a model server closes an idle connection, in nanoseconds.
     pub idle_for: Nanos,
-    /// Whether clients request the rest of an answer whose stream broke.
+    /// The clients' support for requesting the rest of an answer whose stream broke.
     pub client_resumption: ClientResumption,
-    /// Whether the gateway may send health checks to model servers.
+    /// True if the gateway may send health checks to model servers.
     pub health_checks_allowed: bool,
     /// The longest time that a client of any traffic type waits for its first token, in nanoseconds.
     pub longest_abandon: Nanos,
--- a/platform-protocol/src/endpoint_list.rs
+++ b/platform-protocol/src/endpoint_list.rs
@@ -21,7 +21,7 @@
 pub struct EndpointList {
     /// The version of the list, which grows with each change.
     pub index: u64,
-    /// Whether the list is full or contains only changes.
+    /// The scope of the list, which is either full or contains only changes.
     pub scope: SnapshotKind,
     /// The entries that could be decoded.
     pub entries: Vec<ListedEndpoint>,
--- a/platform-protocol/tests/deployment_names.rs
+++ b/platform-protocol/tests/deployment_names.rs
@@ -32,7 +32,8 @@
                "type": (self.rename)(kind), "group": n / 4, "status": status, "weight": 1.0, "since_ms": 0})
     }
 
-    /// The order of the servers is the same in each variant, because random choices between equal servers depend on it.
+    /// Builds the configuration of this variant. The order of the servers is the same in each variant, because random
+    /// choices between equal servers depend on this order.
     fn config(&self) -> Config {
         let lane = |name: &str, worth: f64, aim: u64, limit: u64, semantics: &str| {
             json!({"name": (self.rename)(name), "worth": worth, "aim": aim * MILLISECOND, "hardLimit": limit * MILLISECOND,
