--- a/chat-api/src/request.rs
+++ b/chat-api/src/request.rs
@@ -10,7 +10,7 @@
 pub struct ChatRequest {
     /// The call for the gateway.
     pub call: Call,
-    /// Whether a stream ends with a chunk that gives the token usage.
+    /// True if a stream ends with a chunk that gives the token usage.
     pub include_usage: bool,
 }
 
@@ -78,7 +78,8 @@
     Ok(())
 }
 
-/// Whether the value of an unsupported field requests the feature, rather than meaning the same as an absent field.
+/// Returns true if the value of an unsupported field requests the feature, and false if the value means the same as an
+/// absent field.
 fn requests_feature(value: &Value) -> bool {
     match value {
         Value::Null | Value::Bool(false) => false,
--- a/chat-gateway/src/attempts.rs
+++ b/chat-gateway/src/attempts.rs
@@ -145,7 +145,7 @@
         self.apply(|requests, now, commands| requests.attempt_ended(now, &dispatch, end, commands));
     }
 
-    /// Takes the task of an attempt out of its request's entry, if this attempt is the one in flight.
+    /// Takes the task of an attempt out of its request's entry, if this attempt is in flight.
     pub(crate) fn take_attempt_task(&self, id: SequenceId, attempt: usize) -> Option<Task<()>> {
         let mut entries = self.entries.borrow_mut();
         entries.get_mut(&id).and_then(|entry| entry.attempt.take(attempt))
--- a/chat-gateway/src/gateway.rs
+++ b/chat-gateway/src/gateway.rs
@@ -127,7 +127,7 @@
         wait_until(&self.0.draining, || self.is_draining()).await;
     }
 
-    /// Returns whether new requests are rejected because the gateway is draining.
+    /// Returns true if new requests are rejected because the gateway is draining.
     pub fn is_draining(&self) -> bool {
         self.0.event_loop.requests().is_draining()
     }
--- a/chat-gateway/src/releases.rs
+++ b/chat-gateway/src/releases.rs
@@ -19,8 +19,8 @@
         self.spawner.run(async move {
             let outcome = state.client.release(address, &release.request_id, timeout).await;
             state.log_release(&release, outcome);
-            // A failed request, such as one without a connection in time, does not show whether the server still holds
-            // the KV cache.
+            // A failed request, such as a request that got no connection in time, does not show whether the server
+            // still holds the KV cache.
             if outcome.is_ok() {
                 state.release_finished(&release, ReleaseOutcome::Acknowledged);
             }
--- a/engine-client/src/sse.rs
+++ b/engine-client/src/sse.rs
@@ -1,6 +1,7 @@
 //! Parsing of server-sent events, in bounded memory.
 
-/// The maximum size of the data of one event, and of one line. The parser buffers at most twice this size.
+/// The maximum size of the data of one event, and of a line whose end has not been received. The parser buffers at most
+/// twice this size of unparsed bytes.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// An incremental parser that splits a byte stream, received in parts of any size, into the data of its events.
--- a/engine-client/src/wire_format.rs
+++ b/engine-client/src/wire_format.rs
@@ -113,7 +113,7 @@
 }
 
 impl Chunk {
-    /// Returns whether this event reports an error of the server.
+    /// Returns true if this event reports an error of the server.
     pub(crate) fn is_error(&self) -> bool {
         self.error.is_some()
     }
--- a/engine-client/tests/attempt_ends.rs
+++ b/engine-client/tests/attempt_ends.rs
@@ -1,5 +1,5 @@
-//! Tests which end the client reports for each attempt at a scripted server, and whether this end proves that the
-//! attempt did not run.
+//! Tests of the end that the client reports for each attempt at a scripted server. The tests also check which ends
+//! prove that the attempt did not run.
 
 use async_executor::LocalExecutor;
 use async_net::{TcpListener, TcpStream};
--- a/grpc-api/src/frame_observer.rs
+++ b/grpc-api/src/frame_observer.rs
@@ -173,7 +173,7 @@
         rest
     }
 
-    /// The frame in the buffer; none until its header and, for a window update, its increment are complete.
+    /// The frame in the buffer; `None` until its header and, for a window update, its increment are complete.
     fn frame(&self) -> Option<Frame> {
         let buffer = &self.buffer;
         let length = usize::from(buffer[0]) << 16 | usize::from(buffer[1]) << 8 | usize::from(buffer[2]);
--- a/grpc-api/src/health.rs
+++ b/grpc-api/src/health.rs
@@ -12,7 +12,7 @@
 /// Interval at which the status is polled, since changes of the list of servers send no notification.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The status of the gateway itself, under the empty name, or of the chat service; none for any other service.
+/// The status of the gateway itself, under the empty name, or of the chat service; `None` for any other service.
 fn serving_status(gateway: &Gateway, service: &str) -> Option<ServingStatus> {
     match service {
         "" | SERVICE if gateway.is_draining() || gateway.servers() == 0 => Some(ServingStatus::NotServing),
--- a/grpc-api/src/message.rs
+++ b/grpc-api/src/message.rs
@@ -42,7 +42,8 @@
         RequestStream { stream, buffer: BytesMut::new(), reservation }
     }
 
-    /// Receives the next message; none if the client has ended its side of the stream before the message began.
+    /// Receives the next message. Returns `None` if the client has ended its side of the stream before the message
+    /// began.
     pub async fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, RpcError> {
         while self.buffer.len() < PREFIX_BYTES {
             if self.read_more().await? {
--- a/grpc-api/src/responder.rs
+++ b/grpc-api/src/responder.rs
@@ -28,7 +28,7 @@
     respond: SendResponse<Bytes>,
     /// The body of the response, once the head has been sent.
     body: Option<SendStream<Bytes>>,
-    /// The time at which a call without a complete answer is aborted; none if the client has set no timeout.
+    /// The time at which a call without a complete answer is aborted; `None` if the client has set no timeout.
     pub completion_deadline: Option<Nanos>,
 }
 
--- a/ingress/src/call.rs
+++ b/ingress/src/call.rs
@@ -183,7 +183,7 @@
 }
 
 /// Renders the conversation as one prompt. Earlier turns come first, so that the prompt of a longer history begins with
-/// the prompt of a shorter one.
+/// the prompt of a shorter history.
 fn render_prompt(messages: &[ChatMessage]) -> String {
     let bytes = messages.iter().map(|message| message.text.len() + MESSAGE_MARKER_BYTES).sum();
     let mut prompt = String::with_capacity(bytes);
--- a/ingress/src/listener.rs
+++ b/ingress/src/listener.rs
@@ -95,7 +95,7 @@
                     debug!(%error, "accept failed");
                     self.mark_backlog();
                     match classify_accept(&error) {
-                        // Other tasks get their turn, however many accepts fail in a row.
+                        // Yields, so that other tasks run even if many accepts fail in a row.
                         FailureClass::Immediate => future::yield_now().await,
                         _ => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
                     }
--- a/ingress/src/metadata.rs
+++ b/ingress/src/metadata.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Returns the tenant whose API key a call carries. If no tenant has this key, or if the call carries none, returns
-/// `None` where the settings allow anonymous calls, and an error otherwise.
+/// Returns the tenant whose API key a call carries. If no tenant has this key, or if the call carries no key,
+/// returns `None` where the settings allow anonymous calls, and an error otherwise.
 pub fn authenticate(settings: &Settings, metadata: &CallMetadata) -> Result<Option<TenantId>, RequestError> {
     let api_key = metadata.api_key();
     match api_key.and_then(|api_key| settings.tenant(api_key)) {
--- a/ingress/src/stall.rs
+++ b/ingress/src/stall.rs
@@ -13,7 +13,7 @@
 pub struct StallGuard {
     stream: RetryingStream<TcpStream>,
     timeout: Duration,
-    /// Runs while a write or flush is pending.
+    /// The timer of the pending write or flush; `None` if no write or flush is pending.
     timer: Option<Timer>,
 }
 
--- a/inventory/src/endpoint_list.rs
+++ b/inventory/src/endpoint_list.rs
@@ -19,7 +19,7 @@
     pub zone: String,
     /// The capacity relative to other servers of the same kind.
     pub weight: f64,
-    /// Whether the server is draining: it receives no new requests.
+    /// True if the server is draining: it receives no new requests.
     pub draining: bool,
 }
 
--- a/inventory/src/membership.rs
+++ b/inventory/src/membership.rs
@@ -13,7 +13,7 @@
 /// An update of the endpoint list for the scheduler.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Whether the entries are a full list, a cached list or only the endpoints that changed.
+    /// The scope of the entries: a full list, a cached list or only the endpoints that changed.
     pub scope: SnapshotKind,
     /// The endpoints of the list, or only the endpoints that changed.
     pub entries: Vec<Endpoint>,
--- a/prefix-index/src/event_feed.rs
+++ b/prefix-index/src/event_feed.rs
@@ -13,7 +13,7 @@
 const MAX_EARLY_BATCHES: usize = 256;
 /// Time after which a replay is requested again if it has not closed the gap, in nanoseconds.
 const REPLAY_TIMEOUT: Nanos = 1_000_000_000;
-/// The maximum number of replay requests for a gap.
+/// The maximum number of replay requests for a gap. The gap is given up after the last request has timed out.
 const MAX_REPLAY_REQUESTS: u32 = 3;
 
 /// A change of a server's cache, as the server reports it.
@@ -117,7 +117,7 @@
         vec![FeedAction::DropServer]
     }
 
-    /// Returns whether the index reflects the server's cache: no gap between batches is open.
+    /// Returns true if the index reflects the server's cache, because no gap between batches is open.
     pub fn is_consistent(&self) -> bool {
         self.early_batches.is_empty()
     }
--- a/prefix-index/src/index.rs
+++ b/prefix-index/src/index.rs
@@ -17,7 +17,7 @@
 const INITIAL_CAPACITY: usize = 1 << 10;
 /// The maximum load factor of the table, in eighths.
 const MAX_LOAD_EIGHTHS: usize = 6;
-/// The maximum number of entries that are examined to evict one.
+/// The maximum number of entries that are examined to evict one entry.
 const MAX_EVICTION_PROBES: usize = 64;
 /// Multiplier of Fibonacci hashing, which spreads hashes over all bits: 2^64 divided by the golden ratio.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -176,7 +176,7 @@
         self.sets.members(self.set_ids[at] & !REFERENCED)
     }
 
-    /// Removes the slots of cleared servers from the sets of at most `max_entries` table positions. Returns whether
+    /// Removes the slots of cleared servers from the sets of at most `max_entries` table positions. Returns true if
     /// there is more to sweep.
     pub fn sweep(&mut self, max_entries: usize) -> bool {
         if self.sweeping.is_empty() {
@@ -199,7 +199,7 @@
         true
     }
 
-    /// Removes the slots of the current sweep from the set of an entry. Returns whether the entry was erased.
+    /// Removes the slots of the current sweep from the set of an entry. Returns true if the entry was erased.
     fn sweep_entry(&mut self, at: usize) -> bool {
         if self.hashes[at] == 0 {
             return false;
--- a/prefix-index/tests/index.rs
+++ b/prefix-index/tests/index.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Runs 600 random steps. Returns whether the index agrees with the reference model in a lookup of a random prompt
+/// Runs 600 random steps. Returns true if the index agrees with the reference model in a lookup of a random prompt
 /// after each step, and in the number of blocks after a full sweep.
 fn agrees_with_reference_model(seed: u64) -> bool {
     let mut random = Rand64::new(seed.into());
--- a/settings/src/records.rs
+++ b/settings/src/records.rs
@@ -59,7 +59,7 @@
     Combined,
 }
 
-/// Whether a request may run more than once.
+/// The idempotency of a traffic type, which determines if a request may run more than once.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 pub(crate) enum IdempotencyRecord {
     #[serde(rename = "repeatable")]
--- a/settings/src/settings.rs
+++ b/settings/src/settings.rs
@@ -31,7 +31,7 @@
     pub tenants: Vec<String>,
     /// The tenant of each bearer key.
     pub keys: BTreeMap<String, TenantId>,
-    /// Whether requests without a known key are served. These requests belong to no tenant.
+    /// True if requests without a known key are served. These requests belong to no tenant.
     pub allow_anonymous: bool,
     /// The limits on what the gateway admits.
     pub limits: Limits,
@@ -52,7 +52,7 @@
     pub abandon_time: Nanos,
     /// The maximum number of tokens in an answer.
     pub max_tokens: u32,
-    /// Whether a request may run more than once.
+    /// The idempotency of the traffic type, which determines if a request may run more than once.
     pub idempotency: Idempotency,
 }
 
