--- a/bench-adapter/src/event.rs
+++ b/bench-adapter/src/event.rs
@@ -55,7 +55,7 @@
     Request(NewSequence),
     /// The first token of an attempt arrived.
     FirstToken { id: SequenceId, attempt: usize },
-    /// An attempt ended. `is_last` if no further attempt of the sequence may follow.
+    /// An attempt ended. `is_last` is true if no further attempt of the sequence may follow.
     AttemptFinished { id: SequenceId, attempt: usize, outcome: Outcome, is_last: bool, load: ServerLoad },
     /// A client cancelled its request.
     ClientCancelled(SequenceId),
--- a/bench-adapter/src/session.rs
+++ b/bench-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! A run of the adapter: reads batches of messages and writes the replies to each.
+//! A run of the adapter: reads batches of messages and writes the replies to each batch.
 
 use crate::error::{AdapterError, WireError};
 use crate::event::Configuration;
--- a/capacity/src/fleet/measures.rs
+++ b/capacity/src/fleet/measures.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Counts that are updated while a simulation runs.
+/// Counts that are updated while a simulation runs. Requests of the warm-up, and requests whose deadline is not before
+/// the end of the simulation, are only included in `rules_broken`.
 #[derive(Default)]
 pub struct Counts {
     /// Number of requests.
--- a/capacity/src/fleet/servers.rs
+++ b/capacity/src/fleet/servers.rs
@@ -1,8 +1,8 @@
 //! Simulates simplified model servers in virtual time.
 //!
 //! A prefill server processes one prompt at a time and skips the tokens in its prefix cache. A decode server generates
-//! all its streams concurrently; each further stream increases the token interval of the streams. It rejects a request
-//! whose tokens do not fit its memory.
+//! all its streams concurrently; the token interval of a new stream grows with the number of streams. A decode server
+//! rejects a request whose tokens do not fit its memory.
 
 use crate::inventory::{MEMORY_TOKENS, MILLISECOND};
 use petrelshore::interface::{CellId, Deployment, Endpoint, EndpointState, LoadReport, Nanos, ZoneId};
--- a/capacity/src/fleet/simulation/actions.rs
+++ b/capacity/src/fleet/simulation/actions.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Handles the final response to a request. Each request must get exactly one final response in time: a second or a
-    /// late response is counted as a violation.
+    /// Handles the final response to a request. Each request must get exactly one final response in time. A second
+    /// response is counted as a violation, and so is a late response to a request without a first token.
     fn finish_request(&mut self, now: Nanos, id: SequenceId, response: FinalResponse) {
         let Some(open) = self.open_requests.remove(&id) else {
             self.counts.rules_broken += 1;
--- a/capacity/src/inventory.rs
+++ b/capacity/src/inventory.rs
@@ -32,7 +32,7 @@
     pub tenants: usize,
     /// The quota of each tenant, in requests per second over all gateways.
     pub tenant_rate: f64,
-    /// How long a server is in slow start after it has started.
+    /// The time for which a server is in slow start after its start, in nanoseconds.
     pub slow_start: Nanos,
 }
 
@@ -94,8 +94,8 @@
     }
 }
 
-/// Generates an endpoint list of `servers` servers. A share of `slow_start_share` of them started at `started_at`, the
-/// others at time 0.
+/// Generates an endpoint list of `servers` servers. The share `slow_start_share` of the servers started at
+/// `started_at`, the other servers at time 0.
 pub fn fleet(servers: u64, slow_start_share: f64, started_at: Nanos) -> Vec<Endpoint> {
     let in_slow_start = |number: u64| {
         ((number + 1) as f64 * slow_start_share).floor() > (number as f64 * slow_start_share).floor()
--- a/capacity/src/slopes.rs
+++ b/capacity/src/slopes.rs
@@ -118,7 +118,7 @@
     pub rate: f64,
     /// Mean time to handle a request, in microseconds.
     pub us_per_request: f64,
-    /// The ratio of that time to the time of the reference loop, measured in the same run.
+    /// The ratio of `us_per_request` to the time of the reference loop, measured in the same run.
     pub against_reference: f64,
     /// Mean number of servers examined per request.
     pub examined: f64,
--- a/e2e/src/auditor/draining.rs
+++ b/e2e/src/auditor/draining.rs
@@ -1,5 +1,5 @@
-//! Rule 3: a gateway sends no new request to a draining server. Requests may arrive for a grace period after the
-//! gateway was notified of the drain.
+//! Rule 3: a gateway sends no new request to a server that drains or is no longer listed. Requests may arrive for a
+//! grace period after the gateway was notified of the change.
 
 use super::{Bounds, DRAINING_RULE, MILLISECOND, Verdict, gateway_name};
 use petrelshore_emulator::record::{Entry, Event, Nanos};
--- a/e2e/src/auditor/duplicates.rs
+++ b/e2e/src/auditor/duplicates.rs
@@ -54,7 +54,7 @@
     format!("at-most-once request {request} arrived at {server} after {} may have executed it", first.server)
 }
 
-/// Describes why an idempotency key doesn't cover a retry; `None` if it does.
+/// Describes why an idempotency key doesn't cover a retry; `None` if the key covers the retry.
 fn uncovered_retry(history: &History, first: &Arrival, arrival: &Arrival, until: Nanos) -> Option<String> {
     let (request, server) = (arrival.request, arrival.server);
     if history.cells.get(server) != history.cells.get(first.server) {
--- a/e2e/src/client.rs
+++ b/e2e/src/client.rs
@@ -131,7 +131,7 @@
         self.tokens += tokens;
     }
 
-    /// Returns the outcome for the error code, if there is one.
+    /// Returns the outcome for the error code; `None` if the response has no error code.
     pub fn outcome_by_code(&self) -> Option<FinalOutcome> {
         Some(match self.code.as_deref()? {
             "rejected" => FinalOutcome::Rejected,
--- a/e2e/src/rehearse/traffic.rs
+++ b/e2e/src/rehearse/traffic.rs
@@ -32,7 +32,7 @@
 /// The random choices for one request.
 struct RequestPlan {
     question: String,
-    /// The time after which the client disconnects early, if it does.
+    /// The time after which the client disconnects early; `None` if the client doesn't disconnect early.
     disconnects_after: Option<Duration>,
     /// The index of the gateway for the first attempt.
     gateway: usize,
--- a/e2e/tests/grpc_cases.rs
+++ b/e2e/tests/grpc_cases.rs
@@ -81,7 +81,8 @@
 }
 
 impl GrpcConnection {
-    /// Sends one message and returns all messages of the response. The response has none if its status is an error.
+    /// Sends one message and returns all messages of the response. A response whose status is an error has no
+    /// messages.
     async fn request_messages<R: Message + Default>(
         &mut self,
         path: &str,
@@ -148,8 +149,8 @@
 #[test]
 fn grpc_deadline_aborts_the_call() {
     run_case("grpc-deadline", "", |testbed| async move {
-        // The first deadline passes before a decode server has the request, the second one while the answer is
-        // streamed.
+        // The first deadline passes before a decode server has read the request, the second deadline while the answer
+        // is streamed.
         testbed.set_fault("writer", Fault::Hangs);
         let before_decode = testbed.send(chat(5).with("grpc-timeout", "400m"), CLIENT_TIMEOUT).await;
         assert!(
