--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -24,9 +24,9 @@
     Io { subject: String, source: io::Error },
     /// Emulated model servers, or a load or rehearsal against them, failed.
     Emulation(String),
-    /// A rehearsal found this number of rule violations.
+    /// The number of rule violations that a rehearsal found.
     RulesBroken(usize),
-    /// This number of sequences and KV caches was still present after a rehearsal.
+    /// The total number of sequences and KV caches that were left after a rehearsal.
     LeftBehind(usize),
 }
 
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -70,7 +70,7 @@
     pub role: RoleName,
     pub listen: SocketAddr,
     pub name: String,
-    /// Whether the server starts in slow start.
+    /// True if the server starts in slow start.
     pub cold: bool,
     /// The number of answers that are decoded concurrently.
     pub slots: usize,
--- a/cli/tests/common/chat.rs
+++ b/cli/tests/common/chat.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Body of a prefill response; it tells decode servers where to fetch the KV cache.
+/// Returns the body of a prefill response, which tells decode servers where to fetch the KV cache.
 fn prefill_response(address: SocketAddr, id: &str) -> String {
     let transfer = serde_json::json!({
         "do_remote_prefill": true, "remote_request_id": id,
@@ -204,7 +204,7 @@
 pub struct ChatClient(TcpStream);
 
 impl ChatClient {
-    /// Returns whether the response completes, with no pause longer than `timeout`.
+    /// Returns true if the response completes with no pause longer than `timeout`.
     pub fn ends_within(mut self, timeout: Duration) -> bool {
         self.0.set_read_timeout(Some(timeout)).unwrap();
         let mut text = String::new();
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -233,7 +233,7 @@
         self.stream.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The socket, for writes that may fail because the gateway has closed the connection.
+    /// Returns the socket, for writes that may fail because the gateway has closed the connection.
     pub fn socket(&mut self) -> &mut TcpStream {
         self.stream.get_mut()
     }
@@ -247,7 +247,7 @@
         arrived.then(|| self.read_request().lines().next().unwrap_or_default().to_owned())
     }
 
-    /// Returns whether the gateway closes the connection within `time` without sending anything more.
+    /// Returns true if the gateway closes the connection within `time` without sending anything more.
     pub fn ends_within(&mut self, time: Duration) -> bool {
         self.stream.get_mut().set_read_timeout(Some(time)).unwrap();
         let ended = matches!(self.stream.fill_buf(), Ok([]));
--- a/cli/tests/connection_edges.rs
+++ b/cli/tests/connection_edges.rs
@@ -1,5 +1,5 @@
-//! Rare connection states of the `platform` sub-command. Each test forces the state: it plays the clients, the servers
-//! or the discovery agent, and takes its next step when it sees the previous one on its sockets.
+//! Rare connection states of the `platform` sub-command. Each test forces the state: the test plays the clients, the
+//! servers or the discovery agent, and takes its next step when its sockets show the effect of the previous step.
 
 mod common;
 
@@ -61,7 +61,8 @@
     }
 }
 
-/// Waits until the gateway has closed an idle connection.
+/// Waits until the gateway has closed or reset an idle connection, at most for `EVENT_TIMEOUT`, and asserts that the
+/// gateway sent nothing on the connection.
 fn expect_closed(stream: &mut TcpStream) {
     assert_eq!(stream.read(&mut [0; 64]).unwrap_or(0), 0, "the gateway sent bytes on an idle connection");
 }
@@ -196,7 +197,8 @@
     client.get_mut().set_nonblocking(true).unwrap();
     let _ = client.get_mut().write_all(&vec![b' '; 400_000]);
     client.get_mut().set_nonblocking(false).unwrap();
-    // More events than the buffers on the path can hold: the client reads none of them until the stream has broken.
+    // The decode server sends more events than the buffers on the path can hold. The client reads none of the events
+    // until the stream has broken.
     let events: Vec<String> = (0..24).map(|n| event(&format!("{n:05}").repeat(6_000))).collect();
     events.iter().for_each(|event| decode_connection.send(&chunk(event)));
     drop(decode_connection);
@@ -306,7 +308,7 @@
         Some(FULL_LIST_REQUEST),
         "a watch since 41 would never return an update, so the gateway has to request the full list"
     );
-    // Two responses at once: the gateway must not take the second for the response to its watch.
+    // The agent sends two responses at once: the gateway must not take the second response for the answer to its watch.
     let two_responses =
         ok_response(&list(5, "true", servers, "active")) + &ok_response(&list(6, "true", servers, "active"));
     connection.send(&two_responses);
@@ -429,14 +431,16 @@
             expected.iter().for_each(|word| expect(&mut client, word));
             assert!(from.elapsed() < MAX_FORWARDING_DELAY, "{expected:?}: {:?}", from.elapsed());
         };
-    // An event in two pieces, split in its chunk size, in its chunk, and before the blank line that ends the event.
+    // The decode server sends an event in two pieces, split in turn within the chunk size, within the chunk, and before
+    // the blank line that ends the event.
     let text = chunk(&event("pieces"));
     for at in [1, 20, text.len() - 4] {
         let (front, rest) = text.split_at(at);
         decode_connection.send(front);
         expect_forwarded(&mut decode_connection, rest, &["pieces"]);
     }
-    // An event over two chunks, with its blank line in the second chunk, and a whole event in the same segment.
+    // An event is split over two chunks, with its blank line in the second chunk. A whole event follows in the same
+    // segment.
     let split = event("late");
     decode_connection.send(&chunk(&split[..split.len() - 1]));
     expect_forwarded(&mut decode_connection, &(chunk("\n") + &chunk(&event("next"))), &["late", "next"]);
@@ -535,7 +539,8 @@
     let request = request_text(1, "");
     let deadline = forwarded_deadline(&request);
     let head_ends = request.find("\r\n\r\n").unwrap() + 4;
-    // A body that arrives slowly; then a pipelined request that waits behind a slow stream.
+    // The body of the first request arrives slowly. The client then pipelines a second request, which waits behind the
+    // slow stream of the first.
     let mut client = testbed.gateway.connect();
     let started = Instant::now();
     client.write_all(&request.as_bytes()[..head_ends + 1]).unwrap();
@@ -616,7 +621,7 @@
         let response = read_response(&mut BufReader::new(client)).0;
         assert!(response.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {response}");
     }
-    // A request that stops in the middle of its body.
+    // The client stops in the middle of the request body.
     let mut client = testbed.gateway.connect();
     client.write_all(&valid.as_bytes()[..valid.len() - 1]).unwrap();
     let response = read_response(&mut BufReader::new(client)).0;
--- a/cli/tests/daemon.rs
+++ b/cli/tests/daemon.rs
@@ -357,7 +357,7 @@
                         }
                         seen.lock().unwrap().push((n, text));
                         if n >= 2 {
-                            // A decode server never answers, so that the KV cache stays held.
+                            // The decode servers never answer, so that the KV cache stays held.
                             continue;
                         }
                         let answer = r#"{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens":3}}"#;
--- a/cli/tests/platform.rs
+++ b/cli/tests/platform.rs
@@ -360,8 +360,8 @@
             stream
         })
         .collect();
-    // More requests than the gateway may have connections to model servers: it rejects the surplus while the others
-    // wait.
+    // The clients send more requests than the gateway may have connections to model servers. The gateway rejects the
+    // surplus while the other requests wait.
     let rejections = flood.iter_mut().rev().filter_map(|stream| {
         let mut response = String::new();
         stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
@@ -517,7 +517,8 @@
     let testbed = PlatformTestbed::start("goes");
     testbed.prefill.set(ServerBehavior::Slow);
     let mut stream = testbed.connect();
-    // More pipelined bytes than the gateway buffers behind an open request, but no more than the socket buffers accept.
+    // The client pipelines more bytes than the gateway buffers behind an open request, but no more than the socket
+    // buffers accept.
     let flood: String = (0..350).map(|id| request_text(id, "")).collect();
     stream.set_nonblocking(true).unwrap();
     let _ = stream.write_all(flood.as_bytes());
@@ -604,7 +605,7 @@
     let _ = std::fs::remove_file(&file);
 }
 
-/// How the scripted discovery agent ends a list request.
+/// The way in which the scripted discovery agent ends a list request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ListOutcome {
     Complete,
@@ -616,10 +617,12 @@
     MalformedList,
 }
 
-/// How list requests end now, how many have arrived, and how many of them were answered with the complete list.
+/// The current outcome of list requests, the number of list requests that have arrived, and the number of list requests
+/// that were answered with the complete list.
 type AgentState = (ListOutcome, usize, usize);
 
-/// Starts a discovery agent whose answers follow the state that it returns, and that counts its requests there.
+/// Starts a discovery agent. The returned state sets the outcome of its list requests, and the agent counts the
+/// requests in this state.
 fn start_scripted_agent(list: String) -> (SocketAddr, Arc<Mutex<AgentState>>) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
--- a/cli/tests/stopped_servers.rs
+++ b/cli/tests/stopped_servers.rs
@@ -21,9 +21,10 @@
 /// The release time in the settings of these tests, within which a KV cache has to be released.
 const RELEASE_WITHIN: Duration = Duration::from_millis(500);
 const RELEASE_SLACK: Duration = Duration::from_millis(300);
-/// Longer than a connection has to be idle before the gateway reuses it.
+/// A time longer than the idle time after which the gateway reuses a connection.
 const REUSE_DELAY: Duration = Duration::from_millis(250);
-/// The scope in which servers recognize an idempotency key and the time for which they do, for classes with keys.
+/// The scope in which servers recognize an idempotency key and the time for which servers recognize the key, for
+/// classes with keys.
 const KEY_SCOPE: &str = "\"dedupScope\":\"zone\",\"window\":2500000000";
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
--- a/gateway-core/tests/admission.rs
+++ b/gateway-core/tests/admission.rs
@@ -143,7 +143,7 @@
     fn schedule_sessions(&mut self, load: f64, end: Nanos) {
         let capacity = PREFILL_TOKENS_PER_SECOND * SERVER_PAIRS as f64;
         // Each turn adds MEAN_TURN_TOKENS to the prompt on average, so the prompts of a session's four turns average
-        // (1 + 2 + 3 + 4) / 4 = 2.5 times that.
+        // (1 + 2 + 3 + 4) / 4 = 2.5 times MEAN_TURN_TOKENS.
         let sessions_per_second = load * capacity / MEAN_TURN_TOKENS / TURNS_PER_SESSION as f64 / 2.5;
         let (mut at, mut session) = (START, 0);
         while at < end {
@@ -272,7 +272,7 @@
 
 /// The answered shares of one traffic type, by prompt length.
 struct ShareByLength {
-    /// The answered share of all its requests.
+    /// The answered share of all requests of the traffic type.
     overall: f64,
     /// The answered share of the longest tenth of the prompts, relative to `overall`.
     longest_tenth: f64,
--- a/gateway-core/tests/cache_releases.rs
+++ b/gateway-core/tests/cache_releases.rs
@@ -1,4 +1,4 @@
-//! Pending releases of KV caches: when they are retried, settled or abandoned, and the relays that they use.
+//! Pending releases of KV caches: the retries, the end of the retries, and the relays of a release.
 
 use petrelshore::interface::ServerId;
 use petrelshore_gateway_core::cache_releases::{CacheRelease, CacheReleases, CacheState, ReleaseOutcome};
--- a/gateway-core/tests/cancellation_limits.rs
+++ b/gateway-core/tests/cancellation_limits.rs
@@ -24,7 +24,7 @@
         }
         assert_eq!(limits.check(now, other), Ok(()), "another tenant at the same address is limited too");
     }
-    // The client gets 32 cancellations at once, and at most 5 per second as the counted ones decay.
+    // The client may cancel 32 requests at once, and then at most 5 per second as the counted cancellations decay.
     assert!((32..=32 + 10 * 5).contains(&admitted), "{admitted}");
     let now = 11 * SECOND;
     let wait = limits.check(now, flood).expect_err("the credit is used up").retry_after;
@@ -42,8 +42,8 @@
     for event in 0..20_000 {
         let now = SECOND + event * MILLISECOND;
         assert_eq!((limits.check(now, occasional), limits.check(now, late)), (Ok(()), Ok(())));
-        // The first client cancels a third of its requests, after 50 ms. The second cancels every request, but only
-        // after it has waited two seconds for the first token.
+        // The first client cancels a third of its requests, after 50 ms. The second client cancels every request, but
+        // only after a wait of two seconds for the first token.
         match event % 3 {
             0 => limits.cancelled(now, occasional, 50 * MILLISECOND),
             _ => limits.first_token(now, occasional),
--- a/gateway-core/tests/flow_control.rs
+++ b/gateway-core/tests/flow_control.rs
@@ -40,8 +40,8 @@
     // The client acknowledges the bytes of the stream that was reset, which unblocks the connection.
     flow.window_update(5 * SECOND, 0, 40_000);
     assert_eq!((flow.next_timeout(), flow.stream_to_reset(60 * SECOND)), (None, None));
-    // A reset would not help among many equal streams, none of which is the cause, nor where a single stream blocks no
-    // other.
+    // No stream is reset among many equal streams, since none of the streams is the cause. A single stream is not reset
+    // either, since it blocks no other stream.
     let mut equal = FlowControl::default();
     (0..100).for_each(|stream| {
         equal.stream_opened(stream + 1);
--- a/gateway-core/tests/http2_abuse.rs
+++ b/gateway-core/tests/http2_abuse.rs
@@ -23,7 +23,7 @@
         flood.detected().is_some()
     });
     assert_eq!((detected_at, flood.detected()), (Some(10), Some(Abuse::Pings)));
-    // The limit on all pings also holds while the client is sent data.
+    // The limit on all pings also holds while data is sent to the client.
     let mut flood = AbuseDetector::new(0, 100);
     (0..1000).for_each(|event| {
         flood.frame_sent();
--- a/gateway-core/tests/invariants.rs
+++ b/gateway-core/tests/invariants.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Asserts that exactly one violation was counted, of this kind.
+/// Asserts that exactly one violation was counted, and that it is of this kind.
 fn assert_only_violation(checks: &InvariantChecks, violation: Violation) {
     assert_eq!(checks.violations().iter().collect::<Vec<_>>(), [(&violation, &1)]);
 }
--- a/gateway-core/tests/passthrough/random_faults.rs
+++ b/gateway-core/tests/passthrough/random_faults.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy)]
 struct InFlightAttempt {
     dispatch: Dispatch,
-    /// Whether the server provably has the attempt.
+    /// True if the server provably has the attempt.
     delivered: bool,
     /// The time at which connecting fails if the connection is not established.
     connect_deadline: Nanos,
@@ -76,7 +76,8 @@
                     }
                     Command::Release(release) => {
                         let id = SequenceId(u64::from_str_radix(&release.request_id, 16).unwrap());
-                        // A release request releases the KV caches of all servers for its request id.
+                        // A release request releases the KV caches of all servers for its request id,
+                        // whichever server gets the request.
                         observed.entry(id).or_default().holders.clear();
                         requests.release_finished(
                             now,
@@ -91,7 +92,7 @@
             for observed in observed.values_mut() {
                 observed.check(now)?;
             }
-            // Attempts fail whose connection is not established by its deadline.
+            // An attempt fails if its connection is not established by the connect deadline.
             let is_overdue = |(_, observed): &(&SequenceId, &ObservedSequence)| {
                 observed
                     .in_flight
--- a/gateway-core/tests/passthrough/releases.rs
+++ b/gateway-core/tests/passthrough/releases.rs
@@ -9,7 +9,7 @@
 use petrelshore_gateway_core::passthrough::{Command, FinalAnswer, PassthroughRequests};
 
 /// A release request that is sent while the same sequence is prefilled again might release the second KV cache, so the
-/// first one is released only once the second has been fetched.
+/// first KV cache is released only once the second KV cache has been fetched.
 #[test]
 fn cache_of_failed_decode_is_released_with_next_first_event() {
     let (mut requests, mut commands, id) = (requests(9), Vec::new(), SequenceId(5));
--- a/gateway-core/tests/rules/failures.rs
+++ b/gateway-core/tests/rules/failures.rs
@@ -28,8 +28,8 @@
     now
 }
 
-/// Lets timers expire up to the first one at or after `until`, or until none is left. Returns the time of the last
-/// one, or `until` if there was none.
+/// Lets timers expire up to the first timer at or after `until`, or until no timer is left. Returns the time of the
+/// last expired timer, or `until` if no timer expired.
 fn expire_timers(manager: &mut RequestManager, until: Nanos, actions: &mut Vec<Action>) -> Nanos {
     while let Some(deadline) = manager.next_timeout() {
         actions.clear();
--- a/gateway-core/tests/rules/observer.rs
+++ b/gateway-core/tests/rules/observer.rs
@@ -27,9 +27,9 @@
     pub(crate) completion_deadline: Option<Nanos>,
     pub(crate) final_answers: usize,
     pub(crate) in_flight: Option<Dispatch>,
-    /// Whether the attempt in flight has sent its first token.
+    /// True if the attempt in flight has sent its first token.
     pub(crate) streaming: bool,
-    /// Whether the client has received part of the stream.
+    /// True if the client has received part of the stream.
     pub(crate) client_has_tokens: bool,
     pub(crate) may_have_run: Option<PossibleRun>,
     /// The number of KV caches that prefills may have left.
@@ -39,7 +39,7 @@
 }
 
 impl ObservedSequence {
-    /// Records that an attempt is sent, and checks that it may be.
+    /// Records that an attempt is sent, and checks that the attempt may be sent.
     pub(crate) fn sent(
         &mut self,
         now: Nanos,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Keyed work may be sent again only to servers that share its keys, and within the window.
+    /// Checks that keyed work is sent again only to servers in the scope of its key, and only within the window.
     fn check_key_scope(
         &self,
         now: Nanos,
--- a/gateway-core/tests/rules/random_events.rs
+++ b/gateway-core/tests/rules/random_events.rs
@@ -19,7 +19,7 @@
         let Some(deadline) = world.manager.next_timeout() else { break };
         world.expire_timer(deadline)?;
     }
-    // No KV cache is left: one that is held now would violate rule 5 after the release timeout.
+    // No KV cache is left: a KV cache that is still held would violate rule 5 after the release timeout.
     world.now += 2 * world.test.deployment.release_timeout;
     world.apply(Vec::new())?;
     let unanswered = world.sequences.values().filter(|sequence| sequence.final_answers != 1).count();
--- a/gateway-core/tests/rules/world.rs
+++ b/gateway-core/tests/rules/world.rs
@@ -23,7 +23,7 @@
     pub(crate) test: TestDeployment,
     pub(crate) manager: RequestManager,
     pub(crate) sequences: BTreeMap<SequenceId, ObservedSequence>,
-    /// Whether each server is draining.
+    /// True for each server that is draining.
     draining: [bool; SERVERS],
     random: Rand64,
     pub(crate) now: Nanos,
@@ -181,7 +181,7 @@
         Ok(())
     }
 
-    /// Whether the answer is buffered, so that no token shows before the end.
+    /// Returns true if the answer is buffered, so that no token shows before the end.
     fn is_buffered(&self, id: SequenceId) -> bool {
         let traffic = self.sequences.get(&id).map_or(0, |sequence| sequence.traffic);
         self.test.deployment.types[traffic].delivery == Delivery::Buffered
