--- a/src/attempt_history.rs
+++ b/src/attempt_history.rs
@@ -17,13 +17,13 @@
     matches!(attempt.status, AttemptStatus::Finished(AtCapacity | KvCacheMissing | ConnectFailed | NeverSent))
 }
 
-/// Since when prefill servers may hold a KV cache for a sequence, once `attempt` has ended and no attempt is in flight.
-/// The release timeout (rule 5) counts from this time.
+/// Returns the time since which prefill servers may hold a KV cache for a sequence, once `attempt` has ended and no
+/// attempt is in flight. The release timeout (rule 5) counts from this time.
 ///
 /// Every prefill that may have run may have left a KV cache, whatever its outcome. A decode attempt that finds no KV
-/// cache accounts for only one of them: the KV caches of older prefills may still be held. The time starts again only
-/// if the server received the attempt. It keeps counting if no connection was established, or if the connection lost
-/// what was sent on it.
+/// cache accounts for only one KV cache: the KV caches of older prefills may still be held. The time starts again only
+/// if the server received the attempt. The earlier time stays valid if no connection was established, or if the
+/// connection lost what was sent on it.
 pub fn cache_held_since(
     now: Nanos,
     sequence: &Sequence,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether an attempt is a prefill that may have run, and so may have left a KV cache.
+/// Returns true if an attempt is a prefill that may have run, and so may have left a KV cache.
 fn may_leave_kv_cache(attempt: &Attempt) -> bool {
     use Outcome::{AtCapacity, ConnectFailed, NeverSent};
     let has_not_run =
--- a/src/bounded.rs
+++ b/src/bounded.rs
@@ -76,7 +76,7 @@
         self.entries.len()
     }
 
-    /// Whether the table has no entries.
+    /// Returns true if the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/fleet/candidates.rs
+++ b/src/fleet/candidates.rs
@@ -37,7 +37,7 @@
     Empty,
 }
 
-/// Whether a server is in a scope. Without a scope every server is.
+/// Returns true if a server is in a scope, or if there is no scope.
 pub fn in_scope(scope: Option<ServerScope>, server: &Server) -> bool {
     match scope {
         None => true,
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -21,7 +21,7 @@
         self.warm.len() + self.slow_start.len()
     }
 
-    /// Whether there are no servers.
+    /// Returns true if there are no servers.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -113,7 +113,7 @@
         self.by_cell.entry(endpoint.cell).or_default()[role].add(now, slot, server);
     }
 
-    /// Until when the division into warm servers and servers in slow start is valid.
+    /// The time until which the division into warm servers and servers in slow start is valid.
     pub fn valid_until(&self) -> Nanos {
         self.valid_until
     }
--- a/src/fleet/quotas.rs
+++ b/src/fleet/quotas.rs
@@ -52,12 +52,13 @@
     zones
 }
 
-/// The share of all prefills that a zone should get, and the part of them that this gateway sends.
+/// The share of all prefills that a zone should get, and the part of this share that comes from this gateway's zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneQuota {
     /// The share of all prefills that the zone should get.
     pub prefill_quota: f64,
-    /// The part of `prefill_quota` that this gateway should send to the zone.
+    /// The part of `prefill_quota` that gateways in this gateway's zone should send, if the gateways of each zone send
+    /// an equal share of all prefills. This gateway divides its prefills among the zones in proportion to this part.
     pub gateway_quota: f64,
 }
 
@@ -70,7 +71,7 @@
     pub zones: BTreeMap<ZoneId, ZoneQuota>,
     /// The mean reported share of memory in use, over the decode and combined servers that have reported one.
     pub mean_reported_memory: f64,
-    /// Whether no decode server of the fleet has capacity.
+    /// True if no decode server of the fleet has capacity.
     pub no_decode_servers: bool,
 }
 
--- a/src/fleet/registry.rs
+++ b/src/fleet/registry.rs
@@ -24,7 +24,7 @@
     generations: u64,
     ring_points: usize,
     index: Index,
-    /// Whether an endpoint list has been applied since the index was built.
+    /// True if an endpoint list has been applied since the index was built.
     index_is_stale: bool,
     /// The number of servers that decisions have examined.
     examined: Cell<u64>,
@@ -156,7 +156,7 @@
         self.by_id.len()
     }
 
-    /// Whether no servers are known.
+    /// Returns true if no servers are known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/src/fleet/ring.rs
+++ b/src/fleet/ring.rs
@@ -44,7 +44,7 @@
         Ring { points, members }
     }
 
-    /// Whether the ring was built from exactly these members.
+    /// Returns true if the ring was built from exactly these members.
     pub fn has_members(&self, members: &[RingMember]) -> bool {
         self.members == members
     }
--- a/src/fleet/scan.rs
+++ b/src/fleet/scan.rs
@@ -24,7 +24,7 @@
         batch
     }
 
-    /// Whether the scan has reached the last server.
+    /// Returns true if the scan has reached the last server.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
--- a/src/fleet/server.rs
+++ b/src/fleet/server.rs
@@ -14,7 +14,7 @@
     pub sent_at: Nanos,
     /// The load that the attempt puts on the server, in tokens.
     pub load_tokens: f64,
-    /// Whether the attempt shows progress before the whole answer is complete (see
+    /// True if the attempt shows progress before the whole answer is complete (see
     /// [`Deployment::shows_progress`](crate::interface::Deployment::shows_progress)) and its first token has not come.
     pub awaits_first_token: bool,
 }
@@ -42,7 +42,7 @@
     pub last_heard_at: Nanos,
     /// The recent response times of the server, in nanoseconds.
     pub response_times: DecayingTimes,
-    /// Until when the server is ejected.
+    /// The time until which the server is ejected.
     pub ejected_until: Nanos,
     /// When the slow start of the server ends.
     pub slow_start_until: Nanos,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether the server is in slow start at the time `now`.
+    /// Returns true if the server is in slow start at the time `now`.
     pub fn in_slow_start(&self, now: Nanos) -> bool {
         now < self.slow_start_until
     }
@@ -102,9 +102,9 @@
         self.in_flight.iter().filter(|a| a.sent_at >= since).map(|a| a.load_tokens).sum()
     }
 
-    /// How long the server has been silent while an attempt awaits its first token: the time since the oldest of these
-    /// attempts was sent, or since the last response from the server if that came later. Zero if no attempt awaits a
-    /// token.
+    /// The time for which the server has been silent while an attempt awaits its first token: the time since the oldest
+    /// of these attempts was sent, or since the last response from the server if that came later. Zero if no attempt
+    /// awaits a token.
     pub fn silence(&self, now: Nanos) -> Nanos {
         let waiting = self.in_flight.iter().filter(|a| a.awaits_first_token);
         let oldest = waiting.map(|a| a.sent_at).min();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -49,9 +49,9 @@
     pub tenants: Vec<Tenant>,
     /// The factor on the priority weight of requests of a tenant that exceeds its quota.
     pub over_quota_factor: f64,
-    /// Whether endpoint weights are used.
+    /// The meaning of endpoint weights: sizes of servers, or ignored.
     pub weights: Weights,
-    /// Whether the endpoint list is watched or polled.
+    /// The way in which the gateway learns of changes to the endpoint list.
     pub discovery: Discovery,
     /// The maximum interval between two polls of the endpoint list.
     pub max_poll_interval: Nanos,
@@ -59,11 +59,11 @@
     pub max_attempts: usize,
     /// The maximum Retry-After of a rejection; `None` where rejections carry no Retry-After.
     pub max_retry_after: Option<Nanos>,
-    /// Whether decode servers also run whole sequences, from prompt to answer.
+    /// True if decode servers also run whole sequences, from prompt to answer.
     pub decode_servers_prefill: bool,
-    /// How long a KV cache may stay reserved while no attempt is in flight.
+    /// The maximum time for which a KV cache may stay reserved while no attempt is in flight.
     pub release_timeout: Nanos,
-    /// How long a server is in slow start after it has started.
+    /// The duration of slow start after the start of a server.
     pub slow_start_duration: Nanos,
     /// The share of its full capacity that a server has when it starts.
     pub slow_start_initial_share: f64,
@@ -78,18 +78,18 @@
 }
 
 impl Deployment {
-    /// Whether servers of a role run whole sequences, from prompt to answer.
+    /// Returns true if servers of a role run whole sequences, from prompt to answer.
     pub fn serves_combined(&self, role: Role) -> bool {
         role == Role::Combined || (role == Role::Decode && self.decode_servers_prefill)
     }
 
-    /// Whether servers of any kind run whole sequences, from prompt to answer.
+    /// Returns true if servers of any kind run whole sequences, from prompt to answer.
     pub fn any_kind_serves_combined(&self) -> bool {
         self.kinds.iter().any(|kind| self.serves_combined(kind.role))
     }
 
-    /// Whether an attempt at a step shows progress before the whole answer is complete. A prefill and a streamed answer
-    /// do, a buffered answer does not.
+    /// Returns true if an attempt at a step shows progress before the whole answer is complete. A prefill and a
+    /// streamed answer show progress; a buffered answer does not.
     pub fn shows_progress(&self, traffic: TrafficTypeId, step: Step) -> bool {
         step == Step::Prefill || self.types[traffic.0].delivery == Delivery::Streamed
     }
@@ -128,13 +128,13 @@
     pub slo_per_prompt_token: Nanos,
     /// The usual time between two tokens of an answer.
     pub token_interval: Nanos,
-    /// Whether a request may run more than once.
+    /// The conditions under which a request may run more than once.
     pub idempotency: Idempotency,
-    /// Whether answers are streamed or buffered.
+    /// The delivery of answers: streamed or buffered.
     pub delivery: Delivery,
 }
 
-/// Whether the client gets an answer token by token or all at once.
+/// The delivery of an answer to the client: token by token or all at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Each token of the answer is sent as soon as it is decoded.
@@ -143,7 +143,7 @@
     Buffered,
 }
 
-/// Whether a request may run more than once.
+/// The conditions under which a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// The request may run any number of times: further runs have no further effect.
@@ -153,7 +153,7 @@
     Keyed {
         /// The servers that share their idempotency keys.
         scope: KeyScope,
-        /// How long servers remember a key.
+        /// The time for which servers remember a key.
         window: Nanos,
     },
     /// The request may run only once.
@@ -198,7 +198,7 @@
     pub per_second: f64,
 }
 
-/// Whether endpoint weights are used.
+/// The meaning of endpoint weights: sizes of servers, or ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
     /// A weight is the size of a server relative to other servers of its kind.
@@ -207,7 +207,7 @@
     Unused,
 }
 
-/// Whether the endpoint list is watched or polled.
+/// The way in which the gateway learns of changes to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
     /// The gateway watches the list: changes are pushed to it.
@@ -231,11 +231,11 @@
     pub weight: f64,
     /// When the server last started; zero stands for a start long ago.
     pub started_at: Nanos,
-    /// Whether the server takes new work.
+    /// The state of the server, which determines if the server takes new work.
     pub state: EndpointState,
 }
 
-/// Whether a server takes new work, by the endpoint list.
+/// The state of a server in the endpoint list, which determines if the server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// The server takes new work.
@@ -246,7 +246,7 @@
     Gone,
 }
 
-/// Which endpoints a list contains.
+/// The set of endpoints that a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotKind {
     /// All current endpoints.
@@ -289,7 +289,7 @@
     pub max_output_tokens: f64,
     /// The approximate length of the answer, as the time that it takes at the traffic type's token interval.
     pub output_length_hint: Option<Nanos>,
-    /// Whether the request continues an answer whose stream broke off.
+    /// True if the request continues an answer whose stream broke off.
     pub resumed: bool,
     /// When the request arrived.
     pub arrived_at: Nanos,
@@ -299,12 +299,12 @@
     pub attempts: Vec<Attempt>,
     /// The prefill server whose KV cache a decode server may fetch.
     pub kv_cache: Option<KvCacheLocation>,
-    /// Since when prefill servers may hold a KV cache for the sequence while no attempt is in flight. The release
-    /// timeout (rule 5) counts from this time.
+    /// The time since which prefill servers may hold a KV cache for the sequence while no attempt is in flight. The
+    /// release timeout (rule 5) counts from this time.
     pub cache_held_since: Option<Nanos>,
-    /// Whether the sequence has passed admission control.
+    /// True if the sequence has passed admission control.
     pub admitted: bool,
-    /// Whether the sequence has its final answer.
+    /// True if the sequence has its final answer.
     pub completed: bool,
 }
 
@@ -328,7 +328,7 @@
     pub step: Step,
     /// The progress or the outcome of the attempt.
     pub status: AttemptStatus,
-    /// Whether the server has received the attempt, as far as the gateway's socket proves it. Until then the attempt
+    /// True if the server has received the attempt, as far as the gateway's socket proves it. Until then the attempt
     /// does not count as in flight for the release timeout (rule 5).
     pub delivered: bool,
     /// The estimated load that the attempt puts on its server, in tokens.
@@ -361,7 +361,7 @@
     Finished(Outcome),
 }
 
-/// How an attempt ended.
+/// The way in which an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// The answer is complete.
@@ -398,19 +398,19 @@
     Wait,
     /// Reject the sequence: a retry by its client is harmless.
     Reject {
-        /// How long the client is asked to wait before it retries.
+        /// The time that the client is asked to wait before it retries.
         retry_after: Option<Nanos>,
-        /// Whether servers may hold a KV cache for the sequence.
+        /// True if servers may hold a KV cache for the sequence.
         release: bool,
     },
     /// Abort the sequence. Unlike a rejection, this doesn't promise that a retry is harmless.
     Abort {
-        /// Whether servers may hold a KV cache for the sequence.
+        /// True if servers may hold a KV cache for the sequence.
         release: bool,
     },
 }
 
-/// What the gateway does after the outcome of an attempt.
+/// The gateway's next step after the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Schedule the sequence again.
@@ -419,7 +419,7 @@
     Wait,
     /// Complete the sequence.
     Complete {
-        /// Whether servers may hold a KV cache for the sequence.
+        /// True if servers may hold a KV cache for the sequence.
         release: bool,
     },
 }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -17,9 +17,9 @@
 const MIN_WAIT_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Whether the fleet is too loaded for a new sequence. Sequences of lower priority are rejected at lower load. The
-    /// check also protects the service when servers are lost or links are slow. It rejects sequences needlessly when a
-    /// short overload clears faster than estimated.
+    /// Returns true if the fleet is too loaded for a new sequence. Sequences of lower priority are rejected at lower
+    /// load. The check also protects the service when servers are lost or links are slow. It rejects sequences
+    /// needlessly when a short overload clears faster than estimated.
     pub(super) fn is_overloaded(&self, now: Nanos, sequence: &Sequence, selection: &Selection) -> bool {
         if sequence.resumed {
             return false;
@@ -50,7 +50,8 @@
         self.prefill_wait(now, work - uncounted_tokens.max(0.0)) + median_time(Step::Decode)
     }
 
-    /// Whether even the least loaded available decode or combined server is too full for a sequence of this priority.
+    /// Returns true if even the least loaded available decode or combined server is too full for a sequence of this
+    /// priority.
     fn lacks_decode_headroom(
         &self,
         now: Nanos,
@@ -73,7 +74,7 @@
         if over_quota { priority * self.deployment.over_quota_factor } else { priority }
     }
 
-    /// Whether a tenant sends more through this gateway than the gateway's part of the tenant's quota allows.
+    /// Returns true if a tenant sends more through this gateway than the gateway's part of the tenant's quota allows.
     fn is_over_quota(&self, now: Nanos, TenantId(tenant): TenantId) -> bool {
         let gateway_quota = self.deployment.tenants[tenant].per_second / self.deployment.gateways as f64;
         let rate = self.statistics.tenant_arrivals[tenant].per_second(now, self.statistics.started_at);
--- a/src/scheduler/affinity.rs
+++ b/src/scheduler/affinity.rs
@@ -21,7 +21,7 @@
 /// The prefill servers that a sequence's prefixes belong to. Every gateway computes the same servers.
 pub(super) struct AffinityReplicas {
     /// The distance of each server from the session; the nearest server is the session's first replica. A server that
-    /// is not a replica of the shared prefix has a distance of [`NON_REPLICA_DISTANCE`] or more.
+    /// is not a replica of the shared prefix has a distance of [`NON_REPLICA_DISTANCE`] or more, or no entry.
     pub(super) distances: HashMap<ServerId, f64>,
     /// The prefill servers to choose from.
     pub(super) candidates: Candidates,
--- a/src/scheduler/attempt_timeouts.rs
+++ b/src/scheduler/attempt_timeouts.rs
@@ -32,9 +32,9 @@
         timeout.min(self.max_timeout(sequence, attempt, time_left))
     }
 
-    /// Whether an attempt may time out before its client's deadline. A timeout does not prove that the attempt has not
-    /// run. A sequence that may run only once therefore completes only with the answer of the attempt in flight. A
-    /// buffered answer has no timeout either, because the times of first tokens do not apply to it.
+    /// Returns true if an attempt may time out before its client's deadline. A timeout does not prove that the attempt
+    /// has not run. A sequence that may run only once therefore completes only with the answer of the attempt in
+    /// flight. A buffered answer has no timeout either, because the times of first tokens do not apply to it.
     fn has_response_timeout(&self, sequence: &Sequence, attempt: &Attempt) -> bool {
         let idempotency = self.deployment.types[sequence.traffic.0].idempotency;
         let runs_once = attempt.step != Step::Prefill && idempotency == Idempotency::AtMostOnce;
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -15,7 +15,7 @@
         max_attempts.min(2 + retries)
     }
 
-    /// Whether no further attempt may begin, because the attempts are used up or the send deadline has passed.
+    /// Returns true if no further attempt may begin, because the attempts are used up or the send deadline has passed.
     pub(super) fn attempts_exhausted(&self, now: Nanos, sequence: &Sequence) -> bool {
         sequence.attempts.len() >= self.max_attempts(sequence)
             || self.send_deadline(sequence).is_some_and(|deadline| now >= deadline)
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether the attempts left are enough for an answer, given the roles that the deployment has.
+    /// Returns true if the attempts left are enough for an answer, given the roles that the deployment has.
     pub(super) fn can_complete(&self, sequence: &Sequence, has_kv_cache: bool) -> bool {
         let one_attempt_is_enough = has_kv_cache || self.deployment.any_kind_serves_combined();
         let needed = if one_attempt_is_enough { 1 } else { 2 };
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -22,7 +22,7 @@
 pub(super) type Rank<'a> = dyn Fn(&Server) -> Option<f64> + 'a;
 
 impl Scheduler {
-    /// Whether decisions examine all servers.
+    /// Returns true if decisions examine all servers.
     pub(super) fn scans_in_full(&self) -> bool {
         self.fleet.len() <= self.max_full_scan_servers
     }
--- a/src/scheduler/cell_quota.rs
+++ b/src/scheduler/cell_quota.rs
@@ -16,19 +16,19 @@
 const MAX_PREFILL_EXCESS: f64 = 2.0;
 /// Share of a migration's extra time that may be spent at a busier prefill server instead.
 const MIGRATION_TIME_SHARE: f64 = 0.5;
-/// Time between the end of one scan for quotas and the start of the next, in nanoseconds.
+/// Minimum time between the end of a scan for quotas and the start of the next scan, in nanoseconds.
 const QUOTA_INTERVAL: Nanos = 200_000_000;
 /// Scan time per server of a large fleet, in nanoseconds: a request scans one server for each such period since the
 /// last batch.
 const SCAN_INTERVAL_PER_SERVER: Nanos = 300_000;
-/// Minimum number of servers that one request scans.
+/// Minimum size of a scan batch, in servers.
 const MIN_SCAN_BATCH: usize = 16;
-/// Maximum number of servers that one request scans, except when all servers are scanned at once.
+/// Maximum size of a scan batch, in servers, except when all servers are scanned at once.
 const MAX_SCAN_BATCH: usize = 256;
 
 impl Scheduler {
     /// Recomputes the quotas when they are due. In a large fleet, each request scans one batch of servers until the
-    /// scan is complete.
+    /// scan is complete. The request that ends the scan of response times also scans the first batch for capacities.
     pub(super) fn refresh_quotas(&mut self, now: Nanos) {
         let is_recent = self.quotas_scanned_at.is_some_and(|at| now < at + QUOTA_INTERVAL);
         if self.quota_scan.is_none() && is_recent {
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Assigns prefills to cells in proportion to their decode capacity, as far as the prefill servers of a cell may
-    /// exceed their proportional share.
+    /// Assigns prefills to cells in proportion to their decode capacity, up to the limit by which a cell's prefill
+    /// servers may exceed their proportional share.
     fn assign_prefills(&self, now: Nanos, cells: &mut BTreeMap<CellId, CellQuota>) {
         let excess = self.prefill_excess(now);
         for cell in cells.values_mut() {
@@ -121,9 +121,10 @@
         }
     }
 
-    /// Computes each zone's share of all prefills, and how this gateway divides its own prefills among the zones. The
-    /// gateway uses its own zone first, up to an even share of all prefills. If its own zone's quota is below an even
-    /// share, the gateway takes the difference from the zones whose quota exceeds an even share.
+    /// Computes each zone's share of all prefills, and how this gateway divides its own prefills among the zones. An
+    /// even share is the share of all prefills that the gateways of one zone send if all zones send the same number.
+    /// The gateway uses its own zone first, up to an even share. If its own zone's quota is below an even share, the
+    /// gateway takes the difference from the zones whose quota exceeds an even share.
     fn zone_quotas(&self, cells: &BTreeMap<CellId, CellQuota>) -> BTreeMap<ZoneId, ZoneQuota> {
         let zones = prefills_by_zone(cells);
         let even_share = 1.0 / zones.len().max(1) as f64;
--- a/src/scheduler/decode.rs
+++ b/src/scheduler/decode.rs
@@ -9,7 +9,8 @@
 /// A KV cache is migrated if the load of the least loaded decode server of its cell exceeds that of the least loaded in
 /// the zone by this share of memory.
 const SPILLOVER_LOAD_GAP: f64 = 0.3;
-/// The same gap for servers of other zones.
+/// A KV cache is migrated to another zone if the load of the least loaded decode server of its cell exceeds that of the
+/// least loaded in the other zone by this share of memory.
 const REMOTE_ZONE_LOAD_GAP: f64 = 1.0;
 /// Weight of decode servers in other zones, relative to those in the prefill server's zone, for KV caches that spill
 /// over at random.
@@ -87,8 +88,8 @@
         self.lowest_ranked(now, sequence, candidates, &rank)
     }
 
-    /// Whether a server decodes in the cell of the prefill server that holds a KV cache. Combined servers count only if
-    /// no decode server can take anything.
+    /// Returns true if a server decodes in the cell of the prefill server that holds a KV cache. Combined servers count
+    /// only if no decode server of the fleet has capacity.
     fn decodes_in_cell(&self, server: &Server, prefill_endpoint: &Endpoint) -> bool {
         let decodes = match server.role {
             Role::Decode => true,
--- a/src/scheduler/decode_load.rs
+++ b/src/scheduler/decode_load.rs
@@ -12,14 +12,14 @@
 const DEFAULT_OUTPUT_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Whether a server decodes answers, is available and has capacity for a sequence.
+    /// Returns true if a server decodes answers, is available and has capacity for a sequence.
     pub(super) fn can_decode(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
         server.role != Role::Prefill
             && self.is_available(now, server)
             && self.has_capacity(now, server, sequence)
     }
 
-    /// Whether a sequence's KV cache and answer still fit into a server's memory.
+    /// Returns true if a sequence's KV cache and answer still fit into a server's memory.
     fn has_capacity(&self, now: Nanos, server: &Server, sequence: &Sequence) -> bool {
         self.decode_load(now, server) + self.expected_memory_tokens(sequence) / server.memory_tokens
             <= MAX_DECODE_LOAD
@@ -42,9 +42,9 @@
         own_load.max(share + unreported_load)
     }
 
-    /// The load by which servers that decode are ranked. A server that has not reported its load yet counts with the
-    /// mean load of those that have, a server in slow start as empty. This load is not used for capacity checks: a
-    /// gateway that has had reports from full servers only must not treat all servers as full.
+    /// The load by which servers that decode are ranked. A server that has not reported its load yet counts as if it
+    /// had reported the mean of the reported loads, or as empty while it is in slow start. This load is not used for
+    /// capacity checks: a gateway that has had reports from full servers only must not treat all servers as full.
     pub(super) fn ranked_load(&self, now: Nanos, server: &Server) -> f64 {
         let is_known = server.report.memory_share.is_some() || server.in_slow_start(now);
         let unreported = if is_known { 0.0 } else { self.quotas.mean_reported_memory };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Decides whether to send a sequence to a server now, and to which one.
+    /// Decides whether a sequence is sent to a server now, waits or ends, and selects the server.
     pub fn schedule(&mut self, now: Nanos, sequence: &mut Sequence) -> Decision {
         if sequence.completed || !sequence.attempts.iter().all(is_finished) {
             return Decision::Wait;
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Whether another attempt is ruled out by the client's deadline, by the attempt limits, or because KV caches at
-    /// prefill servers have to be released.
+    /// Returns true if another attempt is ruled out by the client's deadline, by the attempt limits, or because KV
+    /// caches at prefill servers have to be released.
     fn is_out_of_time(&self, now: Nanos, sequence: &Sequence) -> bool {
         now + self.reschedule_interval() >= sequence.first_token_deadline
             || self.attempts_exhausted(now, sequence)
@@ -252,8 +252,8 @@
         self.select_combined_fallback(now, sequence)
     }
 
-    /// Whether a further search would not find a better server: all servers were scanned, or the selected server is
-    /// available.
+    /// Returns true if a further search would not find a better server: all servers were scanned, or the selected
+    /// server is available.
     fn is_search_complete(&self, now: Nanos, selection: &Selection) -> bool {
         self.scans_in_full() || self.is_available(now, &self.fleet[selection.server])
     }
--- a/src/scheduler/outcomes.rs
+++ b/src/scheduler/outcomes.rs
@@ -29,9 +29,9 @@
     sequence: &'a Sequence,
     attempt: &'a Attempt,
     outcome: Outcome,
-    /// Whether the first token had come.
+    /// True if the first token had come.
     had_first_token: bool,
-    /// Whether the attempt's step shows progress before its end.
+    /// True if the attempt's step shows progress before its end.
     shows_progress: bool,
     /// Nanoseconds since the attempt was sent.
     elapsed: Nanos,
@@ -44,12 +44,12 @@
         if ends_a_wait && !self.had_first_token && self.shows_progress { self.elapsed as f64 } else { 0.0 }
     }
 
-    /// Whether the outcome shows anything about the server's health.
+    /// Returns true if the outcome shows anything about the server's health.
     fn shows_server_health(&self) -> bool {
         !matches!(self.outcome, Outcome::KvCacheMissing | Outcome::Cancelled | Outcome::NeverSent)
     }
 
-    /// Whether the attempt ended without any part of its result.
+    /// Returns true if the attempt ended without any part of its result.
     fn has_failed(&self) -> bool {
         !self.had_first_token && !matches!(self.outcome, Outcome::PrefillDone { .. } | Outcome::Completed)
     }
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -21,17 +21,17 @@
 pub(super) struct ClassFailures {
     /// The share of the class's recent attempts that failed.
     pub(super) share: f64,
-    /// The part of this share by which it exceeds the share of the class that fails least, between 0 and 1.
+    /// The part of `share` that exceeds the share of the class that fails least, as a fraction of `share`, from 0 to 1.
     pub(super) excess: f64,
 }
 
 impl Scheduler {
-    /// Whether a server may be sent an attempt, and is healthy.
+    /// Returns true if a server may be sent an attempt, and is healthy.
     pub(super) fn is_available(&self, now: Nanos, server: &Server) -> bool {
         self.is_eligible(now, server) && self.is_healthy(now, server)
     }
 
-    /// Whether a server is listed as ready, and is neither ejected nor a slow outlier.
+    /// Returns true if a server is listed as ready, and is neither ejected nor a slow outlier.
     pub(super) fn is_healthy(&self, now: Nanos, server: &Server) -> bool {
         server.endpoint.state == EndpointState::Ready
             && now >= server.ejected_until
@@ -49,8 +49,8 @@
         UNAVAILABLE_PENALTY * if ejected { EJECTED_PENALTY_FACTOR } else { 1.0 }
     }
 
-    /// Whether a server is far slower than others of its role by a high quantile of its response times, or has left an
-    /// attempt without any response for as long. Measurements decay, so that the server is tried again.
+    /// Returns true if a server is far slower than others of its role by a high quantile of its response times, or has
+    /// left an attempt without any response for as long. Measurements decay, so that the server is tried again.
     fn is_slow_outlier(&self, now: Nanos, server: &Server) -> bool {
         let Some(medians) = self.typical_response_times[server.role as usize] else { return false };
         let max_time = SLOW_OUTLIER_FACTOR * medians.lower;
--- a/src/scheduler/prefix_cache.rs
+++ b/src/scheduler/prefix_cache.rs
@@ -7,7 +7,8 @@
 use crate::interface::{Nanos, Sequence, ServerId};
 use crate::statistics::{CachedPrefix, PrefixKey, ServerPrefix};
 
-/// Maximum number of servers that a prefix was last sent to and that are candidates for it.
+/// Maximum number of servers that are remembered for a prefix: the servers that the prefix was last sent to, which are
+/// candidates for the prefix.
 const MAX_RECENT_SERVERS: usize = 8;
 
 impl Scheduler {
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -14,8 +14,8 @@
 const SLOW_START_SAFETY_FACTOR: f64 = 0.8;
 
 impl Scheduler {
-    /// Whether a server is listed as ready and, if it is in slow start, this gateway's part of its slow-start budget
-    /// allows a send.
+    /// Returns true if a server is listed as ready and, if it is in slow start, this gateway's part of its slow-start
+    /// budget allows a send.
     pub(super) fn is_eligible(&self, now: Nanos, server: &Server) -> bool {
         server.endpoint.state == EndpointState::Ready
             && (!server.in_slow_start(now)
--- a/src/scheduler/start_times.rs
+++ b/src/scheduler/start_times.rs
@@ -69,8 +69,9 @@
         let Some(newest) = self.newest_start(entries) else { return };
         let min_offset = to_signed(newest) - to_signed(now);
         let Some(last_list_at) = self.last_list_at else {
-            // Until a list that is not cached has been applied, the newest start so far may be as recent as now. It
-            // looks old if the local clock is ahead of the list's clock.
+            // Until a list that is not cached has been applied, the newest start so far counts as just now, unless the
+            // offset would be larger than possible: the start may look old only because the local clock is ahead of the
+            // list's clock.
             let offset = if min_offset >= -MAX_CLOCK_OFFSET { min_offset } else { 0 };
             self.offset = Some(self.offset.map_or(offset, |known| known.max(offset)));
             return;
@@ -80,8 +81,8 @@
         self.offset = Some(if (min_offset..=max_offset).contains(&offset) { offset } else { min_offset });
     }
 
-    /// The newest of the start times in a list that were not known before; `None` if there are none or no times are
-    /// given.
+    /// The newest of the start times in a list that were not known before; `None` if all start times were known or are
+    /// zero.
     fn newest_start(&self, entries: &[Endpoint]) -> Option<Nanos> {
         let is_new = |entry: &&Endpoint| {
             self.known.get(&entry.server).is_none_or(|start| start.listed != entry.started_at)
--- a/src/scheduler/waiting.rs
+++ b/src/scheduler/waiting.rs
@@ -24,9 +24,9 @@
         self.reject_or_abort(now, sequence)
     }
 
-    /// Whether a sequence that no server can take may wait. It may wait for part of its latency objective, or of its
-    /// client's time if that is shorter. The next call of [`Scheduler::schedule`] has to come before the client's
-    /// deadline, and before the release of a KV cache is due.
+    /// Returns true if a sequence that no server can take may wait. The sequence may wait for part of its latency
+    /// objective, or of its client's time if that is shorter. The next call of [`Scheduler::schedule`] has to come
+    /// before the client's deadline, and before the release of a KV cache is due.
     pub(super) fn may_wait(&self, now: Nanos, sequence: &Sequence) -> bool {
         let client_time = sequence.first_token_deadline.saturating_sub(sequence.arrived_at);
         let time_budget = self.deployment.slo(sequence).min(client_time);
@@ -49,7 +49,7 @@
         sequence.cache_held_since.map(|since| since.saturating_add(self.deployment.release_timeout / 2))
     }
 
-    /// Whether KV caches at prefill servers have to be released before the sequence is scheduled again.
+    /// Returns true if KV caches at prefill servers have to be released before the sequence is scheduled again.
     pub(super) fn release_is_due(&self, now: Nanos, sequence: &Sequence) -> bool {
         let margin = self.reschedule_interval().min(self.deployment.release_timeout / 4);
         self.cache_release_deadline(sequence).is_some_and(|deadline| now + margin >= deadline)
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -67,7 +67,7 @@
 pub struct Retention {
     /// The half-life of response times and rates.
     pub measurements: Nanos,
-    /// The half-life of the prefill speed.
+    /// The half-life of the prefill rate.
     pub prefills: Nanos,
     /// The half-life of sends and cache misses of shared prefixes.
     pub prefixes: Nanos,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -128,7 +128,7 @@
 /// The outcome of a prefill that found no cached tokens.
 pub const PREFILL_DONE: Outcome = Outcome::PrefillDone { cached_tokens: 0.0 };
 
-/// Returns the largest number of `times` in one window that starts at one of them; none if `times` is empty.
+/// Returns the largest number of `times` in one window that starts at one of them; `None` if `times` is empty.
 pub fn max_in_window(times: &[Nanos], window: Nanos) -> Option<usize> {
     let in_window = |start: &Nanos| times.iter().filter(|at| *at >= start && **at < start + window).count();
     times.iter().map(in_window).max()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -416,7 +416,7 @@
         "the attempts left must suffice for a prefill and a decode"
     );
 
-    // If no prefill server is available, the KV cache that the first one may still hold is released in time.
+    // If no prefill server is available, the KV cache that the first prefill server may still hold is released in time.
     let mut sequence = new_sequence(2, 0, now);
     prefill(&mut scheduler, now, &mut sequence, 50 * MILLISECOND);
     sent_to(scheduler.schedule(now + 50 * MILLISECOND, &mut sequence));
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -68,7 +68,7 @@
 #[test]
 fn examined_servers_are_bounded_at_any_fleet_size() {
     // The worst case is a decision that finds no available server. It examines candidates and four batches of 64 among
-    // the prefill servers, as many among the combined servers, and 256 servers in a scan for quotas.
+    // the prefill servers, the same number among the combined servers, and 256 servers in a scan for quotas.
     const MAX_EXAMINED: u64 = 2 * (30 + 4 * 64) + 256;
     for tenants in [0, 640] {
         for (name, one_in) in [("none", 0), ("one in seven", 7), ("all", 1)] {
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,7 +1,7 @@
 //! Replay of recorded scenarios: decisions in small fleets must match the recorded decisions.
 //!
 //! The recordings come from commit 40e7c4e, in which decisions examined all servers of a fleet of any size, not a
-//! sample of a large one. This file writes the recordings if the environment variable `RECORD_DECISIONS` is set.
+//! sample of a large fleet. This file writes the recordings if the environment variable `RECORD_DECISIONS` is set.
 
 mod common;
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -22,7 +22,7 @@
     prefill_servers: u64,
     /// The number of prefill servers that are replaced by new ones.
     replaced: u64,
-    /// Whether gateways restart while the new servers are in slow start.
+    /// True if gateways restart while the new servers are in slow start.
     restarts: bool,
     /// Prefills per second over the fleet, before and after the replacement. A higher second rate is a burst.
     rates: [f64; 2],
