--- a/emulator/src/model.rs
+++ b/emulator/src/model.rs
@@ -243,7 +243,8 @@
         self.held.len()
     }
 
-    /// The time of the next call of `on_timeout`; `None` if the server is idle or no longer works.
+    /// The time at which `on_timeout` has to be called next; `None` if nothing is pending, or if an overload or a fault
+    /// stops all work.
     pub fn next_timeout(&self) -> Option<Nanos> {
         if self.overloaded || matches!(self.fault, Fault::Silent | Fault::Hangs) {
             return None;
--- a/emulator/src/profile.rs
+++ b/emulator/src/profile.rs
@@ -88,7 +88,7 @@
     Full,
     /// Accepts jobs and responds to each with an error after this time, in nanoseconds.
     FailsSlowly(Nanos),
-    /// Resets the connection of an answer after this number of tokens.
+    /// Breaks the connection in the middle of an answer, after this number of tokens.
     ResetAfter(u64),
     /// Ends the stream of an answer without its end marker after this number of tokens.
     EndsBadly(u64),
--- a/emulator/src/record.rs
+++ b/emulator/src/record.rs
@@ -73,7 +73,7 @@
         /// The error code.
         code: String,
     },
-    /// A server started a step that has an effect: a decode or combined step.
+    /// A server accepted a step that has an effect: a decode or combined step. The step may still wait for a slot.
     #[serde(rename = "ran")]
     ExecutionStarted {
         /// The server's name.
--- a/emulator/src/server/completions.rs
+++ b/emulator/src/server/completions.rs
@@ -249,7 +249,8 @@
     Some((Bytes::from(text), answer))
 }
 
-/// The event of a token. The events of the last token include the usage and the end marker of the stream.
+/// Returns the event of a token. After the last token, the finish reason, the usage and the end marker of the stream
+/// follow.
 fn token_events(job: &ActiveJob, number: u64, last: bool) -> String {
     let request = &job.attempt.request;
     let event = |text: &str, finish_reason: &str| {
--- a/emulator/src/server/connection.rs
+++ b/emulator/src/server/connection.rs
@@ -54,7 +54,8 @@
     future::or(served, reset).await;
 }
 
-/// Reads from a connection and never responds. Records the first completion request on it for the auditor.
+/// Reads from a connection and never responds. Records the first request on the connection for the auditor if it is a
+/// completion request.
 async fn hang(mut stream: TcpStream, state: &Rc<ServerState>) {
     let mut received = String::new();
     let mut buffer = vec![0u8; READ_BUFFER_BYTES];
--- a/emulator/src/server/response.rs
+++ b/emulator/src/server/response.rs
@@ -52,7 +52,7 @@
     response(StatusCode::from_u16(status).unwrap_or_default(), load, body)
 }
 
-/// Builds an error response, with the error code also as its message.
+/// Builds an error response. The error code is also the error message.
 pub(super) fn error(status: u16, load: &str, code: &str) -> RouteResult {
     let body = json!({ "error": { "message": code, "type": "server_error", "code": code } });
     json_response(status, load, &body)
--- a/emulator/src/server/state.rs
+++ b/emulator/src/server/state.rs
@@ -29,7 +29,7 @@
     held: RefCell<BTreeMap<String, u64>>,
     /// The request IDs of unfinished prefills, by job.
     prefills: RefCell<BTreeMap<u64, String>>,
-    /// The idempotency keys of decode and combined steps that were started.
+    /// The idempotency keys of the decode and combined steps that the model accepted.
     executed_keys: RefCell<BTreeSet<String>>,
 }
 
@@ -224,12 +224,13 @@
         accepted
     }
 
-    /// Returns true if this server started a decode or combined step with this idempotency key.
+    /// Returns true if this server's model accepted a decode or combined step with this idempotency key.
     pub(super) fn was_executed(&self, key: &str) -> bool {
         self.executed_keys.borrow().contains(key)
     }
 
-    /// Records the start of a step that has an effect (decode or combined) and stores the step's idempotency key.
+    /// Records that the model accepted a step that has an effect (decode or combined), and stores the idempotency key
+    /// of the step. The step may still wait for a slot.
     pub(super) fn record_execution(&self, request: &str, key: Option<String>) {
         self.executed_keys.borrow_mut().extend(key);
         let (server, request) = (self.identity.name.clone(), request.to_owned());
--- a/soak/shim/faults.c
+++ b/soak/shim/faults.c
@@ -107,8 +107,8 @@
 }
 
 /*
- * Marks the sockets that this process has connected. Only these break here; an accepted connection is left to the
- * faults of the process that opened it.
+ * Marks the sockets that this process has connected. This library breaks only these connections; an accepted
+ * connection is left to the faults of the process that opened the connection.
  */
 enum { MAX_DESCRIPTORS = 1 << 16 };
 static unsigned char connected[MAX_DESCRIPTORS];
@@ -126,7 +126,7 @@
 
 /*
  * Delays at most one send in four seconds: the requirements allow for a single delay per request, and a request may
- * last three seconds.
+ * last three seconds. The difference of five in whole seconds guarantees at least four seconds between two delays.
  */
 static void delay_send(void) {
     static time_t last;
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -15,7 +15,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 /// The share of requests whose client disconnects without waiting for the response.
 const DISCONNECT_SHARE: f64 = 0.12;
-/// Time after the request when such a client disconnects, in milliseconds.
+/// Time from a request until such a client disconnects, in milliseconds.
 const DISCONNECT_AFTER_MS: (u64, u64) = (0, 400);
 /// The share of requests that are invalid.
 const INVALID_SHARE: f64 = 0.04;
@@ -86,7 +86,7 @@
     reused: bool,
 }
 
-/// What a client does after a request.
+/// The next step of a client after a request.
 enum Next {
     /// The client may send another request on the connection.
     Reuse(GatewayConnection),
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -14,18 +14,18 @@
 
 /// Time between the beginnings of two faults, in milliseconds.
 const FAULT_INTERVAL_MS: (u64, u64) = (150, 1_200);
-/// How long a fault lasts, in milliseconds.
+/// The duration of a fault, in milliseconds.
 const FAULT_DURATION_MS: (u64, u64) = (300, 4_000);
 /// Divides the duration of faults that fail a large share of all calls.
 const SEVERE_FAULT_DIVISOR: u32 = 8;
-/// How long a crashed gateway or a restarting server is down, in milliseconds.
+/// The downtime of a crashed gateway and of a restarting server, in milliseconds.
 const GATEWAY_DOWNTIME_MS: (u64, u64) = (50, 2_000);
 const SERVER_DOWNTIME_MS: (u64, u64) = (100, 1_500);
 /// Time from the start of a restarted server until the endpoint list has it, in milliseconds.
 const LISTING_DELAY_MS: (u64, u64) = (1, 200);
 /// Pause between two reloads, in milliseconds.
 const RELOAD_PAUSE_MS: (u64, u64) = (20, 1_500);
-/// How long a slow discovery agent delays its responses, in milliseconds.
+/// The delay of the responses of a slow discovery agent, in milliseconds.
 const DISCOVERY_DELAY_MS: (u64, u64) = (100, 1_500);
 /// The number of connections in a flood; it exceeds the number of client connections that a gateway admits.
 const FLOOD_CONNECTIONS: usize = 320;
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -15,7 +15,7 @@
 use history::{Arrival, History, ProcessHistory, Request};
 use std::time::Duration;
 
-/// The transit time between two hosts. Every rule tolerates this time in addition to its own slack.
+/// The transit time between two hosts. Rules that compare times tolerate this time in addition to their own slack.
 const TRANSIT_SLACK: Duration = Duration::from_millis(50);
 /// The deviation that rules tolerate when they compare deadlines or expirations of idempotency keys.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
--- a/soak/src/oracle/duplicates.rs
+++ b/soak/src/oracle/duplicates.rs
@@ -6,7 +6,7 @@
 use crate::record::{Class, ClientOutcome, ExchangeOutcome, Role, Time};
 use crate::testbed::ZONES;
 
-/// A violation of this rule.
+/// A violation of the rule `duplicate`.
 struct Breach {
     at: Time,
     description: String,
--- a/soak/src/oracle/responses.rs
+++ b/soak/src/oracle/responses.rs
@@ -12,7 +12,8 @@
 /// A gateway that abandons an exchange counts as the cause of the truncated stream if the stream ends at the client at
 /// most this long afterwards.
 const STREAM_END_TIMEOUT: Duration = Duration::from_secs(1);
-/// A stream counts as idle if its response started at least this long ago.
+/// A stream counts as idle if its response started at least this long ago. The start of the response stands in for the
+/// last event of the stream, because the history does not contain the time of that event.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// A lost response.
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Returns whether a process was killed by the time `at` without a stop signal.
+    /// Returns true if a process was killed by the time `at` without a stop signal.
     fn crashed_by(&self, process: Process, at: Time) -> bool {
         self.process(process).is_some_and(|process| {
             process.stop_signal.is_none() && process.killed.is_some_and(|killed| killed <= at)
@@ -112,7 +113,7 @@
         Some(Loss { at, description: format!("stream truncated; end of the exchange at the server: {end}") })
     }
 
-    /// Returns whether a graceful shutdown excuses a truncated stream: a request that was sent at most [`STOP_SLACK`]
+    /// Returns true if a graceful shutdown excuses a truncated stream: a request that was sent at most [`STOP_SLACK`]
     /// after the stop signal may still be in flight at the kill, and clients that resume streams move to another
     /// gateway.
     fn truncated_by_stop(&self, request: &Request, process: Process, at: Time) -> bool {
@@ -123,8 +124,8 @@
         self.parameters.resume_streams || (accepted_early && killed)
     }
 
-    /// Returns whether the outgoing connections of a gateway were being broken at the time `at`. The servers see such a
-    /// break as an end by the gateway.
+    /// Returns true if a fault was breaking the outgoing connections of a gateway at the time `at`, or had ended at
+    /// most [`TRANSIT_SLACK`] before. To the servers, such a break looks as if the gateway had closed the connection.
     fn connections_broke(&self, gateway: usize, at: Time) -> bool {
         let Some(gateway) = self.history.gateways.get(&gateway) else { return false };
         let changes = &gateway.connections_breaking;
@@ -135,8 +136,8 @@
     }
 }
 
-/// Returns whether a stream counts as idle at the time `at`, measured from the start of the response. A hanging server
-/// or a cut link shows as a stream that the gateway abandons some seconds after the last event.
+/// Returns true if a stream counts as idle at the time `at`, measured from the start of the response. If a server hangs
+/// or a link is cut, the gateway abandons the stream some seconds after the last event.
 fn is_idle(request: &Request, at: Time) -> bool {
     request.response_started.is_some_and(|started| at.saturating_sub(started) >= STREAM_IDLE_TIMEOUT)
 }
--- a/soak/src/oracle/slow_start.rs
+++ b/soak/src/oracle/slow_start.rs
@@ -78,7 +78,7 @@
         count as f64 / servers as f64 * window.as_secs_f64() / SHARE_WINDOW.as_secs_f64()
     }
 
-    /// Returns whether the discovery agent of the sending gateway knew of a server start when the request arrived.
+    /// Returns true if the discovery agent of the sending gateway knew of a server start when the request arrived.
     fn knew_of(&self, start: &ServerStart, arrival: &Arrival) -> bool {
         let view = EndpointView { gateway: arrival.gateway, server: start.server };
         let updates = self.history.endpoint_updates.get(&view);
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -157,7 +157,7 @@
         matches!(with_timeout(HEALTH_CHECK_TIMEOUT, check).await, Some(Ok(true)))
     }
 
-    /// Returns true if the gateway has no running process. Records the exit of a process when it first sees it.
+    /// Returns true if the gateway has no running process. The first call after the exit of a process records the exit.
     fn has_exited(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let Some(running) = child.as_mut() else { return true };
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -64,7 +64,8 @@
     Declined,
     /// The server or the network broke the connection.
     Broken,
-    /// The gateway closed the connection or the gateway's sending half of the connection.
+    /// The gateway closed the connection or the gateway's sending half of the connection. A faulty server that closes
+    /// the connection in place of a response is recorded in the same way.
     Abandoned,
 }
 
@@ -89,7 +90,7 @@
     Truncated,
     /// The connection ended before the first byte of a response.
     NoResponse {
-        /// Whether the connection had served an earlier request.
+        /// True if the connection had served an earlier request.
         reused: bool,
     },
     /// The client received no data within its read timeout.
@@ -163,9 +164,9 @@
     InvalidRequestFinished {
         /// The gateway process that the client was connected to.
         process: Process,
-        /// Whether the client read a response or the end of the connection in time.
+        /// True if the client read a response or the end of the connection in time.
         answered: bool,
-        /// Whether the gateway served the request: the response has status 200.
+        /// True if the gateway served the request, that is, if the response has status 200.
         served: bool,
     },
     /// A model server that is running has read the last byte of a request.
@@ -227,7 +228,7 @@
     DiscoveryAvailability {
         /// The gateway.
         gateway: usize,
-        /// Whether the agent responds.
+        /// True if the agent responds again; false if it stopped responding.
         available: bool,
     },
     /// A gateway's discovery agent delays its responses from now on.
@@ -241,14 +242,14 @@
     ConnectionsBreaking {
         /// The gateway.
         gateway: usize,
-        /// Whether the fault began.
+        /// True if the fault began; false if it ended.
         active: bool,
     },
     /// Network links to model servers were cut or restored.
     LinksCut {
         /// The model servers.
         servers: Vec<usize>,
-        /// Whether the links are cut.
+        /// True if the links were cut; false if they were restored.
         cut: bool,
     },
     /// The open polls of a gateway at its discovery agent were stalled: the agent never answers these polls.
@@ -292,7 +293,7 @@
     ProcessExited {
         /// The process.
         process: Process,
-        /// Whether the exit status is success.
+        /// True if the exit status is success.
         clean: bool,
     },
     /// A fault began or ended.
@@ -303,7 +304,7 @@
         gateway: usize,
         /// Identifies the fault within the run.
         number: usize,
-        /// Whether the fault began.
+        /// True if the fault began; false if it ended.
         began: bool,
     },
     /// The scheduling of the soak's own tasks was delayed.
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -20,7 +20,8 @@
 const FAULT_START_DELAY: Duration = Duration::from_secs(1);
 /// Time before the clients stop during which no fault begins.
 const LAST_FAULT_MARGIN: Duration = Duration::from_secs(4);
-/// Time after the last request for its response and the release of its KV cache.
+/// Time for which a run waits after the last request, so that the response arrives and the request's KV cache is
+/// released.
 const SETTLE_TIME: Duration = Duration::from_millis(4_500);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 /// The shortest delay of the soak itself that is recorded.
@@ -30,7 +31,7 @@
 pub struct Plan {
     /// The seed from which faults, traffic and parameters are drawn.
     pub seed: u64,
-    /// How long clients send requests, in seconds.
+    /// The time for which clients send requests, in seconds.
     pub seconds: u64,
     /// The number of gateways, each of which has one process at a time.
     pub gateways: usize,
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -26,7 +26,8 @@
 /// Time between two events of a stream, in milliseconds.
 const EVENT_INTERVAL_MS: (u64, u64) = (5, 60);
 const MAX_EVENTS: usize = 25;
-/// The probability that a server that closes idle connections closes one as its next request arrives.
+/// The probability that a server with [`ServerBehavior::ClosesIdleConnections`] closes a connection as the next request
+/// arrives on the connection.
 const CLOSE_IDLE_PROBABILITY: f64 = 0.3;
 /// The additional time that a slow server takes for each step of its work.
 const SLOW_DELAY: Duration = Duration::from_millis(500);
@@ -365,7 +366,7 @@
     let time = testbed.random.duration_ms(PREFILL_DURATION_MS.0, PREFILL_DURATION_MS.1);
     let worked = simulate_work(context, time, connection).await;
     if worked.is_err() && testbed.random.happens(0.5) {
-        // The server completed the prefill just as the gateway closed the connection, so it holds KV cache.
+        // The server completed the prefill just as the gateway closed the connection, and holds the KV cache.
         testbed.reserve_cache(request, server);
     }
     worked?;
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -59,7 +59,8 @@
 pub enum ServerBehavior {
     /// Serves requests correctly.
     Healthy,
-    /// Reads requests and sends no responses.
+    /// Reads prefill and decode requests and sends no responses to them. Still answers health checks and release
+    /// requests.
     Hanging,
     /// Its process is stopped: its host still accepts connections and bytes, but nothing reads them until the process
     /// continues.
@@ -70,7 +71,7 @@
     Slow,
     /// May close an idle connection just as the next request arrives on it.
     ClosesIdleConnections,
-    /// Refuses connections and has reset all open ones.
+    /// Refuses new connections and has reset all open connections.
     Down,
 }
 
