--- a/chat-api/src/models.rs
+++ b/chat-api/src/models.rs
@@ -22,9 +22,7 @@
     metadata::authenticate(gateway.settings(), &headers::metadata(headers))?;
     match model_names(gateway).find(|served| *served == name) {
         Some(name) => Ok(json_response(StatusCode::OK, &model_object(name))),
-        None => {
-            Err(RequestError::new(RequestErrorKind::UnknownPath, "this model does not exist here").into())
-        }
+        None => Err(RequestError::new(RequestErrorKind::UnknownPath, "this model does not exist").into()),
     }
 }
 
--- a/e2e/src/auditor/draining.rs
+++ b/e2e/src/auditor/draining.rs
@@ -32,7 +32,7 @@
                 if entry.at > notified + bounds.drain_grace + bounds.slack {
                     let after = (entry.at - notified) / MILLISECOND;
                     let description = format!(
-                        "{gateway} sent {request} to {server} {after} ms after being notified that the server drains"
+                        "{gateway} sent {request} to {server} {after} ms after being notified that the server drains or is gone"
                     );
                     verdict.add(DRAINING_RULE, entry.at, description);
                 }
--- a/gateway-core/src/graceful_shutdown/tests.rs
+++ b/gateway-core/src/graceful_shutdown/tests.rs
@@ -37,7 +37,10 @@
 fn many_resumed_streams_show_that_another_gateway_stopped() {
     let mut resumed = ResumeRate::default();
     (0..5).for_each(|_| resumed.record(0));
-    assert!(!resumed.another_gateway_stopped(0, 60), "a failed server resumes only a few streams");
+    assert!(
+        !resumed.another_gateway_stopped(0, 60),
+        "after a single server failure, clients resume only a few streams"
+    );
     (0..30).for_each(|_| resumed.record(0));
     assert!(resumed.another_gateway_stopped(0, 60));
     assert!(!resumed.another_gateway_stopped(5 * RESTART_TIME, 60), "the other gateway has restarted since");
--- a/platform-ingress/src/failure.rs
+++ b/platform-ingress/src/failure.rs
@@ -25,9 +25,10 @@
     fn from(error: IngressError) -> Self {
         match error {
             IngressError::TooLarge => RequestRejection::new(413, "the body is too large"),
-            IngressError::AtCapacity | IngressError::AddressAtCapacity => {
-                RequestRejection::new(503, "the memory limit for request bodies is reached")
-            }
+            IngressError::AtCapacity | IngressError::AddressAtCapacity => RequestRejection::new(
+                503,
+                "the limit on memory for request bodies, or on the share of one address, is reached",
+            ),
         }
     }
 }
